--- a/internal/core/admission/bench_test.go
+++ b/internal/core/admission/bench_test.go
@@ -7,7 +7,7 @@
 	"peardrift/internal/core/request"
 )
 
-func TestUsualPathAllocatesNothing(t *testing.T) {
+func TestAdmitAndFinishDoNotAllocate(t *testing.T) {
 	g := newGate(64)
 	now, id := time.Duration(0), Ticket(0)
 	var out []Action
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkSaturated keeps 10,000 requests waiting: each arrival pushes one out
-// of the full queue, each completion starts the next.
+// BenchmarkSaturated keeps 10,000 requests queued: each arrival evicts one from the
+// full queue, each completion starts the next.
 func BenchmarkSaturated(b *testing.B) {
 	const queued, slots = 10_000, 64
 	g := newGate(slots, func(c *Config) {
@@ -60,18 +60,18 @@
 	for i := 0; b.Loop(); i++ {
 		now += 100 * time.Microsecond
 		arrive()
-		arrive() // one in place of the one that starts, one that pushes out another
+		arrive() // the first replaces the request that starts, the second evicts one
 		out = g.Finish(now, running[i%slots], OK, 0, out[:0])
 		running[i%slots] = out[len(out)-1].Ticket
 	}
 	if g.queue.len() < queued-1 {
-		b.Fatalf("%d wait", g.queue.len())
+		b.Fatalf("%d requests queued", g.queue.len())
 	}
 }
 
 func importanceOf(t Ticket) request.Importance { return request.Importance(t * 31 % 101) }
 
-// BenchmarkRefusal is an arrival below the level.
+// BenchmarkRefusal measures the refusal of an arrival below the admission level.
 func BenchmarkRefusal(b *testing.B) {
 	g := newGate(64, func(c *Config) { c.MinWindow = 1000 * time.Hour })
 	g.levels.tenant(0).level = prio(50, 0)
@@ -82,11 +82,11 @@
 	}
 }
 
-// BenchmarkWindow is what ending a window costs the decision that it falls on,
-// with two tenants in overload.
+// BenchmarkWindow measures what closing a window adds to the decision that triggers
+// it, with two tenants in overload.
 func BenchmarkWindow(b *testing.B) {
 	g := newGate(64)
-	m := measure{length: 50 * ms, limit: 64, used: 1, standing: true, service: 0.01}
+	m := windowStats{length: 50 * ms, limit: 64, utilization: 1, standingQueue: true, service: 0.01}
 	for t := range 2 {
 		d := &g.levels.tenant(t).demand
 		for i := range d.rate {
@@ -96,8 +96,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for t := range 2 {
-			copy(g.levels.tenant(t).demand.fresh[:], g.levels.tenant(t).demand.rate[:])
+			copy(g.levels.tenant(t).demand.arrived[:], g.levels.tenant(t).demand.rate[:])
 		}
-		g.levels.roll(m, &g.ledger, 0.85)
+		g.levels.endWindow(m, &g.ledger, 0.85)
 	}
 }
--- a/internal/core/admission/config.go
+++ b/internal/core/admission/config.go
@@ -6,62 +6,67 @@
 	"peardrift/internal/core/limit"
 )
 
-// Config sets a Gate up. The defaults need no tuning for targets of 25 to 300
-// slots with service times from a millisecond to some seconds.
+// Config configures a Gate. The defaults need no tuning for targets with 25 to 300
+// slots and service times from a millisecond to a few seconds.
 type Config struct {
-	// Slots is how many requests the target declares to run at once. Default 64.
-	// It bounds the limit; higher than true and the limit has to find out.
+	// Slots is the number of requests that the target declares it can run
+	// concurrently. Default 64. It is the upper bound of the limit; if it is set too
+	// high, the limit has to be found by measurement.
 	Slots int
-	// QueueLimit is the most requests that wait; 0 means QueuePerSlot times
-	// Slots, at least 64. Higher: longer bursts are kept, refusals by
-	// eviction come later.
+	// QueueLimit is the maximum number of queued requests; 0 means QueuePerSlot
+	// times Slots, but at least 64. Higher values absorb longer bursts and evict
+	// later.
 	QueueLimit int
-	// QueuePerSlot is used when QueueLimit is 0. Default 4.
+	// QueuePerSlot applies when QueueLimit is 0. Default 4.
 	QueuePerSlot int
-	// MaxWait is the longest time a request may wait. Default 1 s. Higher:
-	// long pauses of the target are outlasted, with older work afterwards.
+	// MaxWait is the maximum time a request may stay queued. Default 1 s. Higher
+	// values ride out longer pauses of the target, but serve older requests
+	// afterwards.
 	MaxWait time.Duration
-	// TargetDelay is the queue delay that is let stand. Default 5 ms. Higher:
-	// later reaction and a longer queue in overload; lower: bursts count as
+	// TargetDelay is the acceptable queue delay. Default 5 ms. Higher values react
+	// later and allow a longer queue in overload; with lower values bursts count as
 	// overload.
 	TargetDelay time.Duration
-	// TargetPart raises TargetDelay for slow requests, as a part of the mean
-	// service time. Default 0.5. Higher and lower: as TargetDelay.
+	// TargetPart raises TargetDelay for slow requests, as a fraction of the mean
+	// service time. Default 0.5. Higher and lower values act as for TargetDelay.
 	TargetPart float64
-	// StandFor is how long the delay must stand above its target before the
-	// level rises. Default 100 ms. Higher: later reaction; lower: bursts count
-	// as overload.
+	// StandFor is how long the queue delay must stay above its target before the
+	// level rises. Default 100 ms. Higher values react later; with lower values
+	// bursts count as overload.
 	StandFor time.Duration
-	// MinWindow and MaxWindow bound the windows over which demand is measured
-	// and the level set. Defaults 50 ms and 250 ms. Higher: steadier levels,
-	// later reaction.
+	// MinWindow and MaxWindow bound the windows over which demand is measured and
+	// the level set. Defaults 50 ms and 250 ms. Higher values give steadier levels
+	// and react later.
 	MinWindow, MaxWindow time.Duration
-	// WindowArrivals is how many arrivals make a window full after MinWindow.
-	// Default 32. Higher: steadier levels on targets with little traffic.
+	// WindowArrivals is the number of arrivals that close a window once MinWindow
+	// has passed. Default 32. Higher values give steadier levels for targets with
+	// little traffic.
 	WindowArrivals int
-	// IdleBelow is the part of the limit in use below which a level above 0 is
-	// taken to refuse too much. Default 0.85. Higher: faster recovery, more
-	// hunting; lower: the reverse.
+	// IdleBelow is the utilization of the limit below which a level above 0 is
+	// considered to refuse too much. Default 0.85. Higher values recover faster but
+	// oscillate more; lower values do the opposite.
 	IdleBelow float64
-	// SpareBelow is the part of the limit, 0 to below 1, up to whose use no request
-	// is refused for the time that it is expected to take. Default 0.5. Above it
-	// the part of that time which a request must have left rises to the whole.
-	// Higher lets in more that may not end in time; lower refuses beside free slots.
+	// SpareBelow is the utilization of the limit, from 0 to below 1, up to which no
+	// request is refused because of its expected service time. Default 0.5. Above
+	// it, the fraction of that time that must remain until the deadline rises
+	// linearly to 1. Higher values admit more requests that may miss their deadline;
+	// lower values refuse requests while slots are free.
 	SpareBelow float64
-	// RetryAfter is the least advice given with a refusal. Default 1 s. It
-	// grows with demand over capacity and is spread by as much again. Higher:
-	// refused callers come back later, also after the overload has ended.
+	// RetryAfter is the minimum retry delay sent with a refusal. Default 1 s. It
+	// grows with the ratio of demand to capacity and gets up to 100% jitter. With
+	// higher values refused callers come back later, even after the overload has
+	// ended.
 	RetryAfter time.Duration
-	// MaxRetryAfter bounds the advice. Default 30 s.
+	// MaxRetryAfter is the maximum retry delay. Default 30 s.
 	MaxRetryAfter time.Duration
-	// Limit sets up the concurrency limit.
+	// Limit configures the concurrency limit.
 	Limit limit.Config
 }
 
-// minQueue is the least bound of the queue when it follows from the slots.
+// minQueue is the minimum queue bound when it is derived from the slots.
 const minQueue = 64
 
-// DefaultConfig returns the defaults that the fields name.
+// DefaultConfig returns the defaults documented on the fields.
 func DefaultConfig() Config {
 	return Config{
 		Slots:          64,
@@ -81,7 +86,7 @@
 	}
 }
 
-// queueLimit returns the bound of the queue for the declared slots.
+// queueLimit returns the queue bound for the declared slots.
 func (c *Config) queueLimit(slots int) int {
 	if c.QueueLimit > 0 {
 		return c.QueueLimit
--- a/internal/core/admission/decision.go
+++ b/internal/core/admission/decision.go
@@ -7,31 +7,31 @@
 	"peardrift/internal/status"
 )
 
-// Ticket names a request while it is in the gate; chosen by the caller and
-// unique until the request's final decision or its end in the target.
+// Ticket identifies a request while it is in the gate. The caller chooses it; it
+// must be unique until the request is refused or leaves the target.
 type Ticket uint64
 
-// Arrival is a request that asks for the target.
+// Arrival is a request for the target.
 type Arrival struct {
 	Ticket   Ticket
 	Priority request.Priority
-	Tenant   uint16        // small index, the same in SetShares
-	Deadline time.Duration // instant after which nobody waits for the answer; 0: none
-	Deep     bool          // called from inside a chain, which has cost work already
+	Tenant   uint16        // small index, as in SetShares
+	Deadline time.Duration // instant after which the caller stops waiting; 0: none
+	Deep     bool          // nested call: earlier hops of its call chain have already done work
 }
 
-// Verdict is what happens to an arrival.
+// Verdict is the outcome of an arrival.
 type Verdict uint8
 
-// The verdicts. The zero value refuses, so that a forgotten assignment lets
-// nothing into the target.
+// The zero value refuses, so that a missing assignment never sends a request to the
+// target.
 const (
 	Refuse Verdict = iota // not handed to the target
 	Admit                 // run it now
-	Queue                 // wait; an Action follows
+	Queue                 // queued; an Action follows
 )
 
-// String returns the verdict in the form it has in metrics.
+// String returns the verdict as used in metrics.
 func (v Verdict) String() string {
 	switch v {
 	case Admit:
@@ -43,27 +43,27 @@
 	}
 }
 
-// Decision is a verdict and, for Refuse, why and when to come back.
+// Decision is a verdict and, for Refuse, the reason and the retry delay.
 type Decision struct {
 	Verdict    Verdict
 	Reason     status.Code // with Refuse
 	RetryAfter time.Duration
 }
 
-// Action settles a request that was queued.
+// Action is the final decision for a queued request.
 type Action struct {
 	Ticket Ticket
 	Decision
 }
 
-// Result is how a request left the target.
+// Result is how a request in the target ended.
 type Result uint8
 
-// The results. Only OK tells how long a request takes: a failure may be fast
-// because it did nothing, a canceled request was cut short.
+// Only OK says how long a request takes: a failure may be fast because it did
+// nothing, and a canceled request was cut short.
 const (
-	OK         Result = iota // a whole answer
+	OK         Result = iota // complete response
 	Overloaded               // shed by the target
-	Failed                   // answered with a failure, or the connection broke
-	Canceled                 // given up by the node
+	Failed                   // error response or broken connection
+	Canceled                 // abandoned by the node
 )
--- a/internal/core/admission/entry.go
+++ b/internal/core/admission/entry.go
@@ -6,28 +6,28 @@
 	"peardrift/internal/core/request"
 )
 
-// entry is a request in the gate, queued or running.
+// entry is a queued or running request.
 type entry struct {
-	ticket   Ticket
-	key      uint64 // place in the queue, see keyOf
-	seq      uint64 // order of arrival
-	priority request.Priority
-	tenant   int
-	deep     bool
-	running  bool
-	deadline time.Duration
-	latest   time.Duration // last instant at which starting it still makes sense
-	started  time.Duration // when it was admitted
-	expected time.Duration // service time expected when queued or started
-	place    [orders]int   // position in each order while queued
+	ticket      Ticket
+	key         uint64 // queue position, see queueKey
+	seq         uint64 // arrival order
+	priority    request.Priority
+	tenant      int
+	deep        bool
+	running     bool
+	deadline    time.Duration
+	latestStart time.Duration  // latest start that can still meet the deadline and MaxWait
+	started     time.Duration  // instant of admission
+	expected    time.Duration  // expected service time, estimated on arrival
+	heapIndex   [numOrders]int // index in each heap while queued
 }
 
 func (e *entry) importance() int { return int(e.priority.Importance()) }
 
-// keyOf orders the queue: importance, deep work before new, hashed identity.
-// Deep work goes first within its importance only; otherwise a flood of
-// unimportant chains would push out important entries.
-func keyOf(p request.Priority, deep bool) uint64 {
+// queueKey returns the sort key of the queue: importance, nested calls before new
+// requests, hashed identity. Nested calls go first only within their importance;
+// otherwise a flood of unimportant call chains would evict important requests.
+func queueKey(p request.Priority, deep bool) uint64 {
 	const hashBits = 16
 	hash := uint64(p) & (1<<hashBits - 1)
 	key := uint64(p.Importance()) << (hashBits + 1)
@@ -37,8 +37,8 @@
 	return key | hash
 }
 
-// pool keeps entries by index, so that a decision allocates nothing once the
-// pool has grown to the size in use.
+// pool stores entries by index, so that a decision allocates nothing once the pool
+// has grown to its working size.
 type pool struct {
 	entries []entry
 	free    []int
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -11,30 +11,30 @@
 	"peardrift/internal/status"
 )
 
-// Gate decides who may use one target. See the package comment.
+// Gate decides which requests one target runs. See the package comment.
 type Gate struct {
-	cfg      Config
-	rng      *rand.Rand
-	limiter  limit.Algorithm
-	ledger   share.Ledger
-	pool     pool
-	queue    *queue
-	service  service
-	levels   *levels
-	window   window
-	delay    *limit.Delay
-	relieved time.Duration // when the limit was last cut for such waiting
+	cfg        Config
+	rng        *rand.Rand
+	limiter    limit.Algorithm
+	ledger     share.Ledger
+	pool       pool
+	queue      *queue
+	service    serviceTimes
+	levels     *levels
+	window     window
+	delay      *limit.Delay
+	limitCutAt time.Duration // when the limit was last cut because requests queued inside the target
 
-	running  int
-	seq      uint64
-	maxQueue int
-	draining bool
-	doomed   []int // scratch of refuseBelow
-	counts   Counts
+	running   int
+	seq       uint64
+	maxQueue  int
+	draining  bool
+	evictions []int // scratch space of refuseBelow
+	counts    Counts
 }
 
-// New returns a gate. rng spreads the advice on when to come back and must not
-// be shared with another goroutine.
+// New returns a gate. rng adds jitter to retry delays and must not be shared with
+// another goroutine.
 func New(cfg Config, rng *rand.Rand) *Gate {
 	g := &Gate{
 		cfg:      cfg,
@@ -49,8 +49,8 @@
 	return g
 }
 
-// Arrive decides for a request. A more important arrival may push out a less
-// important one that waits, which is then refused by an action.
+// Arrive decides on a request. If the queue is full, a more important arrival may
+// evict a queued request, whose refusal is appended to out.
 func (g *Gate) Arrive(now time.Duration, a Arrival, out []Action) (Decision, []Action) {
 	out = g.advance(now, out)
 	d, out := g.arrive(now, a, out)
@@ -62,85 +62,86 @@
 	t := g.levels.tenant(int(a.Tenant))
 	imp := int(a.Priority.Importance())
 	expected := g.service.estimate(imp)
-	t.demand.note(a.Priority, g.service.factor(imp), t.level)
+	t.demand.record(a.Priority, g.service.factor(imp), t.level)
 	g.window.arrivals++
 
 	if g.draining {
 		return g.refuse(status.CodeDraining), out
 	}
 	if t.refuses(a.Priority, a.Deep) {
-		return g.refuse(g.overReason(int(a.Tenant))), out
+		return g.refuse(g.overloadReason(int(a.Tenant))), out
 	}
-	left := a.left(now)
-	needed := g.needed(imp, expected)
+	left := a.remaining(now)
+	needed := g.requiredTime(imp, expected)
 	if left <= 0 || needed > left {
 		return g.refuse(status.CodeDeadline), out
 	}
 	if g.queue.len() == 0 && g.running < g.limiter.Limit() {
-		g.run(now, g.enter(now, a, expected))
+		g.start(now, g.newEntry(now, a, expected))
 		return Decision{Verdict: Admit}, out
 	}
-	wait := g.wait(now, &a, imp)
+	wait := g.estimateWait(now, &a, imp)
 	if wait > g.cfg.MaxWait || wait+needed > left {
-		return g.refuse(g.overReason(int(a.Tenant))), out
+		return g.refuse(g.overloadReason(int(a.Tenant))), out
 	}
-	return g.hold(now, a, expected, out)
+	return g.enqueue(now, a, expected, out)
 }
 
-// needed returns the time that a request of an importance must have left to be
-// let in: the part of what it is expected to take by which slots are short, or
-// nothing if no other of its importance runs.
+// requiredTime returns the time that a request of an importance must have left until
+// its deadline to be admitted: its expected service time multiplied by the slot
+// shortage, or 0 if no other request of that importance runs.
 //
-// The expected time is a mean, and about half of all requests take less. Symptom
-// if it were asked for at all times: requests are refused for short deadlines beside
-// free slots, all of an importance at once as soon as the mean passes what their
-// callers wait, though many would end in time and nobody else wants the slots.
-// Asked for in proportion, free slots go to whoever may still end in time, and the
-// last ones only to those who are likely to.
+// The expected time is a mean, and about half of all requests take less. If all of
+// it were always required, requests with short deadlines would be refused while
+// slots are free, all of an importance at once as soon as the mean exceeds their
+// timeout, though many would finish in time and nobody else needs the slots. Scaled
+// by the shortage, free slots go to any request that may finish in time, and the
+// last slots only to those that probably will.
 //
-// Without the exception an importance that once took longer than its callers wait
-// would be refused for good, since nothing would show that it is fast again; one
-// would notice by refusals for short deadlines beside an idle target.
-func (g *Gate) needed(imp int, expected time.Duration) time.Duration {
+// Without the exception, an importance whose service time once exceeded its callers'
+// timeout would be refused forever, since no new sample could show that it is fast
+// again; an idle target would refuse requests for short deadlines.
+func (g *Gate) requiredTime(imp int, expected time.Duration) time.Duration {
 	if g.service.running[imp] == 0 {
 		return 0
 	}
-	return time.Duration(g.shortage() * float64(expected))
+	return time.Duration(g.slotShortage() * float64(expected))
 }
 
-// shortage is how far slots are short: 0 while the part of the limit in use is at
-// most Config.SpareBelow, 1 when all of it is.
-func (g *Gate) shortage() float64 {
+// slotShortage returns how scarce slots are: 0 while utilization is at most
+// Config.SpareBelow, rising to 1 when the whole limit is in use.
+func (g *Gate) slotShortage() float64 {
 	used := float64(g.running) / float64(g.limiter.Limit())
 	return min(max((used-g.cfg.SpareBelow)/(1-g.cfg.SpareBelow), 0), 1)
 }
 
-// left returns the time until the deadline.
-func (a *Arrival) left(now time.Duration) time.Duration {
+// remaining returns the time until the deadline.
+func (a *Arrival) remaining(now time.Duration) time.Duration {
 	if a.Deadline == 0 {
 		return math.MaxInt64
 	}
 	return a.Deadline - now
 }
 
-// hold queues an arrival, pushing out the worst entry if the queue is full.
-func (g *Gate) hold(now time.Duration, a Arrival, expected time.Duration, out []Action) (Decision, []Action) {
+// enqueue queues an arrival. If the queue is full, it evicts the lowest-ranked entry
+// or refuses the arrival.
+func (g *Gate) enqueue(now time.Duration, a Arrival, expected time.Duration, out []Action) (Decision, []Action) {
 	if g.queue.len() >= g.maxQueue {
 		victim, ok := g.victim(&a)
 		if !ok {
-			return g.refuse(g.overReason(int(a.Tenant))), out
+			return g.refuse(g.overloadReason(int(a.Tenant))), out
 		}
-		out = g.evict(victim, g.overReason(g.pool.entries[victim].tenant), out)
+		out = g.evict(victim, g.overloadReason(g.pool.entries[victim].tenant), out)
 	}
-	g.queue.insert(g.enter(now, a, expected))
+	g.queue.insert(g.newEntry(now, a, expected))
 	return Decision{Verdict: Queue}, out
 }
 
-// victim returns the queued entry that makes room for the arrival; false if the
-// arrival itself is the one to go.
+// victim returns the queued entry to evict for the arrival; false if the arrival
+// itself ranks lowest.
 func (g *Gate) victim(a *Arrival) (int, bool) {
 	tenant := g.ledger.Most(int(a.Tenant))
-	ln := g.queue.line(tenant)
+	ln := g.queue.tenantQueue(tenant)
 	if len(ln.worst.idx) == 0 {
 		return 0, false
 	}
@@ -148,30 +149,30 @@
 	if tenant != int(a.Tenant) {
 		return worst, true
 	}
-	return worst, g.pool.entries[worst].key < keyOf(a.Priority, a.Deep)
+	return worst, g.pool.entries[worst].key < queueKey(a.Priority, a.Deep)
 }
 
-// enter makes an entry of an arrival.
-func (g *Gate) enter(now time.Duration, a Arrival, expected time.Duration) int {
+// newEntry creates an entry for an arrival and returns its index.
+func (g *Gate) newEntry(now time.Duration, a Arrival, expected time.Duration) int {
 	i := g.pool.add(a.Ticket)
 	e := &g.pool.entries[i]
 	g.seq++
 	e.seq = g.seq
-	e.key = keyOf(a.Priority, a.Deep)
+	e.key = queueKey(a.Priority, a.Deep)
 	e.priority = a.Priority
 	e.tenant = int(a.Tenant)
 	e.deep = a.Deep
 	e.expected = expected
-	e.latest = now + g.cfg.MaxWait
+	e.latestStart = now + g.cfg.MaxWait
 	if a.Deadline != 0 {
-		e.latest = min(e.latest, a.Deadline-g.needed(e.importance(), expected))
+		e.latestStart = min(e.latestStart, a.Deadline-g.requiredTime(e.importance(), expected))
 		e.deadline = a.Deadline
 	}
 	return i
 }
 
-// run starts an entry.
-func (g *Gate) run(now time.Duration, i int) {
+// start marks an entry as running and takes a slot.
+func (g *Gate) start(now time.Duration, i int) {
 	e := &g.pool.entries[i]
 	e.running = true
 	e.started = now
@@ -180,39 +181,39 @@
 	g.ledger.Start(e.tenant)
 }
 
-// wait estimates how long an arrival would wait for a slot.
-func (g *Gate) wait(now time.Duration, a *Arrival, imp int) time.Duration {
-	ahead := g.queue.ahead(int(a.Tenant), imp, keyOf(a.Priority, a.Deep))
+// estimateWait estimates how long an arrival would wait for a slot.
+func (g *Gate) estimateWait(now time.Duration, a *Arrival, imp int) time.Duration {
+	ahead := g.queue.workAhead(int(a.Tenant), imp, queueKey(a.Priority, a.Deep))
 	if ahead == 0 {
 		return 0
 	}
 	slots := float64(g.limiter.Limit())
-	if g.queue.len() > len(g.queue.line(int(a.Tenant)).best.idx) {
+	if g.queue.len() > len(g.queue.tenantQueue(int(a.Tenant)).best.idx) {
 		slots = g.ledger.Guaranteed(int(a.Tenant), g.limiter.Limit())
 	}
 	return time.Duration(float64(ahead) * g.service.slowdown(now) / slots)
 }
 
-// Finish takes in that the target is done with a request. below is for how long
-// the target did nothing for it but wait for calls of its own.
-func (g *Gate) Finish(now time.Duration, t Ticket, r Result, below time.Duration, out []Action) []Action {
+// Finish records that the target has finished a request. downstream is how long the
+// target did nothing for the request but wait for its own calls.
+func (g *Gate) Finish(now time.Duration, t Ticket, r Result, downstream time.Duration, out []Action) []Action {
 	out = g.advance(now, out)
 	i, ok := g.pool.byID[t]
 	if !ok || !g.pool.entries[i].running {
 		return out
 	}
 	if r == OK {
-		g.noteTime(now, &g.pool.entries[i], below)
+		g.recordLatency(now, &g.pool.entries[i], downstream)
 	}
 	if r != Overloaded {
-		g.window.below += below
+		g.window.downstream += downstream
 	}
-	g.leave(now, i, r)
+	g.release(now, i, r)
 	return g.dispatch(now, out)
 }
 
-// leave gives a running entry's slot back.
-func (g *Gate) leave(now time.Duration, i int, r Result) {
+// release frees the slot of a running entry.
+func (g *Gate) release(now time.Duration, i int, r Result) {
 	e := &g.pool.entries[i]
 	g.service.end(e)
 	g.ledger.End(e.tenant)
@@ -221,31 +222,31 @@
 		g.window.overloaded++
 	} else {
 		g.window.completed++
-		g.learn(now, e, r)
+		g.updateEstimate(now, e, r)
 	}
 	g.pool.remove(i)
 }
 
-// noteTime looks for requests that wait inside the target.
-func (g *Gate) noteTime(now time.Duration, e *entry, below time.Duration) {
+// recordLatency feeds the detection of requests that queue inside the target.
+func (g *Gate) recordLatency(now time.Duration, e *entry, downstream time.Duration) {
 	imp, took := e.importance(), now-e.started
 	g.delay.Done(imp)
-	if e.started >= g.relieved {
-		g.delay.Note(imp, took, took-below)
+	if e.started >= g.limitCutAt {
+		g.delay.Note(imp, took, took-downstream)
 	}
 }
 
-// learn takes in how long a request ran. One that began before the limit was
-// cut, since requests waited inside the target, waited with the others: its time
-// would be held against a limit that has ended such waits.
-func (g *Gate) learn(now time.Duration, e *entry, r Result) {
-	if e.started >= g.relieved {
-		g.service.learn(e.importance(), now-e.started, r == OK)
+// updateEstimate records how long a request ran. It ignores requests that started
+// before the limit was last cut for queueing inside the target: their times include
+// that wait and would inflate the estimate after the cut has ended it.
+func (g *Gate) updateEstimate(now time.Duration, e *entry, r Result) {
+	if e.started >= g.limitCutAt {
+		g.service.observe(e.importance(), now-e.started, r == OK)
 	}
 }
 
-// Cancel takes in that nobody waits for a request any more. A queued one leaves
-// at once, with a refusal; a running one gives its slot back.
+// Cancel records that the caller no longer waits for a request. A queued request is
+// refused at once; a running one frees its slot.
 func (g *Gate) Cancel(now time.Duration, t Ticket, out []Action) []Action {
 	out = g.advance(now, out)
 	i, ok := g.pool.byID[t]
@@ -253,7 +254,7 @@
 		return out
 	}
 	if g.pool.entries[i].running {
-		g.leave(now, i, Canceled)
+		g.release(now, i, Canceled)
 	} else {
 		out = g.evict(i, status.CodeCanceled, out)
 	}
@@ -270,35 +271,36 @@
 	return out
 }
 
-// dispatch gives free slots to queued entries, in order.
+// dispatch assigns free slots to queued entries in queue order.
 func (g *Gate) dispatch(now time.Duration, out []Action) []Action {
 	for g.running < g.limiter.Limit() && g.queue.len() > 0 {
 		i := g.queue.next()
 		e := &g.pool.entries[i]
-		if g.tooLate(now, e) {
+		if g.cannotFinish(now, e) {
 			out = g.evict(i, status.CodeOverloaded, out)
 			continue
 		}
 		g.queue.drop(i)
-		g.run(now, i)
+		g.start(now, i)
 		d := Decision{Verdict: Admit}
 		g.counts.add(d)
 		out = append(out, Action{Ticket: e.ticket, Decision: d})
 	}
-	g.noteDelay(now)
+	g.updateQueueDelay(now)
 	return out
 }
 
-// tooLate reports whether a queued entry can't finish any more.
-func (g *Gate) tooLate(now time.Duration, e *entry) bool {
+// cannotFinish reports whether a queued entry can no longer meet its deadline.
+func (g *Gate) cannotFinish(now time.Duration, e *entry) bool {
 	if e.deadline == 0 {
 		return false
 	}
 	imp := e.importance()
-	return now+g.needed(imp, g.service.estimate(imp)) > e.deadline
+	return now+g.requiredTime(imp, g.service.estimate(imp)) > e.deadline
 }
 
-// Drain refuses what waits and all that arrives from now on; what runs goes on.
+// Drain refuses all queued requests, and all arrivals until Resume; running requests
+// continue.
 func (g *Gate) Drain(now time.Duration, out []Action) []Action {
 	out = g.advance(now, out)
 	g.draining = true
@@ -308,26 +310,26 @@
 	return out
 }
 
-// Resume ends a drain: the target takes calls again, in another lifetime. What was
-// measured of the last one's limit says nothing of this one.
+// Resume ends a drain after the target has restarted. The limit starts over, since
+// measurements of the previous incarnation do not apply to the new one.
 func (g *Gate) Resume(slots int) {
 	g.draining = false
 	g.limiter = limit.NewProbe(g.cfg.Limit, slots)
 	g.maxQueue = g.cfg.queueLimit(slots)
 }
 
-// SetShares sets the tenants' weights by index; tenants without one have 1.
+// SetShares sets the tenants' weights by index; tenants without a weight have 1.
 func (g *Gate) SetShares(weights []float64) { g.ledger.SetWeights(weights) }
 
-// SetCapacity sets how many slots the target declares. What runs above a lower
-// limit finishes; freed slots are taken into use by the next call.
+// SetCapacity sets the number of slots that the target declares. Running requests
+// above a lower limit finish; additional slots are used from the next call on.
 func (g *Gate) SetCapacity(slots int) {
 	g.limiter.SetMax(slots)
 	g.maxQueue = g.cfg.queueLimit(slots)
 }
 
-// Level returns the level that holds for every tenant: the lowest. A caller
-// that knows the request's tenant uses LevelOf.
+// Level returns the admission level that applies to every tenant, i.e. the lowest. A
+// caller that knows the request's tenant uses LevelOf.
 func (g *Gate) Level() request.Level {
 	low := request.MaxPriority
 	for _, t := range g.levels.tenants {
@@ -341,7 +343,7 @@
 	return low
 }
 
-// LevelOf returns the level of one tenant, to be published to its callers.
+// LevelOf returns the admission level of one tenant, to be published to its callers.
 func (g *Gate) LevelOf(tenant uint16) request.Level {
 	return g.levels.tenant(int(tenant)).level
 }
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -27,7 +27,7 @@
 	return request.Priority(imp)<<16 | request.Priority(hash)
 }
 
-// fill occupies n slots with tickets from 1000.
+// fill occupies n slots with tickets from 1000 on.
 func fill(g *Gate, now time.Duration, n int) {
 	for i := range n {
 		g.Arrive(now, Arrival{Ticket: Ticket(1000 + i), Priority: prio(50, 0)}, nil)
@@ -58,7 +58,7 @@
 	is.Equal(got, []Ticket{3, 1, 4, 2, 0})
 }
 
-func TestFullQueuePushesOutTheLeastImportant(t *testing.T) {
+func TestFullQueueEvictsLeastImportant(t *testing.T) {
 	is := is.New(t)
 	g := newGate(1, func(c *Config) { c.QueueLimit = 2 })
 	fill(g, 0, 1)
@@ -78,10 +78,10 @@
 	is.Equal(out[0].Verdict, Refuse)
 }
 
-// Symptom: after a restart in overload, feed reads run and payouts are refused.
-// Events: the node starts with an empty history; more arrives than fits. Cause:
-// an order that has to be learned first.
-func TestFirstOverloadRefusesInOrder(t *testing.T) {
+// Guards against refusing important requests when overload starts with an empty
+// history, as after a restart: an order that has to be learned first would refuse
+// payouts and run feed reads.
+func TestFirstOverloadRefusesByImportance(t *testing.T) {
 	is := is.New(t)
 	g := newGate(4, func(c *Config) { c.QueueLimit = 4 })
 	fill(g, 0, 4)
@@ -105,7 +105,7 @@
 func TestDeadlines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		busy    int // how many more run or wait, 4 slots
+		busy    int // further running or queued requests, 4 slots
 		left    time.Duration
 		verdict Verdict
 		reason  status.Code
@@ -116,13 +116,13 @@
 		{"longer than half of it, a quarter free", 2, 60 * ms, Admit, ""},
 		{"shorter than the service time, none free", 3, 90 * ms, Refuse, status.CodeDeadline},
 		{"long enough", 0, 200 * ms, Admit, ""},
-		{"not with the wait", 7, 130 * ms, Refuse, status.CodeOverloaded}, // 3 run, 4 wait: 100 ms
+		{"not with the wait", 7, 130 * ms, Refuse, status.CodeOverloaded}, // 3 running, 4 queued: 100 ms
 		{"with the wait", 7, 300 * ms, Queue, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			g := newGate(4)
-			now := learned(g, 100*ms)
+			now := trainGate(g, 100*ms)
 			g.Arrive(now, Arrival{Ticket: 1, Priority: prio(50, 0)}, nil)
 			fill(g, now, c.busy)
 			d, _ := g.Arrive(now, Arrival{Ticket: 2, Priority: prio(50, 0), Deadline: now + c.left}, nil)
@@ -132,14 +132,14 @@
 	}
 }
 
-// Symptom: three in ten requests are refused for short deadlines while most slots
-// are free. Events: requests take 50 to 150 ms, evenly, and their callers wait
-// 90 ms; twenty slots serve ten requests each 100 ms. Cause: all are refused as
-// soon as the mean passes what callers wait, though two in five would end in time.
-func TestFreeSlotsAreNotRefusedForTheMeanTime(t *testing.T) {
+// Guards against refusing all short deadlines as soon as the mean service time
+// exceeds them, though slots are free and two in five requests would finish in time.
+// Twenty slots serve ten requests per 100 ms, which take a uniform 50 to 150 ms and
+// have a timeout of 90 ms; three in ten were refused.
+func TestShortDeadlineIsAdmittedWhileSlotsAreFree(t *testing.T) {
 	is := is.New(t)
 	g := newGate(20)
-	now := learned(g, 100*ms)
+	now := trainGate(g, 100*ms)
 	rng := rand.New(rand.NewPCG(3, 4))
 	const n, patience = 2000, 90 * ms
 	ends := map[Ticket]time.Duration{}
@@ -166,9 +166,9 @@
 	is.True(served > n*35/100)
 }
 
-// learned lets one request after another take the time, and returns the instant
-// after the last.
-func learned(g *Gate, took time.Duration) time.Duration {
+// trainGate runs 40 requests in sequence, each with the given service time, and
+// returns the instant after the last.
+func trainGate(g *Gate, took time.Duration) time.Duration {
 	now := time.Duration(0)
 	for i := range 40 {
 		t := Ticket(10_000 + i)
@@ -179,14 +179,13 @@
 	return now
 }
 
-// Symptom: payout approvals are refused for short deadlines long after the
-// target has recovered. Events: all requests take 2 s for a while; then the
-// target is fast again and reads show it, but no payout is let in to be
-// measured. Cause: an estimate that only admitted requests can correct.
-func TestRareImportanceIsNotLockedOut(t *testing.T) {
+// Guards against an estimate that only admitted requests can correct. Requests of a
+// rare importance take 2 s for a while; after the target recovers, they are still
+// refused for short deadlines, so no new sample is measured.
+func TestRareImportanceRecoversFromSlowEstimate(t *testing.T) {
 	is := is.New(t)
 	g := newGate(4)
-	now := learned(g, 10*ms)
+	now := trainGate(g, 10*ms)
 	for i := range 40 {
 		t := Ticket(20_000 + i)
 		g.Arrive(now, Arrival{Ticket: t, Priority: prio(90, 0)}, nil)
@@ -196,7 +195,7 @@
 	is.True(g.service.estimate(90) > time.Second)
 	fill(g, now, 2)
 	d, _ := g.Arrive(now, Arrival{Ticket: 1, Priority: prio(90, 0), Deadline: now + time.Second}, nil)
-	is.Equal(d.Verdict, Admit) // one may try
+	is.Equal(d.Verdict, Admit) // the only one of its importance is admitted
 	g.Finish(now, 1000, OK, 0, nil)
 	g.Arrive(now, Arrival{Ticket: 3, Priority: prio(50, 0)}, nil)
 	d, _ = g.Arrive(now, Arrival{Ticket: 2, Priority: prio(90, 0), Deadline: now + time.Second}, nil)
@@ -210,7 +209,7 @@
 	for id := Ticket(1); id <= 2; id++ {
 		g.Arrive(0, Arrival{Ticket: id, Priority: prio(50, uint16(id))}, nil)
 	}
-	out := g.Cancel(ms, 2, nil) // queued: leaves at once
+	out := g.Cancel(ms, 2, nil) // queued: refused at once
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Ticket, Ticket(2))
 	is.Equal(out[0].Reason, status.CodeCanceled)
@@ -218,14 +217,14 @@
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Ticket, Ticket(1))
 	is.Equal(out[0].Verdict, Admit)
-	is.Equal(len(g.Finish(ms, 1000, OK, 0, nil)), 0) // the later of the two says nothing new
+	is.Equal(len(g.Finish(ms, 1000, OK, 0, nil)), 0) // the later of Cancel and Finish is ignored
 	is.Equal(g.Stats().Running, 1)
 }
 
-func TestQueuedWorkThatCannotFinishLeavesAtNext(t *testing.T) {
+func TestQueuedRequestThatCannotFinishIsRefusedAtNext(t *testing.T) {
 	is := is.New(t)
 	g := newGate(1)
-	now := learned(g, 10*ms)
+	now := trainGate(g, 10*ms)
 	fill(g, now, 1)
 	g.Arrive(now, Arrival{Ticket: 1, Priority: prio(50, 0), Deadline: now + 30*ms}, nil)
 	due := g.Next()
@@ -239,7 +238,7 @@
 func TestRetryAfterGrowsAndSpreads(t *testing.T) {
 	is := is.New(t)
 	g := newGate(4)
-	learned(g, 10*ms)
+	trainGate(g, 10*ms)
 	advice := func(demand float64) (low, high time.Duration) {
 		g.levels.tenant(0).demand.total = demand
 		low = time.Hour
@@ -252,51 +251,50 @@
 	low, high := advice(0)
 	is.True(low >= time.Second && low < 1100*ms)
 	is.True(high > 1900*ms && high <= 2*time.Second)
-	low, high = advice(3 * 400) // three times what 4 slots of 10 ms carry
+	low, high = advice(3 * 400) // three times the capacity of 4 slots at 10 ms
 	is.True(low >= 2900*ms && low < 3300*ms)
 	is.True(high > 5700*ms)
 	_, high = advice(1e9)
 	is.True(high <= 30*time.Second)
 }
 
-// Symptom: work of a whole chain is thrown away as an overload begins. Events:
-// a request is admitted at the entry at level 0; the level of a service below
-// rises; the call arrives there. Cause: it is judged by a level that its entry
-// could not know.
-func TestDeepWorkIsJudgedByTheLevelItWasAdmittedUnder(t *testing.T) {
+// Guards against refusing a nested call whose entry was admitted at level 0 before
+// the level of a service further down rose: the entry could not know that level, and
+// the work of the whole chain would be wasted.
+func TestNestedRequestUsesTheLevelItWasAdmittedUnder(t *testing.T) {
 	is := is.New(t)
-	var tn tenant
-	l := &levels{tenants: []*tenant{&tn}}
+	var tn tenantLevel
+	l := &levels{tenants: []*tenantLevel{&tn}}
 	set := func(level request.Level, windows int) {
 		for range windows {
 			tn.level = level
-			l.publish(true)
+			l.recordLevels(true)
 		}
 	}
 	set(0, graceWindows)
 	set(prio(50, 0), 1)
 	is.True(tn.refuses(prio(40, 0), false))
-	is.True(!tn.refuses(prio(40, 0), true)) // still in grace
+	is.True(!tn.refuses(prio(40, 0), true)) // still in the grace period
 	set(prio(50, 0), graceWindows)
 	is.True(tn.refuses(prio(40, 0), true))
 	is.True(!tn.refuses(prio(50, 0), false))
 }
 
-func TestCutLeavesWhatFits(t *testing.T) {
+func TestLevelForFitsDemandToCapacity(t *testing.T) {
 	is := is.New(t)
 	var d demand
 	for h := range 65536 / 16 {
-		d.note(prio(10, uint16(h*16)), 1, 0)
-		d.note(prio(40, uint16(h*16)), 1, 0)
+		d.record(prio(10, uint16(h*16)), 1, 0)
+		d.record(prio(40, uint16(h*16)), 1, 0)
 	}
 	for range 40 {
-		d.roll(time.Second, 0, 1)
-		d.fresh = d.rate
+		d.endWindow(time.Second, 0, 1)
+		d.arrived = d.rate
 	}
 	all := d.total
-	is.Equal(d.cut(all*1.01), request.Level(0))
+	is.Equal(d.levelFor(all*1.01), request.Level(0))
 	for _, part := range []float64{0.9, 0.5, 0.25} {
-		level := d.cut(part * all)
+		level := d.levelFor(part * all)
 		left := 0.0
 		for imp := request.Importance(10); imp <= 40; imp += 30 {
 			above := float64(prio(imp+1, 0)) - float64(max(level, prio(imp, 0)))
@@ -306,11 +304,10 @@
 	}
 }
 
-// Symptom: "over-share" in a fleet of one tenant, and its node tries no other
-// target.
-// Events: the limit falls below what runs already, and a request is refused.
-// Cause: what the tenant holds is compared with the slots of now, though nobody
-// else asks for any.
+// Guards against "over-share" refusals for the only tenant, after which its node
+// tries no other target. The limit falls below the number of running requests, and
+// the tenant's use is compared with the current slots though no other tenant asks
+// for any.
 func TestTenantAloneIsNotOverItsShare(t *testing.T) {
 	is := is.New(t)
 	g := newGate(4)
--- a/internal/core/admission/level.go
+++ b/internal/core/admission/level.go
@@ -7,34 +7,37 @@
 	"peardrift/internal/core/share"
 )
 
-// graceWindows is for how many windows deep work is still judged by an earlier,
-// lower level. A request that was admitted upstream under that level has cost
-// work; to refuse it here would waste it.
+// graceWindows is the number of windows during which nested calls are still judged
+// by an earlier, lower level. Work has already been done for a request admitted
+// upstream under that level; refusing it here would waste that work.
 const graceWindows = 6
 
-// Steps of the aim, the part of the measured capacity that demand is cut to.
+// Parameters of the capacity factor, the ratio of admitted demand to measured
+// capacity.
 const (
-	minAim    = 0.5
-	maxAim    = 16
-	aimDown   = 0.97 // while the queue stands
-	aimUp     = 0.02 // while the limit is not quite used
-	aimJump   = 1.5  // the most, as a ratio, while the limit is far from used
-	highAim   = 1.1
-	busyBelow = 0.97
+	minCapacityFactor = 0.5
+	maxCapacityFactor = 16
+	factorDecay       = 0.97 // while a queue persists
+	factorStep        = 0.02 // while utilization is slightly below 1
+	maxFactorGrowth   = 1.5  // maximum growth ratio per window while utilization is low
+	raisedFactor      = 1.1
+	busyUtilization   = 0.97
 )
 
-// forget is what is kept, per idle window, of demand remembered below a level.
-const forget = 0.6
+// idleRetention is the fraction of the remembered demand below a level that remains
+// after each idle window.
+const idleRetention = 0.6
 
-// tenant is the level of one tenant.
-type tenant struct {
+// tenantLevel is the admission level of one tenant and the demand it is derived
+// from.
+type tenantLevel struct {
 	demand demand
 	level  request.Level
 	recent [graceWindows]request.Level
 }
 
-// floor is the level for deep work: the lowest of the recent ones.
-func (t *tenant) floor() request.Level {
+// graceLevel returns the level for nested calls: the lowest of the recent levels.
+func (t *tenantLevel) graceLevel() request.Level {
 	low := t.level
 	for _, l := range t.recent {
 		low = min(low, l)
@@ -43,128 +46,131 @@
 }
 
 // total returns the tenant's demand; t may be nil.
-func (t *tenant) total() float64 {
+func (t *tenantLevel) total() float64 {
 	if t == nil {
 		return 0
 	}
 	return t.demand.total
 }
 
-// refuses reports whether the level keeps a request out.
-func (t *tenant) refuses(p request.Priority, deep bool) bool {
-	return p < t.level && (!deep || p < t.floor())
+// refuses reports whether the level refuses a request.
+func (t *tenantLevel) refuses(p request.Priority, deep bool) bool {
+	return p < t.level && (!deep || p < t.graceLevel())
 }
 
 // levels sets the tenants' admission levels once per window.
 type levels struct {
-	tenants []*tenant // nil: never seen
-	active  bool      // a queue has stood, and not all demand fits since
-	aim     float64   // part of the limit that admitted demand may take
+	tenants        []*tenantLevel // nil: no request seen yet
+	active         bool           // a queue has persisted, and demand has exceeded capacity since
+	capacityFactor float64        // ratio of admitted demand to measured capacity
 
-	weights, demands, parts []float64 // by tenant, reused
-	window                  int
+	weights, demands, allocations []float64 // by tenant, reused
+	window                        int
 }
 
-func newLevels() *levels { return &levels{aim: 1} }
+func newLevels() *levels { return &levels{capacityFactor: 1} }
 
-// tenant returns the tenant of an index, made at its first use: a demand profile
-// takes some 13 KB.
-func (l *levels) tenant(i int) *tenant {
+// tenant returns the state of a tenant. It is allocated on first use, since a demand
+// profile takes about 13 KB.
+func (l *levels) tenant(i int) *tenantLevel {
 	for len(l.tenants) <= i {
 		l.tenants = append(l.tenants, nil)
 	}
 	if l.tenants[i] == nil {
-		l.tenants[i] = &tenant{}
+		l.tenants[i] = &tenantLevel{}
 	}
 	return l.tenants[i]
 }
 
-// measure is what a window showed of the gate as a whole.
-type measure struct {
-	length   time.Duration
-	limit    float64
-	used     float64 // part of the limit that was in use
-	standing bool    // the queue delay stood above its target
-	service  float64 // mean service time in seconds, lengthened by a slowdown
+// windowStats holds the measurements of one window for the whole gate.
+type windowStats struct {
+	length        time.Duration
+	limit         float64
+	utilization   float64 // fraction of the limit in use
+	standingQueue bool    // the queue delay stayed above its target
+	service       float64 // mean service time in seconds, lengthened by a slowdown
 }
 
-// roll ends a window and sets the levels. It reports whether one has risen.
-func (l *levels) roll(m measure, ledger *share.Ledger, idleBelow float64) bool {
+// endWindow closes a window and sets the levels. It reports whether a level has
+// risen.
+func (l *levels) endWindow(m windowStats, ledger *share.Ledger, idleBelow float64) bool {
 	keep := float32(1)
-	if l.active && !m.standing && m.used < idleBelow {
-		keep = forget
+	if l.active && !m.standingQueue && m.utilization < idleBelow {
+		keep = idleRetention
 	}
 	for _, t := range l.tenants {
 		if t != nil {
-			t.demand.roll(m.length, t.level, keep)
+			t.demand.endWindow(m.length, t.level, keep)
 		}
 	}
-	if !l.active && !m.standing {
-		return l.publish(false)
+	if !l.active && !m.standingQueue {
+		return l.recordLevels(false)
 	}
-	l.steer(m, idleBelow)
-	return l.publish(l.divide(m, ledger))
+	l.adjustCapacityFactor(m, idleBelow)
+	return l.recordLevels(l.divideCapacity(m, ledger))
 }
 
-// steer moves the aim towards a queue that is short but seldom empty.
+// adjustCapacityFactor moves the factor towards a queue that is short but seldom
+// empty.
 //
-// After a slowdown has ended, requests from before go on to finish and make the
-// target look slow for as long as they did take. One would notice by slots that
-// stay free while requests are refused; so free slots raise the aim above the
-// measured capacity, fast.
-func (l *levels) steer(m measure, idleBelow float64) {
+// After a slowdown, requests that started during it still finish with long service
+// times and make the target look slow, so that requests would be refused while slots
+// are free. Free slots therefore raise the factor quickly above the measured
+// capacity.
+func (l *levels) adjustCapacityFactor(m windowStats, idleBelow float64) {
 	switch {
-	case m.standing && l.active:
-		l.aim = max(minAim, l.lowered()*aimDown)
-	case m.standing:
+	case m.standingQueue && l.active:
+		l.capacityFactor = max(minCapacityFactor, l.decreaseBase()*factorDecay)
+	case m.standingQueue:
 		l.active = true
-	case m.used < idleBelow:
-		l.aim = min(maxAim, l.aim*min(aimJump, idleBelow/max(m.used, minUsed)))
-	case m.used < busyBelow:
-		l.aim = min(max(l.aim, highAim), l.aim+aimUp)
+	case m.utilization < idleBelow:
+		l.capacityFactor = min(maxCapacityFactor, l.capacityFactor*min(maxFactorGrowth, idleBelow/max(m.utilization, minUtilization)))
+	case m.utilization < busyUtilization:
+		l.capacityFactor = min(max(l.capacityFactor, raisedFactor), l.capacityFactor+factorStep)
 	}
 }
 
-// minUsed keeps an unused gate from dividing by 0.
-// lowered returns the aim to go down from: one that was raised far above the
-// measured capacity has done its work once a queue stands again.
-func (l *levels) lowered() float64 {
-	if l.aim > highAim {
+// decreaseBase returns the value from which the factor decreases. A factor raised
+// well above 1 is no longer needed once a queue persists again, so the decrease
+// starts at 1.
+func (l *levels) decreaseBase() float64 {
+	if l.capacityFactor > raisedFactor {
 		return 1
 	}
-	return l.aim
+	return l.capacityFactor
 }
 
-const minUsed = 0.01
+const minUtilization = 0.01 // avoids a division by 0 while the gate is idle
 
-// divide splits the capacity among tenants and cuts each one's demand to its
-// part. It reports whether a level is above 0.
-func (l *levels) divide(m measure, ledger *share.Ledger) bool {
+// divideCapacity divides the capacity among tenants and sets each tenant's level so
+// that its demand fits its allocation. It reports whether any level is above 0.
+func (l *levels) divideCapacity(m windowStats, ledger *share.Ledger) bool {
 	if m.service <= 0 {
-		return true // nothing has come back yet, so nothing is known
+		return true // no request has completed yet, so capacity is unknown
 	}
-	capacity := m.limit * l.aim / m.service
-	l.weights, l.demands, l.parts = l.weights[:0], l.demands[:0], l.parts[:0]
+	capacity := m.limit * l.capacityFactor / m.service
+	l.weights, l.demands, l.allocations = l.weights[:0], l.demands[:0], l.allocations[:0]
 	for i, t := range l.tenants {
 		l.weights = append(l.weights, ledger.Weight(i))
 		l.demands = append(l.demands, t.total())
-		l.parts = append(l.parts, 0)
+		l.allocations = append(l.allocations, 0)
 	}
-	share.Divide(capacity, l.weights, l.demands, l.parts)
+	share.Divide(capacity, l.weights, l.demands, l.allocations)
 	above := false
 	for i, t := range l.tenants {
 		if t != nil {
-			t.level = t.demand.cut(l.parts[i])
+			t.level = t.demand.levelFor(l.allocations[i])
 			above = above || t.level > 0
 		}
 	}
 	return above
 }
 
-// publish remembers the levels for deep work and reports whether one has risen.
-func (l *levels) publish(active bool) bool {
+// recordLevels stores the levels for the grace period of nested calls and reports
+// whether a level has risen.
+func (l *levels) recordLevels(active bool) bool {
 	if !active {
-		l.active, l.aim = false, 1
+		l.active, l.capacityFactor = false, 1
 	}
 	rose := false
 	last := l.window % graceWindows
@@ -178,7 +184,7 @@
 	return rose
 }
 
-// total returns the demand of all tenants, in mean requests per second.
+// total returns the demand of all tenants in mean requests per second.
 func (l *levels) total() float64 {
 	sum := 0.0
 	for _, t := range l.tenants {
--- a/internal/core/admission/model_test.go
+++ b/internal/core/admission/model_test.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/status"
 )
 
-// op is one event of a generated history.
+// op is one operation of a generated history.
 type op struct {
 	kind     int // arrive, finish, cancel, tick
 	after    time.Duration
@@ -40,7 +40,7 @@
 	}), 1, 300)
 }
 
-// model is what must be true of a gate, whatever it decides.
+// model checks invariants of a gate that hold for every decision.
 type model struct {
 	t       *rapid.T
 	gate    *Gate
@@ -102,7 +102,7 @@
 	}
 	m.settle(out)
 	if _, ok := m.queued[t]; ok {
-		m.t.Fatalf("canceled %d still waits", t)
+		m.t.Fatalf("canceled ticket %d is still queued", t)
 	}
 }
 
@@ -110,7 +110,7 @@
 	for _, act := range out {
 		a, ok := m.queued[act.Ticket]
 		if !ok || act.Verdict == Queue {
-			m.t.Fatalf("action %+v for a ticket that doesn't wait", act)
+			m.t.Fatalf("action %+v for a ticket that isn't queued", act)
 		}
 		delete(m.queued, act.Ticket)
 		m.log = append(m.log, act)
@@ -118,7 +118,7 @@
 	}
 }
 
-// decide takes in a final decision.
+// decide records a final decision and checks it.
 func (m *model) decide(a Arrival, d Decision) {
 	m.final[a.Ticket]++
 	if m.final[a.Ticket] > 1 {
@@ -126,7 +126,7 @@
 	}
 	if d.Verdict == Refuse {
 		if d.Reason == "" || d.RetryAfter < time.Second {
-			m.t.Fatalf("refusal without reason or advice: %+v", d)
+			m.t.Fatalf("refusal without reason or retry delay: %+v", d)
 		}
 		return
 	}
@@ -138,8 +138,8 @@
 		m.t.Fatalf("admitted past its deadline: %+v", a)
 	}
 	for _, w := range m.queued {
-		if w.Tenant == a.Tenant && keyOf(w.Priority, w.Deep) > keyOf(a.Priority, a.Deep) {
-			m.t.Fatalf("admitted %+v while %+v waits", a, w)
+		if w.Tenant == a.Tenant && queueKey(w.Priority, w.Deep) > queueKey(a.Priority, a.Deep) {
+			m.t.Fatalf("admitted %+v while %+v is queued", a, w)
 		}
 	}
 }
@@ -150,17 +150,18 @@
 		m.t.Fatalf("gate counts %d running, %d queued; model %d, %d", s.Running, s.Queued, len(m.running), len(m.queued))
 	}
 	if s.Queued > 0 && s.Running < s.Limit {
-		m.t.Fatalf("%d wait beside a free slot (%d of %d)", s.Queued, s.Running, s.Limit)
+		m.t.Fatalf("%d queued while a slot is free (%d of %d running)", s.Queued, s.Running, s.Limit)
 	}
 	for _, a := range m.queued {
 		if a.Deadline != 0 && a.Deadline < m.now {
-			m.t.Fatalf("%+v waits past its deadline", a)
+			m.t.Fatalf("%+v is queued past its deadline", a)
 		}
 	}
 }
 
-// end drains the gate: every arrival has had exactly one final decision.
-func (m *model) end() {
+// drainAndCheck drains the gate and checks that every arrival had exactly one final
+// decision.
+func (m *model) drainAndCheck() {
 	out := m.gate.Drain(m.now, nil)
 	for _, a := range out {
 		if a.Reason != status.CodeDraining && a.Verdict != Admit && a.Reason != status.CodeOverloaded {
@@ -179,18 +180,18 @@
 	}
 }
 
-func TestAnyHistory(t *testing.T) {
+func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
 		m := newModel(t, slots)
 		for _, o := range ops().Draw(t, "ops") {
 			m.apply(o)
 		}
-		m.end()
+		m.drainAndCheck()
 	})
 }
 
-func TestSameSeedSameDecisions(t *testing.T) {
+func TestDecisionsAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := ops().Draw(t, "ops")
 		var logs [2][]Action
--- a/internal/core/admission/overload_test.go
+++ b/internal/core/admission/overload_test.go
@@ -11,7 +11,7 @@
 	"peardrift/internal/core/request"
 )
 
-// The times of every case: normal load, then the trigger, then normal load.
+// Every case runs normal load, the trigger, then normal load again.
 const (
 	triggerStart = 3 * time.Second
 	triggerEnd   = 8 * time.Second
@@ -19,10 +19,11 @@
 	simSeeds     = 4
 )
 
-// most is the most important class of mix, 3 % of the requests.
-const most = 90
+// topImportance is the importance of the highest class of drawClass, 3% of the
+// requests.
+const topImportance = 90
 
-func mix(r *rand.Rand) (request.Importance, uint16) {
+func drawClass(r *rand.Rand) (request.Importance, uint16) {
 	switch x := r.Float64(); {
 	case x < 0.70:
 		return 10, 0
@@ -31,16 +32,16 @@
 	case x < 0.97:
 		return 70, 0
 	default:
-		return most, 0
+		return topImportance, 0
 	}
 }
 
-// trigger is a load of 0.7 of the capacity that becomes surge times the
-// capacity, or makes service slow, for a while.
+// trigger returns a load of 0.7 of the capacity that, between triggerStart and
+// triggerEnd, changes to surge times the capacity and the service time slow.
 func trigger(slots int, service time.Duration, surge float64, slow time.Duration) func(time.Duration) load {
 	capacity := float64(slots) / service.Seconds()
 	return func(now time.Duration) load {
-		l := load{rate: 0.7 * capacity, service: service, slots: slots, deadline: time.Second, class: mix}
+		l := load{rate: 0.7 * capacity, service: service, slots: slots, deadline: time.Second, class: drawClass}
 		if now >= triggerStart && now < triggerEnd {
 			l.rate, l.service = surge*capacity, slow
 		}
@@ -48,40 +49,40 @@
 	}
 }
 
-// result is what one run of a case shows.
+// result summarizes one run of a case.
 type result struct {
-	surge    float64       // goodput from 1 s into the trigger, as a part of what slots allow
-	most     float64       // part of the most important that completed, whole trigger
-	useless  float64       // part of what ran that ran too late
-	late     float64       // part of what reached the gate that it refused
-	held     time.Duration // mean time that those had waited
-	recovery time.Duration // from the trigger's end to 95 % of normal goodput for 500 ms
-	level    time.Duration // from the trigger's end to level 0
+	surge        float64       // goodput from 1 s into the trigger, as a fraction of capacity
+	topCompleted float64       // fraction of topImportance that completed, whole trigger
+	useless      float64       // fraction of executed requests that missed the deadline
+	refusedLate  float64       // fraction of requests refused by the gate, not by callers
+	waited       time.Duration // mean wait before refusal by the gate
+	recovery     time.Duration // from the trigger's end to 95% of normal goodput for 500 ms
+	level        time.Duration // from the trigger's end to level 0
 }
 
 func newSim(slots int, seed uint64, callersKnow bool, retries int, f func(time.Duration) load) *sim {
 	cfg := DefaultConfig()
 	cfg.Slots = slots
 	return &sim{
-		gate:        New(cfg, rand.New(rand.NewPCG(seed, 9))),
-		rng:         rand.New(rand.NewPCG(seed, 7)),
-		load:        f,
-		callersKnow: callersKnow,
-		retries:     retries,
+		gate:             New(cfg, rand.New(rand.NewPCG(seed, 9))),
+		rng:              rand.New(rand.NewPCG(seed, 7)),
+		load:             f,
+		callersKnowLevel: callersKnow,
+		retries:          retries,
 	}
 }
 
-func (s *sim) sum(from, to time.Duration) slice {
-	var sum slice
-	for _, v := range s.slices[from/sliceLength : to/sliceLength] {
+func (s *sim) sum(from, to time.Duration) interval {
+	var sum interval
+	for _, v := range s.intervals[from/intervalLength : to/intervalLength] {
 		sum.done += v.done
-		sum.good += v.good
+		sum.inTime += v.inTime
 		sum.reached += v.reached
 		sum.refused += v.refused
-		sum.held += v.held
-		for i := range v.ran {
-			sum.ran[i] += v.ran[i]
-			sum.turned[i] += v.turned[i]
+		sum.waited += v.waited
+		for i := range v.completedBy {
+			sum.completedBy[i] += v.completedBy[i]
+			sum.refusedBy[i] += v.refusedBy[i]
 		}
 		for i := range v.tenants {
 			sum.tenants[i] += v.tenants[i]
@@ -96,30 +97,30 @@
 	late := s.sum(triggerStart+time.Second, triggerEnd)
 	slots := float64(l.slots) / l.service.Seconds() * (triggerEnd - triggerStart - time.Second).Seconds()
 	r := result{
-		surge:   float64(late.good) / slots,
-		most:    float64(whole.ran[most]) / float64(whole.ran[most]+whole.turned[most]),
-		useless: 1 - float64(whole.good)/float64(whole.done),
-		late:    float64(whole.refused) / float64(whole.reached),
-		held:    whole.held / time.Duration(max(1, whole.refused)),
+		surge:        float64(late.inTime) / slots,
+		topCompleted: float64(whole.completedBy[topImportance]) / float64(whole.completedBy[topImportance]+whole.refusedBy[topImportance]),
+		useless:      1 - float64(whole.inTime)/float64(whole.done),
+		refusedLate:  float64(whole.refused) / float64(whole.reached),
+		waited:       whole.waited / time.Duration(max(1, whole.refused)),
 	}
 	const hold = 500 * time.Millisecond
 	normal := s.load(0).rate * hold.Seconds()
-	r.recovery = s.after(func(at time.Duration) bool { return float64(s.sum(at, at+hold).good) >= 0.95*normal })
-	r.level = s.after(func(at time.Duration) bool { return s.slices[at/sliceLength].level == 0 })
+	r.recovery = s.after(func(at time.Duration) bool { return float64(s.sum(at, at+hold).inTime) >= 0.95*normal })
+	r.level = s.after(func(at time.Duration) bool { return s.intervals[at/intervalLength].level == 0 })
 	return r
 }
 
-// after returns how long after the trigger's end f first holds.
+// after returns the time from the trigger's end until f first holds.
 func (s *sim) after(f func(time.Duration) bool) time.Duration {
 	at := triggerEnd
 	for at < simEnd-time.Second && !f(at) {
-		at += sliceLength
+		at += intervalLength
 	}
 	return at - triggerEnd
 }
 
-// TestOverload holds the gate, in front of a single target, to what issue 4
-// asks of whole chains. The figures are means over seeds.
+// TestOverload checks a single gate and target against the requirements for whole
+// call chains. Figures are means over seeds.
 func TestOverload(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -135,13 +136,13 @@
 		{"media, twice the demand", 190, 3, trigger(190, 100*ms, 2, 100*ms), 0.95},
 		{"evidencebox, ten times slower", 300, 3, trigger(300, 20*ms, 0.7, 200*ms), 0.95},
 	} {
-		for _, know := range []bool{false, true} {
+		for _, callersKnow := range []bool{false, true} {
 			is := is.New(t)
 			var runs [simSeeds]result
 			var wg sync.WaitGroup
 			for i := range runs {
 				wg.Go(func() {
-					s := newSim(c.slots, uint64(i+1), know, c.retries, c.load)
+					s := newSim(c.slots, uint64(i+1), callersKnow, c.retries, c.load)
 					s.run(simEnd)
 					runs[i] = s.result()
 				})
@@ -151,17 +152,17 @@
 			for _, r := range runs {
 				low = min(low, r.surge)
 				m.surge += r.surge / simSeeds
-				m.most += r.most / simSeeds
+				m.topCompleted += r.topCompleted / simSeeds
 				m.useless += r.useless / simSeeds
-				m.late += r.late / simSeeds
-				m.held += r.held / simSeeds
+				m.refusedLate += r.refusedLate / simSeeds
+				m.waited += r.waited / simSeeds
 				m.recovery = max(m.recovery, r.recovery)
 				m.level = max(m.level, r.level)
 			}
 			t.Logf("%-36s callers know %-5v goodput %.3f (least %.3f) most important %.3f useless %.3f late refusals %.3f held %v recovery <= %v level 0 <= %v",
-				c.name, know, m.surge, low, m.most, m.useless, m.late, m.held.Round(ms/10), m.recovery, m.level)
+				c.name, callersKnow, m.surge, low, m.topCompleted, m.useless, m.refusedLate, m.waited.Round(ms/10), m.recovery, m.level)
 			is.True(m.surge >= c.surge)
-			is.True(m.most >= 0.99)
+			is.True(m.topCompleted >= 0.99)
 			is.True(m.useless <= 0.03)
 			is.True(m.recovery <= 2*time.Second)
 			is.True(m.level <= 2*time.Second)
@@ -169,11 +170,10 @@
 	}
 }
 
-// Symptom: one tenant's users are refused while another's batch runs. Events:
-// tenant 0 floods with three times the capacity, all declared most important;
-// tenant 1 keeps asking for three tenths of it, all least important. Cause: one
-// order of importance over both tenants.
-func TestGreedyTenantDoesNotStarveTheOther(t *testing.T) {
+// Guards against ordering requests by importance across tenants. Tenant 0 floods
+// with three times the capacity, all declared most important; tenant 1 asks for
+// three tenths of the capacity, all least important, and must not be refused.
+func TestFloodingTenantDoesNotStarveOthers(t *testing.T) {
 	is := is.New(t)
 	const slots, service = 130, 20 * ms
 	capacity := slots / service.Seconds()
@@ -188,7 +188,7 @@
 			if r.Float64() < 0.3/3.3 {
 				return 10, 1
 			}
-			return most, 0
+			return topImportance, 0
 		}
 		return l
 	}
@@ -198,25 +198,24 @@
 		during := s.sum(triggerStart, triggerEnd)
 		seconds := (triggerEnd - triggerStart).Seconds()
 		small := float64(during.tenants[1]) / (0.3 * capacity * seconds)
-		total := float64(during.good) / (capacity * seconds)
-		t.Logf("seed %d: small tenant %.3f of its demand, both %.3f of the capacity, %d refused", seed, small, total, during.turned[10])
-		is.True(small > 0.97) // the flood takes nothing from within its share
-		is.True(total > 0.93) // and has the rest
+		total := float64(during.inTime) / (capacity * seconds)
+		t.Logf("seed %d: small tenant %.3f of its demand, both %.3f of the capacity, %d refused", seed, small, total, during.refusedBy[10])
+		is.True(small > 0.97) // the flood does not reduce the other tenant's share
+		is.True(total > 0.93) // the flood gets the rest
 	}
 }
 
-// Symptom: a service stays down after the store behind it is back. Events:
-// requests take 5 s for 5 s, all are canceled at their deadline of 1 s, then the
-// target is fast again. Cause: estimates from the stall, and no request that
-// could correct them.
-func TestStallEnds(t *testing.T) {
+// Guards against estimates from a stall that no request can correct. Requests take
+// 5 s for 5 s and are canceled at their 1 s deadline; once the target is fast again,
+// the gate must recover.
+func TestRecoveryAfterStall(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(simSeeds) {
-		for _, know := range []bool{false, true} {
-			s := newSim(130, seed, know, 3, trigger(130, 20*ms, 0.7, 5*time.Second))
+		for _, callersKnow := range []bool{false, true} {
+			s := newSim(130, seed, callersKnow, 3, trigger(130, 20*ms, 0.7, 5*time.Second))
 			s.run(simEnd)
 			r := s.result()
-			t.Logf("seed %d, callers know %v: recovery %v, level 0 after %v", seed, know, r.recovery, r.level)
+			t.Logf("seed %d, callers know %v: recovery %v, level 0 after %v", seed, callersKnow, r.recovery, r.level)
 			is.True(r.recovery <= 1500*ms)
 			is.True(r.level <= 1500*ms)
 		}
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -7,72 +7,72 @@
 	"peardrift/internal/core/share"
 )
 
-// The orders in which queued entries are kept.
+// The heaps in which queued entries are kept.
 const (
-	bestFirst   = iota // of a tenant: the next to run
-	worstFirst         // of a tenant: the next to be pushed out
-	expiryFirst        // of all: the next that can no longer finish
-	orders
+	bestFirst   = iota // per tenant: next to run
+	worstFirst         // per tenant: next to evict
+	expiryFirst        // all tenants: next to expire
+	numOrders
 )
 
-// order is a heap of entry indices. Its entries know their places in it, so
-// that any one can be removed.
-type order struct {
+// entryHeap is a heap of entry indices. Each entry stores its index in the heap, so
+// that any entry can be removed.
+type entryHeap struct {
 	pool *pool
-	by   int
+	kind int
 	idx  []int
 }
 
-func (o *order) Len() int { return len(o.idx) }
+func (o *entryHeap) Len() int { return len(o.idx) }
 
-func (o *order) Less(i, j int) bool {
+func (o *entryHeap) Less(i, j int) bool {
 	a, b := &o.pool.entries[o.idx[i]], &o.pool.entries[o.idx[j]]
-	switch o.by {
+	switch o.kind {
 	case bestFirst:
-		return before(a, b)
+		return runsBefore(a, b)
 	case worstFirst:
-		return before(b, a)
+		return runsBefore(b, a)
 	default:
-		return a.latest < b.latest || a.latest == b.latest && a.seq < b.seq
+		return a.latestStart < b.latestStart || a.latestStart == b.latestStart && a.seq < b.seq
 	}
 }
 
-// before reports whether a runs before b.
-func before(a, b *entry) bool {
+// runsBefore reports whether a runs before b.
+func runsBefore(a, b *entry) bool {
 	return a.key > b.key || a.key == b.key && a.seq < b.seq
 }
 
-func (o *order) Swap(i, j int) {
+func (o *entryHeap) Swap(i, j int) {
 	o.idx[i], o.idx[j] = o.idx[j], o.idx[i]
-	o.pool.entries[o.idx[i]].place[o.by] = i
-	o.pool.entries[o.idx[j]].place[o.by] = j
+	o.pool.entries[o.idx[i]].heapIndex[o.kind] = i
+	o.pool.entries[o.idx[j]].heapIndex[o.kind] = j
 }
 
 // Push implements heap.Interface; x is the index of an entry.
-func (o *order) Push(x any) { o.append(x.(int)) }
+func (o *entryHeap) Push(x any) { o.append(x.(int)) }
 
 // Pop implements heap.Interface.
-func (o *order) Pop() any {
+func (o *entryHeap) Pop() any {
 	last := len(o.idx) - 1
 	i := o.idx[last]
 	o.idx = o.idx[:last]
 	return i
 }
 
-func (o *order) append(i int) {
-	o.pool.entries[i].place[o.by] = len(o.idx)
+func (o *entryHeap) append(i int) {
+	o.pool.entries[i].heapIndex[o.kind] = len(o.idx)
 	o.idx = append(o.idx, i)
 }
 
 // insert is heap.Push without boxing the index, which would allocate.
-func (o *order) insert(i int) {
+func (o *entryHeap) insert(i int) {
 	o.append(i)
 	heap.Fix(o, len(o.idx)-1)
 }
 
 // drop is heap.Remove without boxing the index.
-func (o *order) drop(i int) {
-	at, last := o.pool.entries[i].place[o.by], len(o.idx)-1
+func (o *entryHeap) drop(i int) {
+	at, last := o.pool.entries[i].heapIndex[o.kind], len(o.idx)-1
 	if at != last {
 		o.Swap(at, last)
 	}
@@ -82,81 +82,81 @@
 	}
 }
 
-// line is the queue of one tenant.
-type line struct {
-	best, worst order
-	work        [importances]time.Duration // expected service time waiting, by importance
+// tenantQueue holds the queued requests of one tenant.
+type tenantQueue struct {
+	best, worst entryHeap
+	backlog     [importances]time.Duration // expected service time of queued requests, by importance
 }
 
-// queue holds the waiting requests of all tenants.
+// queue holds the queued requests of all tenants.
 type queue struct {
-	pool   *pool
-	ledger *share.Ledger
-	lines  []*line // by tenant; nil: none has waited yet
-	expiry order
-	work   time.Duration // expected service time of all that wait
+	pool    *pool
+	ledger  *share.Ledger
+	tenants []*tenantQueue // by tenant; nil: nothing queued yet
+	expiry  entryHeap
+	backlog time.Duration // expected service time of all queued requests
 }
 
 func newQueue(p *pool, l *share.Ledger) *queue {
-	return &queue{pool: p, ledger: l, expiry: order{pool: p, by: expiryFirst}}
+	return &queue{pool: p, ledger: l, expiry: entryHeap{pool: p, kind: expiryFirst}}
 }
 
 func (q *queue) len() int { return len(q.expiry.idx) }
 
-func (q *queue) line(tenant int) *line {
-	for len(q.lines) <= tenant {
-		q.lines = append(q.lines, nil)
+func (q *queue) tenantQueue(tenant int) *tenantQueue {
+	for len(q.tenants) <= tenant {
+		q.tenants = append(q.tenants, nil)
 	}
-	if q.lines[tenant] == nil {
-		q.lines[tenant] = &line{
-			best:  order{pool: q.pool, by: bestFirst},
-			worst: order{pool: q.pool, by: worstFirst},
+	if q.tenants[tenant] == nil {
+		q.tenants[tenant] = &tenantQueue{
+			best:  entryHeap{pool: q.pool, kind: bestFirst},
+			worst: entryHeap{pool: q.pool, kind: worstFirst},
 		}
 	}
-	return q.lines[tenant]
+	return q.tenants[tenant]
 }
 
 func (q *queue) insert(i int) {
 	e := &q.pool.entries[i]
-	ln := q.line(e.tenant)
+	ln := q.tenantQueue(e.tenant)
 	ln.best.insert(i)
 	ln.worst.insert(i)
 	q.expiry.insert(i)
-	ln.work[e.importance()] += e.expected
-	q.work += e.expected
+	ln.backlog[e.importance()] += e.expected
+	q.backlog += e.expected
 	q.ledger.Wait(e.tenant)
 }
 
 func (q *queue) drop(i int) {
 	e := &q.pool.entries[i]
-	ln := q.lines[e.tenant]
+	ln := q.tenants[e.tenant]
 	ln.best.drop(i)
 	ln.worst.drop(i)
 	q.expiry.drop(i)
-	ln.work[e.importance()] -= e.expected
-	q.work -= e.expected
+	ln.backlog[e.importance()] -= e.expected
+	q.backlog -= e.expected
 	q.ledger.Leave(e.tenant)
 }
 
-// next returns the entry that a free slot goes to.
+// next returns the entry that gets the next free slot.
 func (q *queue) next() int {
 	t, _ := q.ledger.Next()
-	return q.lines[t].best.idx[0]
+	return q.tenants[t].best.idx[0]
 }
 
-// ahead returns the expected service time of a tenant's entries that run before
-// one of the given key. Entries of the same importance count in proportion to
-// the hash, which is spread evenly.
-func (q *queue) ahead(tenant int, imp int, key uint64) time.Duration {
-	ln := q.line(tenant)
+// workAhead returns the expected service time of a tenant's entries that run before
+// a given key. Entries of the same importance count in proportion to the hash, which
+// is uniformly distributed.
+func (q *queue) workAhead(tenant int, imp int, key uint64) time.Duration {
+	ln := q.tenantQueue(tenant)
 	if len(ln.best.idx) == 0 || q.pool.entries[ln.best.idx[0]].key < key {
 		return 0
 	}
 	var sum time.Duration
 	for i := importances - 1; i > imp; i-- {
-		sum += ln.work[i]
+		sum += ln.backlog[i]
 	}
 	const span = 1 << 17 // keys of one importance
 	above := span - 1 - key%span
-	return sum + time.Duration(float64(ln.work[imp])*float64(above)/span)
+	return sum + time.Duration(float64(ln.backlog[imp])*float64(above)/span)
 }
--- a/internal/core/admission/refuse.go
+++ b/internal/core/admission/refuse.go
@@ -6,14 +6,14 @@
 	"peardrift/internal/status"
 )
 
-// maxPressure bounds how much demand over capacity lengthens the advice.
-const maxPressure = 10
+// maxLoadFactor bounds the load factor that scales the retry delay.
+const maxLoadFactor = 10
 
-// refuse returns a refusal with advice on when to come back. The advice grows
-// with demand, so that those who come back find room, and is spread over as
-// much time again, so that they don't come back together.
+// refuse returns a refusal with a retry delay. The delay grows with demand, so that
+// returning callers find capacity, and has up to 100% jitter, so that they do not
+// return all at once.
 func (g *Gate) refuse(why status.Code) Decision {
-	after := float64(g.cfg.RetryAfter) * g.pressure() * (1 + g.rng.Float64())
+	after := float64(g.cfg.RetryAfter) * g.loadFactor() * (1 + g.rng.Float64())
 	return Decision{
 		Verdict:    Refuse,
 		Reason:     why,
@@ -21,16 +21,16 @@
 	}
 }
 
-// pressure returns demand over capacity, from 1 to maxPressure.
-func (g *Gate) pressure() float64 {
+// loadFactor returns the ratio of demand to capacity, from 1 to maxLoadFactor.
+func (g *Gate) loadFactor() float64 {
 	p := g.demand() / float64(g.limiter.Limit())
-	return min(maxPressure, max(1, p))
+	return min(maxLoadFactor, max(1, p))
 }
 
-// overReason tells a tenant that is over its share from one that is refused for
-// lack of capacity alone. A tenant that alone asks has all slots as its share,
-// and holds more for a moment when the limit falls.
-func (g *Gate) overReason(tenant int) status.Code {
+// overloadReason distinguishes a tenant that exceeds its share from one that is
+// refused only for lack of capacity. A tenant without competitors has all slots as
+// its share, and briefly holds more when the limit falls.
+func (g *Gate) overloadReason(tenant int) status.Code {
 	if g.ledger.Alone(tenant) {
 		return status.CodeOverloaded
 	}
--- a/internal/core/admission/service.go
+++ b/internal/core/admission/service.go
@@ -6,109 +6,109 @@
 	"peardrift/internal/core/request"
 )
 
-// importances is the number of values an importance takes.
+// importances is the number of importance values.
 const importances = int(request.MaxImportance) + 1
 
-// Weights of a new sample. The mean is slow, for precise levels; it follows a
-// change of the target because it jumps to a fast mean that leaves it behind.
+// Weights of a new sample. The mean moves slowly, for precise levels; to follow a
+// change of the target, it jumps to the fast mean once the two diverge.
 const (
 	slowWeight  = 1.0 / 128
 	fastWeight  = 1.0 / 16
 	ratioWeight = 1.0 / 64
-	jump        = 1.5 // ratio of the two means, either way, that is no chance
+	jumpRatio   = 1.5 // ratio of the two means, in either direction, beyond random variation
 )
 
-// service estimates how long a request runs in the target.
+// serviceTimes estimates how long a request runs in the target.
 //
-// An estimate is a mean common to all importances times a ratio of the
-// importance's own. When the target slows down or recovers, the frequent
-// importances move the mean, and with it the estimates of the rare ones. With
-// separate means a rare importance would keep the estimate from a bad time: its
-// requests would be refused as unable to finish and never measured again.
+// An estimate is the mean over all importances times a ratio for the request's
+// importance. When the target slows down or recovers, frequent importances move the
+// mean and thereby the estimates of rare ones. With separate means, a rare
+// importance would keep an estimate from a slowdown: its requests would be refused
+// as unable to finish and never be measured again.
 //
-// A sample counts in the mean divided by its importance's ratio, so that a
-// changed mix leaves the mean where it is. Symptom otherwise: as soon as a level
-// refuses the short requests, the long ones that are left raise the mean, the
-// capacity counted in mean requests falls, and the level rises into them too.
-type service struct {
-	mean    float64 // seconds; 0 before the first sample
-	fast    float64 // seconds
-	n       int     // samples in mean
-	ratio   [importances]float64
-	samples [importances]int
-	running [importances]int
+// A sample is divided by its importance's ratio before it enters the mean, so that a
+// changed mix leaves the mean unchanged. Otherwise, once a level refuses the short
+// requests, the remaining long ones would raise the mean, lower the capacity counted
+// in mean requests, and so raise the level into the long ones too.
+type serviceTimes struct {
+	mean        float64 // seconds; 0 before the first sample
+	fastMean    float64 // seconds
+	meanSamples int     // in mean
+	ratio       [importances]float64
+	samples     [importances]int
+	running     [importances]int
 
-	// Sums over the running requests for slowdown. The sum of start instants
-	// may wrap around; the difference that is taken from it does not.
-	inFlight int
-	started  time.Duration
-	expected time.Duration
+	// Sums over the running requests, for slowdown. The sum of start instants may
+	// overflow; the difference computed from it does not.
+	inFlight    int
+	startSum    time.Duration
+	expectedSum time.Duration
 }
 
-func (s *service) estimate(imp int) time.Duration {
+func (s *serviceTimes) estimate(imp int) time.Duration {
 	return time.Duration(s.mean * s.factor(imp) * float64(time.Second))
 }
 
-// factor returns the importance's ratio to the mean. The first samples average
-// with a ratio of 1, so that a single odd one doesn't decide.
-func (s *service) factor(imp int) float64 {
+// factor returns the ratio of an importance to the mean. The first samples are
+// averaged with a ratio of 1, so that a single outlier does not dominate.
+func (s *serviceTimes) factor(imp int) float64 {
 	if s.samples[imp] == 0 {
 		return 1
 	}
 	return s.ratio[imp]
 }
 
-func (s *service) start(e *entry) {
+func (s *serviceTimes) start(e *entry) {
 	s.running[e.importance()]++
 	s.inFlight++
-	s.started += e.started
-	s.expected += e.expected
+	s.startSum += e.started
+	s.expectedSum += e.expected
 }
 
-func (s *service) end(e *entry) {
+func (s *serviceTimes) end(e *entry) {
 	s.running[e.importance()]--
 	s.inFlight--
-	s.started -= e.started
-	s.expected -= e.expected
+	s.startSum -= e.started
+	s.expectedSum -= e.expected
 }
 
-// learn takes in a service time. One that was cut short (whole is false) counts
-// only if it was already longer than expected.
-func (s *service) learn(imp int, took time.Duration, whole bool) {
+// observe records a service time. A time cut short (whole is false) counts only if
+// it already exceeds the expected time.
+func (s *serviceTimes) observe(imp int, took time.Duration, whole bool) {
 	x := took.Seconds()
 	if !whole && x <= s.mean*s.factor(imp) || x <= 0 {
 		return
 	}
 	if s.mean == 0 {
-		s.mean, s.fast, s.n = x, x, 1
+		s.mean, s.fastMean, s.meanSamples = x, x, 1
 		return
 	}
 	f := s.factor(imp)
 	s.samples[imp]++
 	s.ratio[imp] = f + max(ratioWeight, 1/float64(1+s.samples[imp]))*(x/s.mean-f)
-	s.n++
+	s.meanSamples++
 	pace := x / f
-	s.mean += max(slowWeight, 1/float64(s.n)) * (pace - s.mean)
-	s.fast += max(fastWeight, 1/float64(s.n)) * (pace - s.fast)
-	if s.fast > jump*s.mean || s.fast < s.mean/jump {
-		s.mean, s.n = s.fast, int(1/fastWeight)
+	s.mean += max(slowWeight, 1/float64(s.meanSamples)) * (pace - s.mean)
+	s.fastMean += max(fastWeight, 1/float64(s.meanSamples)) * (pace - s.fastMean)
+	if s.fastMean > jumpRatio*s.mean || s.fastMean < s.mean/jumpRatio {
+		s.mean, s.meanSamples = s.fastMean, int(1/fastWeight)
 	}
 }
 
-// scale takes in that requests will take another time, as a ratio.
-func (s *service) scale(by float64) {
+// scale multiplies the expected service times by a ratio.
+func (s *serviceTimes) scale(by float64) {
 	s.mean *= by
-	s.fast *= by
+	s.fastMean *= by
 }
 
-// slowdown returns by how much the running requests outlast expectation, at
-// least 1. It notices a target that stands still, from which no service times
-// come. Requests in flight are on average no older than about their expected
-// service time, a little more with a long tail; twice that is a slowdown.
-func (s *service) slowdown(now time.Duration) float64 {
-	if s.inFlight == 0 || s.expected <= 0 {
+// slowdown returns the ratio by which running requests exceed their expected time,
+// at least 1. It detects a stalled target, which yields no service times. The mean
+// age of requests in flight is at most about their expected service time, slightly
+// more with a long tail; twice that is a slowdown.
+func (s *serviceTimes) slowdown(now time.Duration) float64 {
+	if s.inFlight == 0 || s.expectedSum <= 0 {
 		return 1
 	}
-	age := time.Duration(s.inFlight)*now - s.started
-	return max(1, age.Seconds()/(2*s.expected.Seconds()))
+	age := time.Duration(s.inFlight)*now - s.startSum
+	return max(1, age.Seconds()/(2*s.expectedSum.Seconds()))
 }
--- a/internal/core/admission/sim_test.go
+++ b/internal/core/admission/sim_test.go
@@ -9,52 +9,53 @@
 	"peardrift/internal/status"
 )
 
-// sim drives a gate under virtual time: Poisson arrivals, a target with real
-// slots that queues inside itself, in order of arrival, what is above them,
-// and callers that may know the level.
+// sim drives a gate under virtual time. It models Poisson arrivals, a target that
+// queues requests beyond its real slots in arrival order, and callers that may know
+// the level.
 type sim struct {
 	gate *Gate
 	rng  *rand.Rand
 	load func(now time.Duration) load
-	// callersKnow: requests below the level of lag ago don't reach the gate.
-	callersKnow bool
-	retries     int // of a refused request, each with a new identity
-
-	events  events
-	now     time.Duration
-	id      Ticket
-	calls   map[Ticket]*call
-	levels  []request.Level // one each lag
-	inside  []Ticket        // in the target, waiting for a real slot
-	working int
-	out     []Action
-	slices  []slice
-}
-
-// load is what the clients and the target do at one moment.
+	// callersKnowLevel drops requests below the level of lag ago before they reach
+	// the gate.
+	callersKnowLevel bool
+	retries          int // per refused request, each with a new identity
+
+	events    events
+	now       time.Duration
+	id        Ticket
+	calls     map[Ticket]*call
+	levels    []request.Level // sampled every lag
+	inTarget  []Ticket        // queued in the target for a real slot
+	working   int
+	out       []Action
+	intervals []interval
+}
+
+// load describes the clients and the target at one instant.
 type load struct {
 	rate     float64 // new requests per second
 	service  time.Duration
-	slots    int // real
+	slots    int // actual, not declared
 	deadline time.Duration
 	class    func(*rand.Rand) (request.Importance, uint16) // importance, tenant
 }
 
-// slice counts what happened in one sliceLength.
-type slice struct {
-	done, good  int           // left the target; in time
-	reached     int           // the gate
-	refused     int           // by the gate
-	held        time.Duration // that refused ones waited
-	ran, turned [importances]int
-	tenants     [2]int
-	level       request.Level
+// interval counts the events of one intervalLength.
+type interval struct {
+	done, inTime           int           // left the target; within the deadline
+	reached                int           // arrived at the gate
+	refused                int           // refused by the gate
+	waited                 time.Duration // total wait of requests that were refused
+	completedBy, refusedBy [importances]int
+	tenants                [2]int
+	level                  request.Level
 }
 
 const (
-	sliceLength = 100 * time.Millisecond
-	lag         = 10 * time.Millisecond
-	retryDelay  = 50 * time.Millisecond
+	intervalLength = 100 * time.Millisecond
+	lag            = 10 * time.Millisecond
+	retryDelay     = 50 * time.Millisecond
 )
 
 type call struct {
@@ -83,11 +84,11 @@
 
 func (s *sim) in(d time.Duration, do func()) { heap.Push(&s.events, event{s.now + d, do}) }
 
-func (s *sim) slice() *slice {
-	for len(s.slices) <= int(s.now/sliceLength) {
-		s.slices = append(s.slices, slice{})
+func (s *sim) interval() *interval {
+	for len(s.intervals) <= int(s.now/intervalLength) {
+		s.intervals = append(s.intervals, interval{})
 	}
-	return &s.slices[s.now/sliceLength]
+	return &s.intervals[s.now/intervalLength]
 }
 
 func (s *sim) run(until time.Duration) {
@@ -104,7 +105,7 @@
 func (s *sim) arrivals() {
 	l := s.load(s.now)
 	imp, tenant := l.class(s.rng)
-	s.offer(imp, tenant, s.retries)
+	s.submit(imp, tenant, s.retries)
 	s.in(time.Duration(s.rng.ExpFloat64()/l.rate*float64(time.Second)), s.arrivals)
 }
 
@@ -112,22 +113,22 @@
 	s.out = s.gate.Tick(s.now, s.out[:0])
 	s.settle(s.out)
 	s.levels = append(s.levels, s.gate.Level())
-	sl := s.slice()
+	sl := s.interval()
 	sl.level = max(sl.level, s.gate.Level())
 	s.in(lag, s.ticks)
 }
 
-func (s *sim) offer(imp request.Importance, tenant uint16, retries int) {
+func (s *sim) submit(imp request.Importance, tenant uint16, retries int) {
 	s.id++
 	c := &call{at: s.now, tries: retries, Arrival: Arrival{
 		Ticket: s.id, Priority: prio(imp, uint16(s.rng.Uint32())), Tenant: tenant, Deadline: s.now + s.load(s.now).deadline,
 	}}
 	s.calls[c.Ticket] = c
-	if n := len(s.levels); s.callersKnow && n > 1 && c.Priority < s.levels[n-2] {
+	if n := len(s.levels); s.callersKnowLevel && n > 1 && c.Priority < s.levels[n-2] {
 		s.refused(c)
 		return
 	}
-	s.slice().reached++
+	s.interval().reached++
 	d, out := s.gate.Arrive(s.now, c.Arrival, s.out[:0])
 	s.out = out
 	s.settle(append(out, Action{c.Ticket, d}))
@@ -141,8 +142,8 @@
 		case Refuse:
 			if a.Reason != status.CodeCanceled {
 				c := s.calls[a.Ticket]
-				s.slice().refused++
-				s.slice().held += s.now - c.at
+				s.interval().refused++
+				s.interval().waited += s.now - c.at
 				s.refused(c)
 			}
 		}
@@ -150,23 +151,23 @@
 }
 
 func (s *sim) refused(c *call) {
-	s.slice().turned[c.Priority.Importance()]++
+	s.interval().refusedBy[c.Priority.Importance()]++
 	delete(s.calls, c.Ticket)
 	if c.tries > 0 {
-		s.in(retryDelay, func() { s.offer(c.Priority.Importance(), c.Tenant, c.tries-1) })
+		s.in(retryDelay, func() { s.submit(c.Priority.Importance(), c.Tenant, c.tries-1) })
 	}
 }
 
 func (s *sim) enter(t Ticket) {
-	s.inside = append(s.inside, t)
+	s.inTarget = append(s.inTarget, t)
 	s.work()
 }
 
 func (s *sim) work() {
 	l := s.load(s.now)
-	for s.working < l.slots && len(s.inside) > 0 {
-		t := s.inside[0]
-		s.inside = s.inside[1:]
+	for s.working < l.slots && len(s.inTarget) > 0 {
+		t := s.inTarget[0]
+		s.inTarget = s.inTarget[1:]
 		s.working++
 		took := time.Duration(s.rng.ExpFloat64() * float64(l.service))
 		s.in(took, func() { s.done(t) })
@@ -174,14 +175,14 @@
 	}
 }
 
-// cancel ends a request at its deadline, as a node does.
+// cancel abandons a request at its deadline, as a node does.
 func (s *sim) cancel(t Ticket) {
 	if _, ok := s.calls[t]; !ok {
 		return
 	}
 	delete(s.calls, t)
 	s.working--
-	s.slice().done++
+	s.interval().done++
 	s.out = s.gate.Cancel(s.now, t, s.out[:0])
 	s.settle(s.out)
 	s.work()
@@ -194,10 +195,10 @@
 	}
 	delete(s.calls, t)
 	s.working--
-	sl := s.slice()
+	sl := s.interval()
 	sl.done++
-	sl.good++
-	sl.ran[c.Priority.Importance()]++
+	sl.inTime++
+	sl.completedBy[c.Priority.Importance()]++
 	sl.tenants[c.Tenant]++
 	s.out = s.gate.Finish(s.now, t, OK, 0, s.out[:0])
 	s.settle(s.out)
--- a/internal/core/admission/stats.go
+++ b/internal/core/admission/stats.go
@@ -7,14 +7,14 @@
 	"peardrift/internal/status"
 )
 
-// Counts counts final decisions since the gate was made.
+// Counts holds the numbers of final decisions since the gate was created.
 type Counts struct {
 	Admitted       uint64
-	Overloaded     uint64 // refused: below the level, queue full or too long
-	OverShare      uint64 // refused: the tenant holds more than its share
-	DeadlineShort  uint64 // refused: could not finish even without waiting
-	Draining       uint64 // refused: the target leaves
-	CanceledQueued uint64 // refused: the caller left while it waited
+	Overloaded     uint64 // refused: below the level, queue full or wait too long
+	OverShare      uint64 // refused: the tenant exceeds its share
+	DeadlineShort  uint64 // refused: cannot finish in time even without queueing
+	Draining       uint64 // refused: the target is draining
+	CanceledQueued uint64 // refused: the caller gave up while the request was queued
 }
 
 func (c *Counts) add(d Decision) {
@@ -41,14 +41,14 @@
 // Stats is a snapshot for metrics.
 type Stats struct {
 	Counts
-	Limit    int           // requests that may run at once
-	Running  int           // requests that run
-	Queued   int           // requests that wait
+	Limit    int           // concurrency limit
+	Running  int           // running requests
+	Queued   int           // queued requests
 	Level    request.Level // the highest of the tenants' levels
-	Active   bool          // a level is being set: the gate sees overload
-	Demand   float64       // recent demand in slots, with what the level keeps away
+	Active   bool          // overload detected: levels are being set
+	Demand   float64       // recent demand in slots, including demand below the level
 	Service  time.Duration // expected service time of a request
-	Backlog  time.Duration // time that the queue takes at the present limit
+	Backlog  time.Duration // expected time to run the queue at the current limit
 	Draining bool
 }
 
@@ -62,7 +62,7 @@
 		Active:   g.levels.active,
 		Demand:   g.demand(),
 		Service:  time.Duration(g.service.mean * float64(time.Second)),
-		Backlog:  g.queue.work / time.Duration(g.limiter.Limit()),
+		Backlog:  g.queue.backlog / time.Duration(g.limiter.Limit()),
 		Draining: g.draining,
 	}
 	for _, t := range g.levels.tenants {
