--- a/internal/core/early/chain.go
+++ b/internal/core/early/chain.go
@@ -7,29 +7,29 @@
 	"peardrift/internal/core/request"
 )
 
-// use is one callee of a class.
-type use struct {
+// calleeUse records how often a class calls one callee.
+type calleeUse struct {
 	key   Key
-	calls float64 // requests that called it, decayed over UseWindow
+	calls float64 // requests that called it, with exponential decay over UseWindow
 	at    time.Duration
 }
 
-// class is what is known of one class of the node's own service.
+// class holds the request and call counts of one class of the node's own service.
 type class struct {
-	served float64 // requests, decayed over UseWindow
-	at     time.Duration
-	uses   []use
+	served  float64 // requests, with exponential decay over UseWindow
+	at      time.Duration
+	callees []calleeUse
 }
 
-// Work is a class of the node's own service, and the tenant it is done for.
-// Symptom if it lacked the tenant: one tenant floods a service below, and the
-// chain's level that is meant for it refuses the other's requests early.
+// Work identifies a class of the node's own service and the tenant that it serves.
+// Without the tenant, a chain level caused by one tenant's flood of a service below
+// would refuse the other tenants' requests early.
 type Work struct {
 	Class  request.Class
 	Tenant request.Tenant
 }
 
-// Chain holds which callees each class of the node's own service uses for each
+// Chain records which callees each class of the node's own service uses for each
 // tenant.
 type Chain struct {
 	cfg     *Config
@@ -37,15 +37,15 @@
 	classes map[Work]*class
 }
 
-// maxUses bounds the callees remembered for a class.
-const maxUses = 32
+// maxCallees is the maximum number of callees recorded for a class.
+const maxCallees = 32
 
-// NewChain returns a chain that looks up callees' levels in table.
+// NewChain returns a chain that reads callees' levels from table.
 func NewChain(cfg *Config, table *Table) *Chain {
 	return &Chain{cfg: cfg, table: table, classes: map[Work]*class{}}
 }
 
-// Served counts a request of the class that the own target begins to serve.
+// Served counts a request of the class that the node's own target starts to serve.
 func (c *Chain) Served(now time.Duration, w Work) {
 	cl := c.classes[w]
 	if cl == nil {
@@ -65,21 +65,22 @@
 	if cl == nil {
 		return
 	}
-	for i := range cl.uses {
-		if u := &cl.uses[i]; u.key == k {
+	for i := range cl.callees {
+		if u := &cl.callees[i]; u.key == k {
 			u.calls = c.decay(u.calls, now-u.at) + 1
 			u.at = now
 			return
 		}
 	}
-	if len(cl.uses) < maxUses {
-		cl.uses = append(cl.uses, use{key: k, calls: 1, at: now})
+	if len(cl.callees) < maxCallees {
+		cl.callees = append(cl.callees, calleeUse{key: k, calls: 1, at: now})
 	}
 }
 
-// Level returns the level that the services below refuse at for a class: the
-// highest among the callees that at least MinUse of its requests call. A callee
-// that few requests need is left out; those that do call it are refused there.
+// Level returns the level at which services further down the chain refuse requests
+// of a class: the highest among the callees that at least MinUse of its requests
+// call. Callees needed by fewer requests are ignored; they refuse those requests
+// themselves.
 func (c *Chain) Level(now time.Duration, w Work) request.Level {
 	cl := c.classes[w]
 	if cl == nil {
@@ -87,8 +88,8 @@
 	}
 	var level request.Level
 	need := c.cfg.MinUse * c.decay(cl.served, now-cl.at)
-	for i := range cl.uses {
-		u := &cl.uses[i]
+	for i := range cl.callees {
+		u := &cl.callees[i]
 		if c.decay(u.calls, now-u.at) < need {
 			continue
 		}
--- a/internal/core/early/config.go
+++ b/internal/core/early/config.go
@@ -4,62 +4,65 @@
 
 // Config holds the settings of the package.
 type Config struct {
-	// Hold is how long a service's level counts in full after the last report of any
-	// of its targets. Default 250ms. Longer refuses more steadily on rare traffic and
-	// recovers later.
+	// Hold is how long a service's level keeps its full value after the last report
+	// from any of its targets. Default 250ms. Higher values refuse more steadily at
+	// low request rates and recover later.
 	Hold time.Duration
-	// Age is when the level of a service without reports counts as 0; from Hold on it falls in
-	// proportion. Default 1s. Longer slows recovery.
+	// Age is the time without reports after which a service's level is 0; it decays
+	// linearly from Hold on. Default 1s. Higher values recover later.
 	Age time.Duration
-	// Outdated is how much older than the service's newest report a target's may be
-	// and still count. Default 3s. Longer keeps the reports of targets that a caller
-	// seldom calls; shorter follows changes sooner.
+	// Outdated is the age, relative to the service's newest report, up to which a
+	// target's report still counts. Default 3s. Higher values keep reports of
+	// targets that a caller seldom calls; lower values follow changes sooner.
 	Outdated time.Duration
-	// MinReports is how many targets' reports count however rare they are; of reports
-	// that are older than the newest by Hold, no more do. Default 4. Higher is steadier
-	// on rare traffic, lower follows changes sooner.
+	// MinReports is the number of latest targets' reports that count however
+	// infrequent they are; reports that are older than the newest by Hold count only
+	// up to this number. Default 4. Higher values are steadier at low request rates,
+	// lower values follow changes sooner.
 	MinReports int
-	// Span is over how long the lowest of a target's levels counts: the last one
-	// to two spans. Default 250ms. Longer rides out deeper chains' overshoot and
-	// refuses later.
+	// Span sets the window over which the minimum of a target's levels counts: the
+	// last one to two spans. Default 250ms. Higher values tolerate longer overshoot
+	// of deep call chains and refuse later.
 	Span time.Duration
 	// Quantile of the targets' levels, weighted by slots, that counts as the
-	// service's level, 0 to 1. Default 0.25: a request is sent as long as more
-	// than a quarter of the capacity that is heard of would take it. Higher
-	// refuses earlier.
+	// service's level, 0 to 1. Default 0.25: a request is sent as long as more than
+	// a quarter of the reported capacity would admit it. Higher values refuse
+	// earlier.
 	Quantile float64
-	// MinTargets is the number of targets that must have reported within Age for
-	// a level to count, if as many are known. Default 2: one target alone can't
-	// shut a service.
+	// MinTargets is the number of targets whose reports must be current for a level
+	// to count, if as many are known. Default 2: a single target can't close a
+	// service.
 	MinTargets int
-	// Probe is the share of the refused that is let through nonetheless, 0 to 1.
-	// Default 0.01. Higher notices a recovery sooner and sends more calls that
+	// Probe is the fraction of refused requests that is sent as probes, 0 to 1.
+	// Default 0.01. Higher values detect a recovery sooner and send more calls that
 	// are refused further down.
 	Probe float64
-	// Reuse is how long a worked-out level is reused. Default 5ms.
+	// Reuse is how long a computed level is cached. Default 5ms.
 	Reuse time.Duration
-	// RetryAfter is the shortest advice on when to come back. Default 1s. Longer
-	// relieves the entry and delays the return of callers that heed it.
+	// RetryAfter is the minimum retry delay. Default 1s. Higher values reduce the
+	// load on the entry and delay the return of callers that respect it.
 	RetryAfter time.Duration
-	// Spread is the range over which the advice is spread evenly. Default 1s.
-	// 0 brings the refused back all at once.
+	// Spread is the range of the uniform jitter added to the retry delay. Default
+	// 1s. With 0 all refused callers return at once.
 	Spread time.Duration
-	// MinUse is the share of a class's requests, 0 to 1, that must call a service
-	// for its level to be reported upward. Default 0.5. Lower refuses at the
-	// entry also for services that most requests of the class don't need.
+	// MinUse is the fraction of a class's requests, 0 to 1, that must call a service
+	// for its level to be reported upstream. Default 0.5. Lower values refuse
+	// requests at the entry also for services that most requests of the class don't
+	// need.
 	MinUse float64
 	// UseWindow is the time constant over which MinUse is measured. Default 10s.
 	UseWindow time.Duration
-	// MaxTargets bounds the targets remembered for a service and class; the one
-	// heard of longest ago goes first. Default 32; at least route's subset.
+	// MaxTargets is the maximum number of targets recorded per service and class;
+	// the one with the oldest report is evicted first. Default 32; must be at least
+	// the size of route's subset.
 	MaxTargets int
-	// MaxKeys bounds the services and classes that a Table or Chain remembers.
-	// Default 1024. What is beyond it is neither learned nor refused early.
+	// MaxKeys is the maximum number of services and classes that a Table or Chain
+	// records. Default 1024. Further ones are neither learned nor refused early.
 	MaxKeys int
 }
 
-// DefaultConfig returns the settings that need no tuning for the deployments
-// the project is made for.
+// DefaultConfig returns the defaults documented on the fields, which need no tuning
+// for the deployments that the project targets.
 func DefaultConfig() Config {
 	return Config{
 		Hold:       250 * time.Millisecond,
--- a/internal/core/early/table.go
+++ b/internal/core/early/table.go
@@ -7,93 +7,93 @@
 	"peardrift/internal/core/request"
 )
 
-// Key is a callee service, the class that a call to it has, and the tenant whose
-// share it draws on.
+// Key identifies a callee service, the class of a call to it, and the tenant whose
+// share the call uses.
 type Key struct {
 	Service request.Service
 	Class   request.Class
 	Tenant  request.Tenant
 }
 
-// own is the key under which the targets' own levels for a tenant are kept.
-// Symptom if it lacked the tenant: one tenant floods a shared service, and
-// callers refuse the other's requests by the level that is meant for the first.
-func (k Key) own() Key { return Key{Service: k.Service, Tenant: k.Tenant} }
+// ownKey returns the key of the targets' own levels for a tenant. Without the
+// tenant, the level caused by one tenant's flood of a shared service would make
+// callers refuse the other tenants' requests.
+func (k Key) ownKey() Key { return Key{Service: k.Service, Tenant: k.Tenant} }
 
-// Report is what one answer says of its target.
+// Report holds the levels that one response carries.
 type Report struct {
 	Target request.TargetID
-	// Own is the target's own admission level for the tenant; it holds for all
-	// classes, so an answer to one class is news for the others.
+	// Own is the target's own admission level for the tenant. It applies to all
+	// classes, so a response to one class updates the others.
 	Own request.Level
 	// Chain is the level of the services below it for the call's class.
 	Chain request.Level
-	// Slots is the target's capacity; it weighs the levels.
+	// Slots is the target's capacity, the weight of its levels.
 	Slots int
 }
 
-// heard is what one target reported lately.
-type heard struct {
-	target request.TargetID
-	last   request.Level
-	level  request.Level // the lowest since `since`
-	before request.Level // the lowest in the span before that
-	since  time.Duration
-	weight int
-	at     time.Duration // of the last report
+// targetReports holds the recent reports of one target.
+type targetReports struct {
+	target      request.TargetID
+	lastLevel   request.Level
+	spanMin     request.Level // minimum since spanStart
+	prevSpanMin request.Level // minimum of the previous span
+	spanStart   time.Duration
+	weight      int
+	reportedAt  time.Duration // time of the last report
 }
 
-// never is long before any report.
+// never precedes any report.
 const never = -time.Hour
 
-// hear takes in a report. A level rises until its effect shows, which over a
-// deep chain takes some hundred milliseconds, and so it overshoots. Callers that
-// followed each peak would starve the callee, all of them the same requests at
-// the same time; they go by the lowest level of the last one to two spans.
-func (h *heard) hear(level request.Level, weight int, now, span time.Duration) {
+// record adds a report. A level rises until its effect shows, which in a deep call
+// chain takes a few hundred milliseconds, so it overshoots. Callers that followed
+// each peak would all refuse the same requests at the same time and starve the
+// callee; they use the minimum of the last one to two spans instead.
+func (h *targetReports) record(level request.Level, weight int, now, span time.Duration) {
 	switch {
-	case now-h.since >= 2*span:
-		h.level, h.before, h.since = level, level, now
-	case now-h.since >= span:
-		h.level, h.before, h.since = level, h.level, now
+	case now-h.spanStart >= 2*span:
+		h.spanMin, h.prevSpanMin, h.spanStart = level, level, now
+	case now-h.spanStart >= span:
+		h.spanMin, h.prevSpanMin, h.spanStart = level, h.spanMin, now
 	default:
-		h.level = min(h.level, level)
+		h.spanMin = min(h.spanMin, level)
 	}
-	h.last, h.weight, h.at = level, weight, now
+	h.lastLevel, h.weight, h.reportedAt = level, weight, now
 }
 
-// low is the lowest level reported lately.
-func (h *heard) low() request.Level { return min(h.level, h.before) }
+// recentMin returns the lowest level reported in the last one to two spans.
+func (h *targetReports) recentMin() request.Level { return min(h.spanMin, h.prevSpanMin) }
 
-func (h *heard) latest() request.Level { return h.last }
+func (h *targetReports) latest() request.Level { return h.lastLevel }
 
-// levels is what is known of one key.
-type levels struct {
-	heard []heard
-	level request.Level // that requests are compared with, worked out at `at`
-	last  request.Level // that is passed on, likewise
-	at    time.Duration
-	fresh bool
-	skip  float64 // part of a probe that is due
+// keyLevels holds the reports and computed levels of one key.
+type keyLevels struct {
+	targets     []targetReports
+	level       request.Level // compared with requests, computed at computedAt
+	latest      request.Level // reported upstream, computed at computedAt
+	computedAt  time.Duration
+	fresh       bool
+	probeCredit float64 // fraction of a probe accumulated so far
 }
 
 // Table holds the levels that one node learned from its callees.
 type Table struct {
-	cfg  *Config
-	rng  *rand.Rand
-	keys map[Key]*levels
-	sort []heard // scratch space of work
+	cfg    *Config
+	rng    *rand.Rand
+	keys   map[Key]*keyLevels
+	sorted []targetReports // scratch space of quantile, ascending by level
 }
 
-// NewTable returns an empty table, which refuses nothing. rng spreads
+// NewTable returns an empty table, which refuses nothing. rng adds jitter to
 // RetryAfter.
 func NewTable(cfg *Config, rng *rand.Rand) *Table {
-	return &Table{cfg: cfg, rng: rng, keys: map[Key]*levels{}}
+	return &Table{cfg: cfg, rng: rng, keys: map[Key]*keyLevels{}}
 }
 
-// Learn takes in the levels that an answer carried.
+// Learn records the levels that a response carried.
 func (t *Table) Learn(now time.Duration, k Key, r Report) {
-	t.learn(now, k.own(), &r, r.Own)
+	t.learn(now, k.ownKey(), &r, r.Own)
 	t.learn(now, k, &r, r.Chain)
 }
 
@@ -103,45 +103,46 @@
 		if len(t.keys) >= t.cfg.MaxKeys {
 			return
 		}
-		l = &levels{}
+		l = &keyLevels{}
 		t.keys[k] = l
 	}
 	h := l.entry(r.Target, t.cfg.MaxTargets)
-	if h.at > now {
-		return // an answer that was overtaken by a newer one
+	if h.reportedAt > now {
+		return // reordered: a newer response has been recorded
 	}
-	h.hear(level, max(r.Slots, 1), now, t.cfg.Span)
-	if now-l.at >= t.cfg.Reuse {
+	h.record(level, max(r.Slots, 1), now, t.cfg.Span)
+	if now-l.computedAt >= t.cfg.Reuse {
 		l.fresh = false
 	}
 }
 
-// entry returns the place for a target: its own, a new one or the oldest one.
-func (l *levels) entry(id request.TargetID, limit int) *heard {
+// entry returns the slot for a target: its existing one, a new one, or the one with
+// the oldest report.
+func (l *keyLevels) entry(id request.TargetID, limit int) *targetReports {
 	oldest := 0
-	for i := range l.heard {
-		if l.heard[i].target == id {
-			return &l.heard[i]
+	for i := range l.targets {
+		if l.targets[i].target == id {
+			return &l.targets[i]
 		}
-		if l.heard[i].at < l.heard[oldest].at {
+		if l.targets[i].reportedAt < l.targets[oldest].reportedAt {
 			oldest = i
 		}
 	}
-	if len(l.heard) < limit {
-		l.heard = append(l.heard, heard{target: id, since: never})
-		return &l.heard[len(l.heard)-1]
+	if len(l.targets) < limit {
+		l.targets = append(l.targets, targetReports{target: id, spanStart: never})
+		return &l.targets[len(l.targets)-1]
 	}
-	l.heard[oldest] = heard{target: id, since: never}
-	return &l.heard[oldest]
+	l.targets[oldest] = targetReports{target: id, spanStart: never}
+	return &l.targets[oldest]
 }
 
-// Forget drops a target that left the service, so that its last level doesn't
-// count among the known ones.
+// Forget removes a target that left the service, so that it no longer counts as
+// known.
 func (t *Table) Forget(id request.TargetID) {
 	for _, l := range t.keys {
-		for i := range l.heard {
-			if l.heard[i].target == id {
-				l.heard = append(l.heard[:i], l.heard[i+1:]...)
+		for i := range l.targets {
+			if l.targets[i].target == id {
+				l.targets = append(l.targets[:i], l.targets[i+1:]...)
 				l.fresh = false
 				break
 			}
@@ -149,26 +150,26 @@
 	}
 }
 
-// Verdict is the answer of Check.
+// Verdict is the result of Check.
 type Verdict struct {
-	// Refuse: the request would be refused; it ran nowhere.
+	// Refuse: the callee would refuse the request; it was not executed.
 	Refuse bool
-	// Probe: the level refuses, but this request is sent to learn whether it
-	// still holds.
+	// Probe: the level refuses the request, but it is sent to check whether the
+	// level still applies.
 	Probe bool
-	// Level that was compared with.
+	// Level is the level that the priority was compared with.
 	Level request.Level
-	// RetryAfter is the advice for a refused one.
+	// RetryAfter is the retry delay for a refused request.
 	RetryAfter time.Duration
 }
 
-// Check says whether a request with priority p would be refused by the service.
+// Check decides whether the service would refuse a request with priority p.
 func (t *Table) Check(now time.Duration, k Key, p request.Priority) Verdict {
 	level := t.Level(now, k)
 	if p >= level {
 		return Verdict{Level: level}
 	}
-	if l := t.keys[k]; l.probe(t.cfg.Probe) {
+	if l := t.keys[k]; l.takeProbe(t.cfg.Probe) {
 		return Verdict{Probe: true, Level: level}
 	}
 	wait := t.cfg.RetryAfter
@@ -178,138 +179,139 @@
 	return Verdict{Refuse: true, Level: level, RetryAfter: wait}
 }
 
-// Level returns the level learned of a service and class, 0 if it takes all or
-// nothing is known.
+// Level returns the level learned for a service and class, 0 if it admits everything
+// or is unknown.
 func (t *Table) Level(now time.Duration, k Key) request.Level {
-	own, chain := t.levelsOf(now, k.own()), t.levelsOf(now, k)
+	own, chain := t.levelsOf(now, k.ownKey()), t.levelsOf(now, k)
 	return max(own.level, chain.level)
 }
 
-// latest returns the level as last reported, to be passed on up the chain.
-// Passed on as the lowest of a while, it would be as much older at each hop.
+// latest returns the last reported level, to be reported upstream. Reporting the
+// recent minimum instead would add its delay at each hop.
 func (t *Table) latest(now time.Duration, k Key) request.Level {
-	own, chain := t.levelsOf(now, k.own()), t.levelsOf(now, k)
-	return max(own.last, chain.last)
+	own, chain := t.levelsOf(now, k.ownKey()), t.levelsOf(now, k)
+	return max(own.latest, chain.latest)
 }
 
-// levelsOf returns what is known of a key, worked out for now.
-func (t *Table) levelsOf(now time.Duration, k Key) *levels {
+// levelsOf returns the levels of a key, recomputed if stale.
+func (t *Table) levelsOf(now time.Duration, k Key) *keyLevels {
 	l := t.keys[k]
 	if l == nil {
-		return &nothing
+		return &noLevels
 	}
-	t.work(now, l)
+	t.refresh(now, l)
 	return l
 }
 
-// nothing stands for a key of which nothing was heard.
-var nothing levels
+// noLevels is returned for a key without reports.
+var noLevels keyLevels
 
-// probe reports whether the next refused request is sent after all. A class
-// that was never sent to the service (nil) learns from the others.
-func (l *levels) probe(share float64) bool {
+// takeProbe reports whether the next refused request is sent as a probe. A nil
+// receiver, a class that was never sent to the service, sends none; it learns from
+// the probes of other classes.
+func (l *keyLevels) takeProbe(share float64) bool {
 	if l == nil {
 		return false
 	}
-	l.skip += share
-	if l.skip < 1 {
+	l.probeCredit += share
+	if l.probeCredit < 1 {
 		return false
 	}
-	l.skip--
+	l.probeCredit--
 	return true
 }
 
-// work returns the level of a key, worked out again if it isn't fresh.
-func (t *Table) work(now time.Duration, l *levels) {
-	if l.fresh && now-l.at < t.cfg.Reuse {
+// refresh recomputes the levels of a key unless they are cached.
+func (t *Table) refresh(now time.Duration, l *keyLevels) {
+	if l.fresh && now-l.computedAt < t.cfg.Reuse {
 		return
 	}
-	l.level = t.quantile(now, l, (*heard).low)
-	l.last = t.quantile(now, l, (*heard).latest)
-	l.at, l.fresh = now, true
+	l.level = t.quantile(now, l, (*targetReports).recentMin)
+	l.latest = t.quantile(now, l, (*targetReports).latest)
+	l.computedAt, l.fresh = now, true
 }
 
-// knownFor is for how many times Age without a report a target still counts as one
-// that could report. Without it a service that has lost all targets
-// but one is called with what that one refuses, since the lost ones are waited
-// for; Forget does the same at once.
-const knownFor = 5
+// knownForAges is the number of Ages without a report for which a target still
+// counts as able to report. Without this bound, a service that has lost all targets
+// but one would be called with requests that the last one refuses, because the lost
+// targets' reports are awaited; Forget removes a target at once.
+const knownForAges = 5
 
-// counts reports whether a target's report still counts beside the newest. Where reports
-// are rare the latest few count, so that a change is known before all targets have
-// reported it.
-func (t *Table) counts(l *levels, newest, at time.Duration) bool {
+// isCurrent reports whether a target's report still counts relative to the newest.
+// Where reports are infrequent, the latest few count, so that a change is known
+// before all targets have reported it.
+func (t *Table) isCurrent(l *keyLevels, newest, at time.Duration) bool {
 	age := newest - at
-	return age < t.cfg.Hold || age < t.cfg.Outdated && l.since(at) < t.cfg.MinReports
+	return age < t.cfg.Hold || age < t.cfg.Outdated && l.reportsAfter(at) < t.cfg.MinReports
 }
 
-// since returns how many targets have reported after a time.
-func (l *levels) since(at time.Duration) (n int) {
-	for i := range l.heard {
-		if l.heard[i].at > at {
+// reportsAfter returns the number of targets that reported after a time.
+func (l *keyLevels) reportsAfter(at time.Duration) (n int) {
+	for i := range l.targets {
+		if l.targets[i].reportedAt > at {
 			n++
 		}
 	}
 	return n
 }
 
-// newest returns when a target of the service last reported.
-func (l *levels) newest() time.Duration {
+// newestReport returns the time of the service's newest report.
+func (l *keyLevels) newestReport() time.Duration {
 	at := never
-	for i := range l.heard {
-		at = max(at, l.heard[i].at)
+	for i := range l.targets {
+		at = max(at, l.targets[i].reportedAt)
 	}
 	return at
 }
 
-// quantile returns the lowest level such that targets with more than Quantile
-// of the capacity heard of are at or below it.
-func (t *Table) quantile(now time.Duration, l *levels, of func(*heard) request.Level) request.Level {
-	t.sort = t.sort[:0]
-	newest := l.newest()
+// quantile returns the lowest level such that targets with more than Quantile of the
+// reported capacity are at or below it.
+func (t *Table) quantile(now time.Duration, l *keyLevels, of func(*targetReports) request.Level) request.Level {
+	t.sorted = t.sorted[:0]
+	newest := l.newestReport()
 	age := now - newest
 	if age >= t.cfg.Age {
 		return 0
 	}
 	total, known := 0, 0
-	for i := range l.heard {
-		h := &l.heard[i]
-		if now-h.at < knownFor*t.cfg.Age {
+	for i := range l.targets {
+		h := &l.targets[i]
+		if now-h.reportedAt < knownForAges*t.cfg.Age {
 			known++
 		}
-		if !t.counts(l, newest, h.at) {
+		if !t.isCurrent(l, newest, h.reportedAt) {
 			continue
 		}
 		total += h.weight
-		t.insert(heard{level: t.aged(of(h), age), weight: h.weight})
+		t.insert(targetReports{spanMin: t.ageLevel(of(h), age), weight: h.weight})
 	}
-	if len(t.sort) < min(t.cfg.MinTargets, known) {
+	if len(t.sorted) < min(t.cfg.MinTargets, known) {
 		return 0
 	}
 	limit := t.cfg.Quantile * float64(total)
 	sum := 0
-	for i := range t.sort {
-		sum += t.sort[i].weight
+	for i := range t.sorted {
+		sum += t.sorted[i].weight
 		if float64(sum) > limit {
-			return t.sort[i].level
+			return t.sorted[i].spanMin
 		}
 	}
 	return 0
 }
 
-// insert keeps the scratch space in ascending order of level.
-func (t *Table) insert(h heard) {
-	t.sort = append(t.sort, h)
-	for i := len(t.sort) - 1; i > 0 && t.sort[i-1].level > h.level; i-- {
-		t.sort[i], t.sort[i-1] = t.sort[i-1], t.sort[i]
+// insert adds a report to the scratch space, in ascending order of level.
+func (t *Table) insert(h targetReports) {
+	t.sorted = append(t.sorted, h)
+	for i := len(t.sorted) - 1; i > 0 && t.sorted[i-1].spanMin > h.spanMin; i-- {
+		t.sorted[i], t.sorted[i-1] = t.sorted[i-1], t.sorted[i]
 	}
 }
 
-// aged is what a level counts for after age without news: it opens the
-// importance that it cuts through bit by bit, and only then those below. If it
-// fell in proportion to its whole value, a level within one importance would
-// soon be below all of it and admit everything.
-func (t *Table) aged(level request.Level, age time.Duration) request.Level {
+// ageLevel returns the value of a level after age without reports. The level falls
+// linearly to the lower bound of its importance, and drops to 0 at Config.Age. If it
+// fell in proportion to its whole value, a level within one importance would soon be
+// below that importance and admit all of it.
+func (t *Table) ageLevel(level request.Level, age time.Duration) request.Level {
 	if age <= t.cfg.Hold {
 		return level
 	}
