--- a/internal/core/limit/candidates_test.go
+++ b/internal/core/limit/candidates_test.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// fixed is the declared slots, whatever happens.
-type fixed int
+// fixedLimit always returns the declared slots.
+type fixedLimit int
 
-func (f fixed) Limit() int     { return int(f) }
-func (f fixed) Observe(Window) {}
-func (f fixed) SetMax(int)     {}
+func (f fixedLimit) Limit() int     { return int(f) }
+func (f fixedLimit) Observe(Window) {}
+func (f fixedLimit) SetMax(int)     {}
 
-// aimd adds a slot a window and cuts by a tenth when the target sheds.
-type aimd struct {
+// aimdLimit adds one slot per window and cuts by a tenth when the target sheds.
+type aimdLimit struct {
 	max   int
 	limit float64
 }
 
-func (a *aimd) Limit() int     { return int(a.limit) }
-func (a *aimd) SetMax(max int) { a.max = max }
-func (a *aimd) Observe(w Window) {
+func (a *aimdLimit) Limit() int     { return int(a.limit) }
+func (a *aimdLimit) SetMax(max int) { a.max = max }
+func (a *aimdLimit) Observe(w Window) {
 	if w.Overloaded > 0 {
 		a.limit = max(1, 0.9*a.limit)
 		return
@@ -25,16 +25,16 @@
 	a.limit = min(float64(a.max), a.limit+1)
 }
 
-// gradient follows the ratio of a long mean of the time in target to the
-// present one, with the square root of the limit allowed as a queue.
-type gradient struct {
+// gradientLimit scales the limit by the ratio of the long-term mean time in the
+// target to the current one, and allows the square root of the limit as a queue.
+type gradientLimit struct {
 	max         int
 	limit, long float64
 }
 
-func (g *gradient) Limit() int     { return int(g.limit) }
-func (g *gradient) SetMax(max int) { g.max = max }
-func (g *gradient) Observe(w Window) {
+func (g *gradientLimit) Limit() int     { return int(g.limit) }
+func (g *gradientLimit) SetMax(max int) { g.max = max }
+func (g *gradientLimit) Observe(w Window) {
 	const tolerance, weight, smooth = 1.5, 0.01, 0.2
 	t := w.timeInTarget().Seconds()
 	if t == 0 {
--- a/internal/core/limit/delay.go
+++ b/internal/core/limit/delay.go
@@ -5,130 +5,132 @@
 	"time"
 )
 
-// Weights of a new sample, and how many samples make them so small.
+// Weights of a new sample once a kind has enough samples; before that the weight is
+// 1 over their number.
 const (
 	recentWeight = 1.0 / 32
 	baseWeight   = 1.0 / 256
 	driftWeight  = 1.0 / 1024
 )
 
-// Signs of requests that wait inside the target.
+// Thresholds for detecting requests that queue inside the target.
 const (
-	delayInflation = 2    // a recent mean above this many times the usual one
-	delaySpread    = 0.35 // and a spread below this part of the usual one
-	delayMajority  = 0.5  // in kinds that make up this part of the completions
-	usualInflation = 1.5  // up to here a recent mean counts as usual
-	delaySamples   = 64   // of a kind, before it says anything
+	delayInflation     = 2    // the recent mean exceeds this multiple of the baseline,
+	delayVarianceRatio = 0.35 // and the recent variance is below this fraction of the baseline
+	delayMajority      = 0.5  // in kinds that make up this fraction of the completions
+	baselineInflation  = 1.5  // up to this multiple a recent mean counts as baseline
+	delaySamples       = 64   // samples that a kind needs before it counts
 )
 
-// Delay finds requests that wait inside the target by how their times spread.
+// Delay detects requests that queue inside the target from the distribution of their
+// times.
 //
-// A target that is slow stretches all times: long ones and short ones by the
-// same factor, and the variance of their logarithm stays. A target that queues
-// adds much the same wait to each, and the variance falls. One would notice
-// a mistake by trials of the limit while the target is only slow. Times must
-// be the target's own, without its calls to others: a wait below looks like a
-// queue too.
+// A slow target stretches all times by the same factor, so the variance of their
+// logarithm stays the same. A target that queues adds a similar wait to each, so the
+// variance falls. Without this distinction, trials of a lower limit would run while
+// the target is only slow. Times must exclude the target's calls to other services:
+// waiting for a slow callee looks like queueing too.
 type Delay struct {
-	kinds []kind
-	seen  []int // kinds with completions in this window
+	kinds          []requestKind
+	completedKinds []int // with completions in this window
 }
 
-// kind is what is known of one kind of request.
-type kind struct {
-	n      int
-	usual  spread // while nothing seems to wait
-	recent spread
-	whole  float64 // recent mean time in the target, waiting for calls below included
-	last   float64 // logarithm of the last time
-	done   int     // completions in this window
+// requestKind holds the statistics of one kind of request.
+type requestKind struct {
+	samples   int
+	baseline  distribution // while no queueing is detected
+	recent    distribution
+	total     float64 // recent mean time in the target, including downstream calls
+	lastLog   float64 // logarithm of the last sample
+	completed int     // completions in this window
 }
 
-// spread is a mean time in seconds, and half the mean square of the difference
-// between the logarithms of one time and the next: their variance, without what
-// a wait that grows or falls slowly would add.
-type spread struct{ mean, variance float64 }
+// distribution is a mean time in seconds, and half the mean square of the difference
+// between the logarithms of consecutive times: their variance, without the part that
+// a slowly changing wait would add.
+type distribution struct{ mean, variance float64 }
 
-func (s *spread) add(x, half, weight float64) {
+func (s *distribution) add(x, half, weight float64) {
 	s.mean += weight * (x - s.mean)
 	s.variance += weight * (half - s.variance)
 }
 
-// step returns half the square of the difference between the logarithm of a time
-// and that of the one before.
-func (k *kind) step(x float64) float64 {
+// halfSquaredStep returns half the square of the difference between the logarithm of
+// a time and that of the previous one.
+func (k *requestKind) halfSquaredStep(x float64) float64 {
 	l := math.Log(x)
-	d := l - k.last
-	k.last = l
-	if k.n <= 1 {
+	d := l - k.lastLog
+	k.lastLog = l
+	if k.samples <= 1 {
 		return 0
 	}
 	return d * d / 2
 }
 
 // NewDelay returns a Delay for n kinds of request.
-func NewDelay(n int) *Delay { return &Delay{kinds: make([]kind, n)} }
+func NewDelay(n int) *Delay { return &Delay{kinds: make([]requestKind, n)} }
 
 // Done counts a completion of a kind.
 func (d *Delay) Done(of int) {
 	k := &d.kinds[of]
-	if k.done == 0 {
-		d.seen = append(d.seen, of)
+	if k.completed == 0 {
+		d.completedKinds = append(d.completedKinds, of)
 	}
-	k.done++
+	k.completed++
 }
 
-// Note takes in that a request of a kind was in the target for whole, and spent
-// own of it there without waiting for calls below.
+// Note records that a request of a kind was in the target for whole, of which it
+// spent own without waiting for downstream calls.
 func (d *Delay) Note(of int, whole, own time.Duration) {
 	if own <= 0 {
 		return
 	}
 	k, x := &d.kinds[of], own.Seconds()
-	k.n++
-	weight := max(recentWeight, 1/float64(k.n))
-	half := k.step(x)
+	k.samples++
+	weight := max(recentWeight, 1/float64(k.samples))
+	half := k.halfSquaredStep(x)
 	k.recent.add(x, half, weight)
-	k.whole += weight * (whole.Seconds() - k.whole)
-	k.usual.add(x, half, k.weight())
+	k.total += weight * (whole.Seconds() - k.total)
+	k.baseline.add(x, half, k.baselineWeight())
 }
 
-// weight returns how much a sample counts in what is usual.
-func (k *kind) weight() float64 {
+// baselineWeight returns the weight of a sample in the baseline.
+func (k *requestKind) baselineWeight() float64 {
 	switch {
-	case k.n <= delaySamples:
-		return 1 / float64(k.n)
-	case k.waits():
+	case k.samples <= delaySamples:
+		return 1 / float64(k.samples)
+	case k.queueing():
 		return 0
-	case k.recent.mean > usualInflation*k.usual.mean:
+	case k.recent.mean > baselineInflation*k.baseline.mean:
 		return driftWeight
 	}
 	return baseWeight
 }
 
-func (k *kind) waits() bool {
-	return k.recent.mean > delayInflation*k.usual.mean && k.recent.variance < delaySpread*k.usual.variance
+func (k *requestKind) queueing() bool {
+	return k.recent.mean > delayInflation*k.baseline.mean && k.recent.variance < delayVarianceRatio*k.baseline.variance
 }
 
-// Roll ends a window. If requests wait inside the target, it returns the time
-// there that the completed ones would have needed without that; else 0.
+// Roll closes a window. If requests queue inside the target, it returns the time
+// that the completed ones would have spent in the target without queueing; otherwise
+// 0.
 func (d *Delay) Roll() time.Duration {
 	var all, wait, usual, narrow, needed float64
-	for _, i := range d.seen {
+	for _, i := range d.completedKinds {
 		k := &d.kinds[i]
-		n := float64(k.done)
-		k.done = 0
-		if k.n <= delaySamples || k.usual.variance == 0 {
+		n := float64(k.completed)
+		k.completed = 0
+		if k.samples <= delaySamples || k.baseline.variance == 0 {
 			continue
 		}
 		all += n
-		wait += n * (k.recent.mean - k.usual.mean)
-		usual += n * k.usual.mean
-		needed += n * (k.whole - k.recent.mean + k.usual.mean)
-		narrow += n * k.recent.variance / k.usual.variance
+		wait += n * (k.recent.mean - k.baseline.mean)
+		usual += n * k.baseline.mean
+		needed += n * (k.total - k.recent.mean + k.baseline.mean)
+		narrow += n * k.recent.variance / k.baseline.variance
 	}
-	d.seen = d.seen[:0]
-	if wait < (delayInflation-1)*usual || narrow > delaySpread*all || all == 0 {
+	d.completedKinds = d.completedKinds[:0]
+	if wait < (delayInflation-1)*usual || narrow > delayVarianceRatio*all || all == 0 {
 		return 0
 	}
 	return time.Duration(needed * float64(time.Second))
--- a/internal/core/limit/delay_test.go
+++ b/internal/core/limit/delay_test.go
@@ -8,26 +8,26 @@
 	"github.com/matryer/is"
 )
 
-// Two kinds of request, with the times that they take in a healthy target.
-var usualTimes = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
+// baselineTimes are the times in a healthy target of two kinds of request.
+var baselineTimes = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
 
-// notice feeds completions, half of each kind: a time drawn with a coefficient of
-// variation of one half, stretched, and a wait on top. It returns what the last
-// window needed.
-func notice(d *Delay, rng *rand.Rand, n int, stretch float64, wait func(i int) time.Duration) time.Duration {
+// feedDelay feeds completions, half of each kind: a time drawn with a coefficient of
+// variation of one half, stretched, plus a wait. It returns the needed time of the
+// last window.
+func feedDelay(d *Delay, rng *rand.Rand, n int, stretch float64, wait func(i int) time.Duration) time.Duration {
 	for i := range n {
 		own := time.Duration(0)
 		for range 4 {
-			own += time.Duration(rng.ExpFloat64() * stretch * float64(usualTimes[i%2]) / 4)
+			own += time.Duration(rng.ExpFloat64() * stretch * float64(baselineTimes[i%2]) / 4)
 		}
 		own += wait(i)
 		d.Done(i % 2)
-		d.Note(i%2, own+time.Second, own) // each waits a second for calls below
+		d.Note(i%2, own+time.Second, own) // each waits a second for downstream calls
 	}
 	return d.Roll()
 }
 
-func none(int) time.Duration { return 0 }
+func noWait(int) time.Duration { return 0 }
 
 func TestDelay(t *testing.T) {
 	const n = 2000
@@ -38,9 +38,9 @@
 		wait    func(i int) time.Duration
 		queues  bool
 	}{
-		{"as ever", 1, none, false},
-		{"four times slower", 4, none, false},
-		{"ten times slower", 10, none, false},
+		{"as ever", 1, noWait, false},
+		{"four times slower", 4, noWait, false},
+		{"ten times slower", 10, noWait, false},
 		{"a queue that grows, then stands", 1, queue, true},
 		{"a wait that is small beside the times", 1, func(int) time.Duration { return 20 * time.Millisecond }, false},
 	}
@@ -48,12 +48,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(20) {
-				d, rng := NewDelay(len(usualTimes)), rand.New(rand.NewPCG(seed, 4))
-				is.Equal(notice(d, rng, n, 1, none), time.Duration(0))
-				needed := notice(d, rng, n, tt.stretch, tt.wait)
+				d, rng := NewDelay(len(baselineTimes)), rand.New(rand.NewPCG(seed, 4))
+				is.Equal(feedDelay(d, rng, n, 1, noWait), time.Duration(0))
+				needed := feedDelay(d, rng, n, tt.stretch, tt.wait)
 				is.Equal(needed > 0, tt.queues)
 				if tt.queues {
-					each := needed.Seconds() / n // 0.11 s of work, 1 s below
+					each := needed.Seconds() / n // 0.11 s of work, 1 s downstream
 					is.True(each > 0.9*1.11 && each < 1.1*1.11)
 				}
 			}
@@ -61,11 +61,11 @@
 	}
 }
 
-// Symptom: a service is cut to a sixth of its slots when one of its databases
-// takes longer. Events: each request takes half a second more, whatever runs
-// beside it. Cause: the same wait for each looks like a queue, and the limit that
-// it led to was kept though requests took as long as before.
-func TestWrongSignIsTakenBack(t *testing.T) {
+// Guards against a cut to a sixth of the slots when a database takes longer: each
+// request takes half a second more, independent of concurrency. The equal wait looks
+// like queueing, and the limit must be restored once the cut does not shorten the
+// time in the target.
+func TestWrongDelaySignalIsReverted(t *testing.T) {
 	is := is.New(t)
 	p := NewProbe(DefaultConfig(), 130)
 	const took = 520 * time.Millisecond
@@ -82,34 +82,34 @@
 		}
 		p.Observe(w)
 	}
-	is.True(least < 130)     // it was heeded
-	is.Equal(p.Limit(), 130) // taken back
-	is.True(p.distrust > 0)  // and isn't heeded again soon
-	is.True(!p.relieved)     // nor taken for a cut that helped
+	is.True(least < 130)          // the limit was cut
+	is.Equal(p.Limit(), 130)      // the cut was reverted
+	is.True(p.ignoreDelayFor > 0) // the signal is ignored for a while
+	is.True(!p.cutByDelay)        // the cut does not count as successful
 }
 
 const window = 50 * time.Millisecond
 
-// Symptom: a service that runs a sixth of its slots is cut to them, and stays
-// there for half a minute after it has them all again. Events: each trial of a
-// higher limit finds the queue, and doubles the pause before the next. Cause: the
-// pause was that for targets whose queue only a trial shows.
-func TestSlotsThatComeBackAreTakenSoon(t *testing.T) {
+// Guards against a service staying at a sixth of its slots for half a minute after
+// it has recovered them all: each trial of a higher limit found the queue and
+// doubled the pause before the next, though that backoff is for targets whose queue
+// only a trial detects.
+func TestRecoveredSlotsAreUsedSoon(t *testing.T) {
 	is := is.New(t)
 	p, rng := NewProbe(DefaultConfig(), 130), rand.New(rand.NewPCG(1, 5))
-	runSigned(p, rng, 130, 5*time.Second)
+	runWithDelaySignal(p, rng, 130, 5*time.Second)
 	is.Equal(p.Limit(), 130)
-	runSigned(p, rng, 20, time.Second)
+	runWithDelaySignal(p, rng, 20, time.Second)
 	is.True(p.Limit() <= 26) // within a second
-	runSigned(p, rng, 20, 30*time.Second)
-	is.True(p.Limit() <= 44) // a trial may be under way
-	runSigned(p, rng, 130, 5*time.Second)
+	runWithDelaySignal(p, rng, 20, 30*time.Second)
+	is.True(p.Limit() <= 44) // a trial may be in progress
+	runWithDelaySignal(p, rng, 130, 5*time.Second)
 	is.Equal(p.Limit(), 130)
 }
 
-// runSigned drives p against a target with real slots and a queue inside, and
-// the sign that Delay would give.
-func runSigned(p *Probe, rng *rand.Rand, real int, length time.Duration) {
+// runWithDelaySignal drives p against a target with real slots that queues
+// internally, and supplies the signal that Delay would give.
+func runWithDelaySignal(p *Probe, rng *rand.Rand, real int, length time.Duration) {
 	const service = 20 * time.Millisecond
 	for now := time.Duration(0); now < length; now += window {
 		n := p.Limit()
--- a/internal/core/limit/limit_test.go
+++ b/internal/core/limit/limit_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// target is a model with more work than the limit lets in. Above its real
-// slots it either queues inside or sheds.
+// target models a target with more work than the limit admits. Above its real slots
+// it either queues internally or sheds.
 type target struct {
 	declared, real int
 	service        func(now time.Duration) time.Duration
@@ -21,11 +21,11 @@
 	return func(time.Duration) time.Duration { return d }
 }
 
-// outcome compares a run with a target that has just its real slots filled.
+// outcome compares a run with a target whose real slots are exactly filled.
 type outcome struct {
-	goodput   float64 // completions, as a part of the most possible
+	goodput   float64 // completions, as a fraction of the maximum
 	inflation float64 // time in target over service time
-	shed      float64 // shed requests, as a part of all
+	shed      float64 // shed requests, as a fraction of all
 	limit     int     // at the end
 }
 
@@ -51,12 +51,12 @@
 	return outcome{done / most, busy / work, shed / (shed + done), a.Limit()}
 }
 
-// poisson draws a count by the normal approximation.
+// poisson draws a count, using the normal approximation.
 func poisson(rng *rand.Rand, mean float64) int {
 	return max(0, int(math.Round(mean+math.Sqrt(mean)*rng.NormFloat64())))
 }
 
-// slowFor is ten times the service time from 20 s to 40 s.
+// slowFor returns a service time that is ten times longer from 20 s to 40 s.
 func slowFor(d time.Duration) func(time.Duration) time.Duration {
 	return func(now time.Duration) time.Duration {
 		if now >= 20*time.Second && now < 40*time.Second {
@@ -66,8 +66,9 @@
 	}
 }
 
-// cold is a service time that starts five-fold and falls for 5 s.
-func cold(d time.Duration) func(time.Duration) time.Duration {
+// warmingUp returns a service time that starts at five times d and falls to d within
+// 5 s.
+func warmingUp(d time.Duration) func(time.Duration) time.Duration {
 	return func(now time.Duration) time.Duration {
 		return time.Duration(float64(d) * (1 + 4*max(0, 1-now.Seconds()/5)))
 	}
@@ -80,19 +81,19 @@
 	{"honest", target{130, 130, constant(20 * time.Millisecond), false}},
 	{"honest, few and slow", target{25, 25, constant(300 * time.Millisecond), false}},
 	{"ten times slower for 20 s", target{130, 130, slowFor(20 * time.Millisecond), false}},
-	{"cold at start", target{190, 190, cold(20 * time.Millisecond), false}},
+	{"cold at start", target{190, 190, warmingUp(20 * time.Millisecond), false}},
 	{"30 of 130 real, queues", target{130, 30, constant(20 * time.Millisecond), false}},
 	{"30 of 130 real, sheds", target{130, 30, constant(20 * time.Millisecond), true}},
 }
 
-// candidates are the algorithms weighed in docs/decisions/admission.md.
+// candidates are the algorithms compared in docs/decisions/admission.md.
 var candidates = []struct {
 	name string
 	make func(slots int) Algorithm
 }{
-	{"declared slots", func(n int) Algorithm { return fixed(n) }},
-	{"AIMD on sheds", func(n int) Algorithm { return &aimd{max: n, limit: float64(max(8, n/4))} }},
-	{"gradient", func(n int) Algorithm { return &gradient{max: n, limit: float64(max(8, n/4))} }},
+	{"declared slots", func(n int) Algorithm { return fixedLimit(n) }},
+	{"AIMD on sheds", func(n int) Algorithm { return &aimdLimit{max: n, limit: float64(max(8, n/4))} }},
+	{"gradient", func(n int) Algorithm { return &gradientLimit{max: n, limit: float64(max(8, n/4))} }},
 	{"Probe", func(n int) Algorithm { return NewProbe(DefaultConfig(), n) }},
 }
 
@@ -101,7 +102,7 @@
 	seeds     = 8
 )
 
-func mean(m target, make func(int) Algorithm) outcome {
+func meanOutcome(m target, make func(int) Algorithm) outcome {
 	var sum outcome
 	for seed := range uint64(seeds) {
 		o := m.run(make(m.declared), runLength, rand.New(rand.NewPCG(seed, 1)))
@@ -114,13 +115,13 @@
 	return sum
 }
 
-// TestCandidates prints the comparison of the decision note and holds Probe to
-// it.
+// TestCandidates prints the comparison of docs/decisions/admission.md and checks the
+// results of Probe.
 func TestCandidates(t *testing.T) {
 	is := is.New(t)
 	for _, m := range targets {
 		for _, c := range candidates {
-			o := mean(m.target, c.make)
+			o := meanOutcome(m.target, c.make)
 			t.Logf("%-26s %-15s goodput %.3f  time in target x%.2f  shed %.3f  last limit %d",
 				m.name, c.name, o.goodput, o.inflation, o.shed, o.limit)
 			if c.name == "Probe" {
@@ -132,10 +133,10 @@
 	}
 }
 
-// Symptom: a target that was slow for a while keeps half its slots unused.
-// Events: service times rise ten-fold for 20 s, then fall back. Cause: a limit
-// that follows the time in target takes a slow slot for a queue.
-func TestSlowTargetKeepsItsSlots(t *testing.T) {
+// Guards against a target keeping half its slots unused after a slowdown: service
+// times rise tenfold for 20 s, and a limit that follows the time in the target
+// mistakes slow slots for queueing.
+func TestSlowTargetKeepsAllSlots(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(seeds) {
 		p := NewProbe(DefaultConfig(), 130)
@@ -145,12 +146,11 @@
 	}
 }
 
-// Symptom: a service refuses half of what it could serve while one below it is
-// slow, and for seconds after that.
-// Events: the calls of its requests take four times as long for 20 s.
-// Cause: the waiting for calls is held for a queue inside the target, and fewer
-// slots are tried.
-func TestSlowCallsAreNoQueue(t *testing.T) {
+// Guards against a service refusing half of what it could serve while a callee is
+// slow, and for seconds after: its calls take four times as long for 20 s, and
+// waiting for them is mistaken for queueing inside the target, which starts trials
+// of a lower limit.
+func TestSlowDownstreamCallsAreNotQueueing(t *testing.T) {
 	is := is.New(t)
 	p := NewProbe(DefaultConfig(), 40)
 	const own, quick, slow = 5 * time.Millisecond, 50 * time.Millisecond, 200 * time.Millisecond
@@ -183,7 +183,7 @@
 	is.Equal(p.Limit(), 1)
 }
 
-func TestMoreSlotsAreTakenIntoUse(t *testing.T) {
+func TestAdditionalSlotsAreUsed(t *testing.T) {
 	is := is.New(t)
 	p := NewProbe(DefaultConfig(), 25)
 	rng := rand.New(rand.NewPCG(1, 3))
--- a/internal/core/limit/sheds_test.go
+++ b/internal/core/limit/sheds_test.go
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 )
 
-// shedWindow is a window of a target that sheds part of what it gets, whatever it
-// holds.
-func shedWindow(limit int, part float64) Window {
+// shedWindow returns a window of a target that sheds a fraction of its requests at
+// any concurrency.
+func shedWindow(limit int, fraction float64) Window {
 	const n = 100
 	return Window{
 		Length: 50 * time.Millisecond, Saturated: 50 * time.Millisecond,
-		Completed: int(n * (1 - part)), Overloaded: int(n * part),
+		Completed: int(n * (1 - fraction)), Overloaded: int(n * fraction),
 		Busy: time.Duration(limit) * 25 * time.Millisecond,
 	}
 }
 
-// Symptom: a target turns half of its requests away for eight seconds, and its
-// node refuses nearly all for ten seconds more. Events: each window with sheds
-// cuts the limit, down to 1, from where it is doubled slowly. Cause: sheds that
-// don't come of load are taken for a target that is full.
-func TestSheddingWhateverItHoldsKeepsTheLimit(t *testing.T) {
+// Guards against a node refusing nearly everything for ten seconds after its target
+// has rejected half of its requests for eight seconds. Each window with sheds cuts
+// the limit, down to 1, from where it doubles slowly, though shedding is independent
+// of load.
+func TestLoadIndependentSheddingKeepsTheLimit(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.InitialFraction = 1
@@ -35,32 +35,31 @@
 			low++
 		}
 	}
-	is.True(low < windows/3) // it looks again now and then, and less and less
-	for range 40 {           // well again for 2 s
+	is.True(low < windows/3) // cuts are retried at growing intervals
+	for range 40 {           // recovered for 2 s
 		p.Observe(Window{Length: 50 * time.Millisecond, Completed: 100, Busy: time.Duration(p.Limit()) * 25 * time.Millisecond})
 	}
 	is.True(p.Limit() > 90)
 }
 
-// A target that holds a tenth of what it says sheds less with each cut: its
-// limit must go down all the same.
-func TestSheddingForLoadStillCuts(t *testing.T) {
+// A target with a tenth of its declared slots sheds less with each cut: its limit
+// must still go down.
+func TestLoadDependentSheddingCutsTheLimit(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.InitialFraction = 1
 	p := NewProbe(cfg, 100)
 	const real = 10
 	for range 100 {
-		held := p.Limit()
-		part := max(0, 1-float64(real)/float64(held))
-		p.Observe(shedWindow(min(held, real), part))
+		running := p.Limit()
+		fraction := max(0, 1-float64(real)/float64(running))
+		p.Observe(shedWindow(min(running, real), fraction))
 	}
 	is.True(p.Limit() <= 2*real)
 }
 
-// Symptom: the deepest service takes a third longer for each request, just when
-// it is short. Cause: all of its slots are used, and it slows down when nearly all
-// are.
+// Guards against using all slots of a target that takes a third longer per request
+// when nearly all of them are in use, just when capacity is short.
 func TestHeadroomIsNeverUsed(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -73,10 +72,10 @@
 	is.Equal(p.Limit(), 1)
 }
 
-// Symptom: after a start nearly all is refused for ten seconds. Events: the first
-// limit was set before the target said how many slots it has. Cause: a limit that
-// grows from there by doubling, though nothing was measured that speaks for less.
-func TestSlotsAnnouncedLateCountAtOnce(t *testing.T) {
+// Guards against refusing nearly everything for ten seconds after a start: the first
+// limit is set before the target declares its slots, and must not be doubled slowly
+// from there when no measurement calls for less.
+func TestSlotsDeclaredLateAreUsedAtOnce(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.InitialFraction = 1
