--- a/internal/core/conn/config.go
+++ b/internal/core/conn/config.go
@@ -4,41 +4,42 @@
 
 // Config holds the settings of the package.
 type Config struct {
-	// MaxConns bounds the connections to the peer, dialed ones included.
-	// Default 256. Lower spares the peer's connections and refuses calls sooner.
+	// MaxConns is the maximum number of connections to the peer, including those
+	// being dialed. Default 256. Lower values use fewer of the peer's connections
+	// and refuse calls sooner.
 	MaxConns int
-	// MaxIdle bounds those that are kept for the next call. Default 64. Higher
-	// saves dials, about 1 ms each, after a burst.
+	// MaxIdle is the maximum number of idle connections. Default 64. Higher values
+	// save dials, about 1 ms each, after a burst.
 	MaxIdle int
-	// IdleTimeout closes connections that carried nothing for so long.
-	// Default 20s; must be below the peer's own and below what devices on the
-	// way remember. Lower loses fewer calls on forgotten connections.
+	// IdleTimeout is how long an unused connection stays open. Default 20s; must be
+	// below the peer's own idle timeout and that of devices on the path. Lower
+	// values lose fewer calls on connections that such a device has dropped.
 	IdleTimeout time.Duration
-	// SilentMin and SilentMax bound the silence after which the peer is asked;
-	// between them it follows the usual time to the first byte. Defaults 250ms
-	// and 1s. Lower finds dead connections sooner and asks oftener.
+	// SilentMin and SilentMax bound the silence after which the peer is probed;
+	// between them it follows the measured time to the first byte. Defaults 250ms
+	// and 1s. Lower values detect dead connections sooner and probe more often.
 	SilentMin time.Duration
 	SilentMax time.Duration
-	// ProbeTimeout is how long the answer to a probe is waited for. Default 500ms.
+	// ProbeTimeout is the timeout of a probe. Default 500ms.
 	ProbeTimeout time.Duration
-	// Grace is how long a call that the peer doesn't have is waited for: its
-	// answer may be on the way. Default 100ms; above a round trip.
+	// Grace is how long a call that the peer isn't executing may still wait: its
+	// response may be in transit. Default 100ms; must exceed a round trip.
 	Grace time.Duration
-	// Recheck bounds the time after which the peer is asked again for a call
-	// that it works on; it begins at the silence asked after and doubles.
-	// Default 2s.
+	// Recheck is the maximum interval between probes for a call that the peer is
+	// executing; the interval starts at the silence that triggered the probe and
+	// doubles. Default 2s.
 	Recheck time.Duration
-	// GiveUp is the silence after which a call is failed if nobody can say
-	// whether the peer has it. Default 5s.
+	// GiveUp is the silence after which a call is failed if nobody can tell whether
+	// the peer is executing it. Default 5s.
 	GiveUp time.Duration
-	// ProbeGap is the least time between two probes of a peer. Default 50ms.
+	// ProbeGap is the minimum interval between two probes of a peer. Default 50ms.
 	ProbeGap time.Duration
-	// MaxAsked bounds the calls that one probe asks for. Default 256.
+	// MaxAsked is the maximum number of calls per probe. Default 256.
 	MaxAsked int
 }
 
-// DefaultConfig returns the settings that need no tuning for the deployments
-// the project is made for.
+// DefaultConfig returns the defaults documented on the fields, which need no tuning
+// for the deployments that the project targets.
 func DefaultConfig() Config {
 	return Config{
 		MaxConns:     256,
--- a/internal/core/conn/doc.go
+++ b/internal/core/conn/doc.go
@@ -1,33 +1,34 @@
-// Package conn decides about the connections to one peer: which may carry the
-// next call, and which are dead although nothing ever said so.
+// Package conn manages the connections to one peer: it decides which may carry
+// the next call, and which are dead without having been closed.
 //
-// A connection goes from Idle to InUse (Take) and back only by a whole answer
-// (End with Whole). After a time-out, a cancellation, a half-read answer or an
-// error it is closed: what still arrives on it belongs to an earlier call and
-// would be taken for the next one's answer.
+// A connection changes from idle to in use with Take, and back only after a
+// complete response (End with Whole). After a timeout, a cancellation, a
+// partially read response or an error it is closed: bytes that still arrive on
+// it belong to an earlier call and would be taken for the next response.
 //
 // A connection can go silent for good while new ones to the same peer work,
-// because something between the ends lost track of it. A call that waits on
-// one looks like a call that takes long. To tell them apart the package asks
-// for a Probe: the node asks the peer, over a fresh connection, which of the
-// silent calls it has in hand. A call that the peer works on is slow and waits
-// on; one that it doesn't know, or has answered, sits on a dead connection,
-// and is failed as unknown. One dead connection casts suspicion on all that
-// weren't heard of since: the idle ones are closed, those in use are asked for
-// at once. Where the peer can't tell, the idle ones are closed on the mere
-// doubt, since that costs no more than a dial each.
+// because a device on the path lost its state. A call waiting on one looks
+// like a slow call. To distinguish them the package requests a Probe: the node
+// asks the peer, over a new connection, which of the silent calls it is
+// executing. A call that the peer is executing is slow and keeps waiting; one
+// that the peer does not know or has answered is on a dead connection and is
+// failed as unknown. After one dead connection, all connections without
+// activity since the probe began are suspect: the idle ones are closed, and
+// the calls on the others are probed at once. If the peer cannot tell, the
+// idle ones are closed without proof, since that costs at most a dial each.
 //
-// The bound: a call whose connection was dead when it began sits on it for at
-// most SilentMax + 2 ProbeTimeout + Grace; one whose answer is lost, for at most
-// Recheck + 2 ProbeTimeout + Grace after the peer was done with it; each plus
-// the time between two calls of Tick, while probes reach the peer and no more
-// than MaxAsked calls are silent. If the peer can't be reached or can't tell,
-// it is GiveUp since the last byte or the peer's last word that it works on it.
+// A call whose connection was dead when it began waits on it for at most
+// SilentMax + 2 ProbeTimeout + Grace; one whose response is lost, for at most
+// Recheck + 2 ProbeTimeout + Grace after the peer finished it; each plus the
+// time between two calls of Tick, provided that probes reach the peer and at
+// most MaxAsked calls are silent. If the peer is unreachable or cannot tell,
+// the bound is GiveUp after the last byte or the peer's last confirmation that
+// it is executing the call.
 //
-// Who calls what: Take before a call, and Opened or DialFailed if it said Dial;
-// Heard for each byte that moves in either direction; End when the call ended;
-// Tick at Next or regularly; after a Probe action Told for each of its
-// connections and then Probed.
+// The node calls Take before a call, and Opened or DialFailed if Take returned
+// Dial; Heard for each transfer of bytes in either direction; End when the
+// call ended; Tick by Next or regularly; and after a Probe action Told for each
+// of its connections and then Probed.
 //
-// Not safe for concurrent use: one mutex per peer.
+// A Peer is not safe for concurrent use: the node holds one mutex per peer.
 package conn
--- a/internal/core/conn/peer.go
+++ b/internal/core/conn/peer.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// ID names a connection to a peer; it is never used again.
+// ID identifies a connection to a peer; IDs are not reused.
 type ID uint64
 
-// Offer is what Take has for a call.
+// Offer is the result of Take.
 type Offer uint8
 
 const (
-	// Full: all connections are in use; the call is refused as not run.
+	// Full: all connections are in use; the call is refused as not executed.
 	Full Offer = iota
-	// Reuse the idle connection that was named.
+	// Reuse: use the idle connection with the returned ID.
 	Reuse
-	// Dial a new one, and say Opened or DialFailed.
+	// Dial: open a new connection, then call Opened or DialFailed.
 	Dial
 )
 
@@ -25,71 +25,72 @@
 type End uint8
 
 const (
-	// Aborted: anything but the ends below: time-out, cancellation, an answer
-	// read in part, a broken connection. It is the zero value, so that a
-	// forgotten assignment closes the connection.
+	// Aborted: any end other than those below: timeout, cancellation, partially read
+	// response, broken connection. It is the zero value, so that a missing
+	// assignment closes the connection.
 	Aborted End = iota
-	// Whole: the whole answer was read, and the peer keeps the connection.
+	// Whole: the complete response was read, and the peer keeps the connection open.
 	Whole
-	// WholeLast: the whole answer was read, and the peer closes it.
+	// WholeLast: the complete response was read, and the peer closes the connection.
 	WholeLast
 )
 
 // conn is one open connection.
 type conn struct {
-	inUse  bool
-	opened time.Duration
-	began  time.Duration // of the call, if in use
-	heard  time.Duration // last time that a byte moved
-	answer bool          // a byte of the answer came
-	watch  watch
+	inUse        bool
+	opened       time.Duration
+	callStart    time.Duration // start of the call, if in use
+	lastActivity time.Duration // last time that a byte was sent or received
+	responding   bool          // a byte of the response arrived
+	silence      silenceState
 }
 
-// Peer is the connections to one peer.
+// Peer holds the connections to one peer.
 type Peer struct {
-	cfg     *Config
-	conns   map[ID]*conn
-	idle    []ID // heard of longest ago first
-	dialing int
-	last    ID
-	wait    estimate // of the time to the first byte
-	probe   probe
-	stated  time.Duration // for how long the peer says that it keeps idle connections; 0: it doesn't
-	doubt   bool          // a peer could not tell of a call: idle connections may be dead too
-	next    time.Duration
+	cfg              *Config
+	conns            map[ID]*conn
+	idle             []ID // least recently active first
+	dialing          int
+	lastID           ID
+	firstByte        rttEstimate // time to the first byte
+	probe            probeState
+	peerIdleTimeout  time.Duration // idle timeout that the peer announced; 0: none
+	closeUnconfirmed bool          // the peer could not tell the state of a call: idle connections may be dead too
+	next             time.Duration
 }
 
-// NewPeer returns a peer without connections.
+// NewPeer returns a Peer without connections.
 func NewPeer(cfg *Config) *Peer {
 	return &Peer{cfg: cfg, conns: map[ID]*conn{}, next: never}
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// Stated books for how long the peer says that it keeps idle connections.
-func (p *Peer) Stated(d time.Duration) { p.stated = d }
+// Stated records the idle timeout that the peer announced.
+func (p *Peer) Stated(d time.Duration) { p.peerIdleTimeout = d }
 
-// idleFor returns for how long a connection is kept idle: less than the peer keeps it, or
-// a call would be sent on one that it is closing.
-func (p *Peer) idleFor() time.Duration {
-	if p.stated <= 0 {
+// idleTimeout returns how long a connection is kept idle: less than the peer keeps
+// it, or a call could be sent on a connection that the peer is closing.
+func (p *Peer) idleTimeout() time.Duration {
+	if p.peerIdleTimeout <= 0 {
 		return p.cfg.IdleTimeout
 	}
-	return p.stated * statedPart / 10
+	return p.peerIdleTimeout * idleTimeoutTenths / 10
 }
 
-// statedPart is the part of the peer's time for which a connection is kept, in tenths.
-const statedPart = 8
+// idleTimeoutTenths is the fraction of the peer's idle timeout for which a
+// connection is kept, in tenths.
+const idleTimeoutTenths = 8
 
-// Take finds a connection for a call: the idle one used last, which is the
-// least likely to have been forgotten on the way.
+// Take returns a connection for a call: the most recently used idle one, which is
+// the least likely to have been dropped on the path.
 func (p *Peer) Take(now time.Duration) (ID, Offer) {
 	if n := len(p.idle); n > 0 {
 		id := p.idle[n-1]
-		// If this one is too old so are the others; Tick closes them.
-		if c := p.conns[id]; now-c.heard < p.idleFor() {
+		// If this one has expired, so have the others; Tick closes them.
+		if c := p.conns[id]; now-c.lastActivity < p.idleTimeout() {
 			p.idle = p.idle[:n-1]
-			p.begin(now, c)
+			p.startCall(now, c)
 			return id, Reuse
 		}
 	}
@@ -100,44 +101,44 @@
 	return 0, Dial
 }
 
-// Opened books a dialed connection, in use by the call that asked for it.
+// Opened adds a dialed connection, in use by the call that requested it.
 func (p *Peer) Opened(now time.Duration) ID {
 	p.dialing--
-	p.last++
+	p.lastID++
 	c := &conn{opened: now}
-	p.conns[p.last] = c
-	p.begin(now, c)
-	return p.last
+	p.conns[p.lastID] = c
+	p.startCall(now, c)
+	return p.lastID
 }
 
-// DialFailed books that a dial came to nothing.
+// DialFailed records a failed dial.
 func (p *Peer) DialFailed() { p.dialing-- }
 
-func (p *Peer) begin(now time.Duration, c *conn) {
-	c.inUse, c.answer = true, false
-	c.began, c.heard = now, now
-	c.watch = watch{}
-	p.arm(c, now+p.silence())
+func (p *Peer) startCall(now time.Duration, c *conn) {
+	c.inUse, c.responding = true, false
+	c.callStart, c.lastActivity = now, now
+	c.silence = silenceState{}
+	p.scheduleCheck(c, now+p.silenceTimeout())
 }
 
-// Heard books that bytes moved: some of the request were taken by the network,
-// or, if answer, some of the answer came.
+// Heard records activity: the network accepted bytes of the request or, if answer is
+// set, bytes of the response arrived.
 func (p *Peer) Heard(now time.Duration, id ID, answer bool) {
 	c := p.conns[id]
 	if c == nil || !c.inUse {
 		return
 	}
-	if answer && !c.answer {
-		c.answer = true
-		p.wait.add(now - c.began)
+	if answer && !c.responding {
+		c.responding = true
+		p.firstByte.add(now - c.callStart)
 	}
-	c.heard = now
-	c.watch = watch{}
-	p.arm(c, now+p.silence())
+	c.lastActivity = now
+	c.silence = silenceState{}
+	p.scheduleCheck(c, now+p.silenceTimeout())
 }
 
-// End books the end of a call. keep is false if the connection must be closed
-// now; the peer then no longer knows it.
+// End records the end of a call. keep is false if the connection must be closed now;
+// it has then been removed from the peer.
 func (p *Peer) End(now time.Duration, id ID, end End) (keep bool) {
 	c := p.conns[id]
 	if c == nil || !c.inUse {
@@ -147,18 +148,18 @@
 		delete(p.conns, id)
 		return false
 	}
-	if !c.answer {
-		p.wait.add(now - c.began)
+	if !c.responding {
+		p.firstByte.add(now - c.callStart)
 	}
 	c.inUse = false
-	c.heard = now
+	c.lastActivity = now
 	p.idle = append(p.idle, id)
-	p.wake(now + p.idleFor())
+	p.scheduleTick(now + p.idleTimeout())
 	return true
 }
 
-// Broke books that an idle connection was closed by the peer, or that bytes
-// came on it, which belong to no call; it must be closed.
+// Broke records that the peer closed an idle connection, or that bytes arrived on it
+// that belong to no call; the connection must be closed.
 func (p *Peer) Broke(id ID) {
 	c := p.conns[id]
 	if c == nil || c.inUse {
@@ -170,27 +171,27 @@
 	}
 }
 
-// Open returns the connections, in use, idle and being dialed.
+// Open returns the number of connections in use, idle and being dialed.
 func (p *Peer) Open() int { return len(p.conns) + p.dialing }
 
-// Idle returns the idle connections.
+// Idle returns the number of idle connections.
 func (p *Peer) Idle() int { return len(p.idle) }
 
-// Next returns when Tick is due, at the latest; it may be early.
+// Next returns the time by which Tick is due; it may be early.
 func (p *Peer) Next() time.Duration { return p.next }
 
-func (p *Peer) wake(at time.Duration) { p.next = min(p.next, at) }
+func (p *Peer) scheduleTick(at time.Duration) { p.next = min(p.next, at) }
 
-// estimate follows a time by its mean and mean deviation, as TCP does for its
+// rttEstimate tracks the mean and mean deviation of a time, as TCP does for its
 // retransmission timer (RFC 6298).
-type estimate struct {
+type rttEstimate struct {
 	mean, dev time.Duration
-	seen      bool
+	hasSample bool
 }
 
-func (e *estimate) add(d time.Duration) {
-	if !e.seen {
-		e.mean, e.dev, e.seen = d, d/2, true
+func (e *rttEstimate) add(d time.Duration) {
+	if !e.hasSample {
+		e.mean, e.dev, e.hasSample = d, d/2, true
 		return
 	}
 	diff := d - e.mean
@@ -198,4 +199,4 @@
 	e.dev += (diff.Abs() - e.dev) / 4
 }
 
-func (e *estimate) high() time.Duration { return e.mean + 4*e.dev }
+func (e *rttEstimate) upperBound() time.Duration { return e.mean + 4*e.dev }
--- a/internal/core/conn/peer_test.go
+++ b/internal/core/conn/peer_test.go
@@ -12,11 +12,10 @@
 
 const ms = time.Millisecond
 
-// Symptom: a caller gets a part of another request's answer.
-// Events: a call on a connection times out, is cancelled or its answer is read
-// in part; the connection goes back to the pool, and the next call reads what
-// is left. Cause: anything but a whole answer must close the connection.
-func TestOnlyWholeAnswersAreReused(t *testing.T) {
+// Guards against a caller receiving part of another request's response: a call times
+// out, is canceled or its response is read in part, its connection is reused, and
+// the next call reads the remaining bytes.
+func TestOnlyCompleteResponsesAllowReuse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.MaxConns, cfg.MaxIdle = 6, 3
@@ -47,7 +46,7 @@
 				if len(order) == 0 {
 					break
 				}
-				id := rapid.SampledFrom(order).Draw(t, "which") // may have ended before
+				id := rapid.SampledFrom(order).Draw(t, "which") // may have ended already
 				end := rapid.SampledFrom([]End{Aborted, Whole, WholeLast}).Draw(t, "end")
 				if keep := p.End(now, id, end); keep && (end != Whole || !inUse[id]) {
 					t.Fatalf("connection %d kept after end %d", id, end)
@@ -81,28 +80,28 @@
 	})
 }
 
-// call is one call in a network that forgets connections.
+// call is a call in a network that drops connection state.
 type call struct {
-	id    ID
-	began time.Duration
-	ends  time.Duration // when the peer answers
+	id         ID
+	began      time.Duration
+	answeredAt time.Duration // time of the peer's response
 }
 
-// network is a peer behind something that at one moment forgets all open
-// connections; new ones work.
+// network is a peer behind a device that at one instant drops the state of all open
+// connections; new connections work.
 type network struct {
-	t       *rapid.T
-	rng     *rand.Rand
-	p       *Peer
-	calls   []call
-	forgets time.Duration
-	opened  map[ID]time.Duration
-	asked   []ID
-	toldAt  time.Duration
+	t               *rapid.T
+	rng             *rand.Rand
+	p               *Peer
+	calls           []call
+	forgetsAt       time.Duration
+	opened          map[ID]time.Duration
+	probed          []ID
+	probeAnsweredAt time.Duration
 }
 
 func (n *network) dead(now time.Duration, id ID) bool {
-	return now >= n.forgets && n.opened[id] < n.forgets
+	return now >= n.forgetsAt && n.opened[id] < n.forgetsAt
 }
 
 func (n *network) start(now time.Duration) {
@@ -118,13 +117,13 @@
 	if n.rng.IntN(20) == 0 {
 		took = time.Duration(n.rng.Int64N(int64(9 * time.Second))) // slow, not dead
 	}
-	n.calls = append(n.calls, call{id: id, began: now, ends: now + took})
+	n.calls = append(n.calls, call{id: id, began: now, answeredAt: now + took})
 }
 
-// answers ends the calls whose answer gets through.
+// answers ends the calls whose response arrives.
 func (n *network) answers(now time.Duration) {
 	n.calls = slices.DeleteFunc(n.calls, func(c call) bool {
-		if now < c.ends || n.dead(c.ends, c.id) {
+		if now < c.answeredAt || n.dead(c.answeredAt, c.id) {
 			return false
 		}
 		n.p.End(now, c.id, Whole)
@@ -132,21 +131,21 @@
 	})
 }
 
-// tell is the peer's answer to the probe under way.
-func (n *network) tell(now time.Duration) {
-	if n.asked == nil || now < n.toldAt {
+// answerProbe delivers the peer's response to the probe in progress.
+func (n *network) answerProbe(now time.Duration) {
+	if n.probed == nil || now < n.probeAnsweredAt {
 		return
 	}
-	for _, id := range n.asked {
+	for _, id := range n.probed {
 		word := NotInHand
 		for _, c := range n.calls {
-			if c.id == id && now < c.ends && !n.dead(c.began, id) {
+			if c.id == id && now < c.answeredAt && !n.dead(c.began, id) {
 				word = InHand
 			}
 		}
 		n.p.Told(now, id, word)
 	}
-	n.asked = nil
+	n.probed = nil
 	n.p.Probed(now, true)
 }
 
@@ -154,36 +153,36 @@
 	for _, a := range n.p.Tick(now, nil) {
 		switch a.Kind {
 		case Probe:
-			n.asked, n.toldAt = a.Conns, now+3*ms
+			n.probed, n.probeAnsweredAt = a.Conns, now+3*ms
 		case Fail:
 			for _, id := range a.Conns {
 				i := slices.IndexFunc(n.calls, func(c call) bool { return c.id == id })
 				if !n.dead(now, id) {
-					n.t.Fatalf("slow call failed at %v: began %v, ends %v", now, n.calls[i].began, n.calls[i].ends)
+					n.t.Fatalf("slow call failed at %v: began %v, ends %v", now, n.calls[i].began, n.calls[i].answeredAt)
 				}
 				n.calls = slices.Delete(n.calls, i, i+1)
 			}
 		}
 	}
 	for _, c := range n.calls {
-		// From when the peer was done with the call, or never got it.
-		if n.dead(c.ends, c.id) && now > max(c.began, n.forgets)+max(c.ends-c.began, 0)+bound {
-			n.t.Fatalf("call sits on a dead connection at %v: began %v, forgotten %v", now, c.began, n.forgets)
+		// Counted from when the peer finished the call or failed to receive it.
+		if n.dead(c.answeredAt, c.id) && now > max(c.began, n.forgetsAt)+max(c.answeredAt-c.began, 0)+bound {
+			n.t.Fatalf("call still waits on a dead connection at %v: began %v, state dropped %v", now, c.began, n.forgetsAt)
 		}
 	}
 }
 
-// Symptom: calls hang until their deadline on connections that nothing closes,
-// while others to the same peer are answered.
-// Events: something between the ends forgets all open connections at once;
-// some calls are slow at the same time. Cause: silence alone tells neither.
+// Guards against calls that hang until their deadline on connections that nothing
+// closes, while other calls to the same peer succeed. A device on the path drops the
+// state of all open connections at once while some calls are slow; silence alone
+// does not distinguish the two.
 func TestSilentConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		n := &network{
 			t: t, p: NewPeer(&cfg), opened: map[ID]time.Duration{},
-			rng:     rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
-			forgets: 2*time.Second + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "forgets")),
+			rng:       rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
+			forgetsAt: 2*time.Second + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "forgets")),
 		}
 		const tick = 5 * ms
 		bound := cfg.Recheck + cfg.ProbeTimeout + cfg.Grace + cfg.ProbeGap + 2*tick
@@ -192,7 +191,7 @@
 				n.start(now)
 			}
 			n.answers(now)
-			n.tell(now)
+			n.answerProbe(now)
 			n.act(now, bound)
 		}
 		if len(n.calls) > 0 {
@@ -201,8 +200,8 @@
 	})
 }
 
-// silent returns a peer with one call that is silent from time 0.
-func silent(cfg *Config) (*Peer, ID) {
+// newSilentPeer returns a peer with one call that is silent from time 0.
+func newSilentPeer(cfg *Config) (*Peer, ID) {
 	p := NewPeer(cfg)
 	p.Take(0)
 	return p, p.Opened(0)
@@ -211,7 +210,7 @@
 func TestPeerThatCannotTell(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	p, id := silent(&cfg)
+	p, id := newSilentPeer(&cfg)
 	var failedAt time.Duration
 	for now := time.Duration(0); now < 20*time.Second && failedAt == 0; now += 10 * ms {
 		for _, a := range p.Tick(now, nil) {
@@ -228,7 +227,7 @@
 	is.Equal(p.Open(), 0)
 }
 
-func TestDeadConnectionCastsSuspicion(t *testing.T) {
+func TestDeadConnectionClosesInactiveIdleConnections(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	p := NewPeer(&cfg)
@@ -237,7 +236,7 @@
 		p.Take(0)
 		ids = append(ids, p.Opened(0))
 	}
-	is.True(p.End(10*ms, ids[1], Whole)) // idle since
+	is.True(p.End(10*ms, ids[1], Whole)) // idle from here on
 	acts := p.Tick(250*ms, nil)
 	is.Equal(acts, []Action{{Probe, []ID{ids[0], ids[2]}}})
 	p.Told(253*ms, ids[0], NotInHand)
@@ -245,15 +244,14 @@
 	p.Probed(253*ms, true)
 	acts = p.Tick(353*ms, nil)
 	is.Equal(acts, []Action{{Fail, []ID{ids[0]}}, {Close, []ID{ids[1]}}})
-	is.Equal(p.Open(), 1)                  // the slow one waits on
-	is.True(!p.End(400*ms, ids[0], Whole)) // too late: the connection is gone
+	is.Equal(p.Open(), 1)                  // the slow call keeps waiting
+	is.True(!p.End(400*ms, ids[0], Whole)) // too late: the connection was removed
 }
 
-// Symptom: while one call waits on a connection that may be dead, each further
-// one takes another such connection. Events: a peer that can't tell what it has
-// in hand; idle connections from before the silence. Cause: only proof closed
-// them.
-func TestDoubtClosesIdleConnections(t *testing.T) {
+// Guards against further calls taking idle connections that may be dead while one
+// call waits on such a connection and the peer can't tell what it is executing.
+// Closing idle connections only on proof would leave them in use.
+func TestUnknownCallStateClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	p := NewPeer(&cfg)
@@ -264,7 +262,7 @@
 	}
 	is.True(p.End(10*ms, ids[1], Whole))
 	is.Equal(p.Tick(250*ms, nil), []Action{{Probe, []ID{ids[0], ids[2]}}})
-	is.True(p.End(252*ms, ids[2], Whole)) // heard of since
+	is.True(p.End(252*ms, ids[2], Whole)) // active since
 	p.Told(253*ms, ids[0], CannotTell)
 	p.Probed(253*ms, true)
 	is.Equal(p.Tick(p.Next(), nil), []Action{{Close, []ID{ids[1]}}})
@@ -275,12 +273,12 @@
 func TestUnreachablePeer(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	p, id := silent(&cfg)
+	p, id := newSilentPeer(&cfg)
 	probes := 0
 	for now := time.Duration(0); now <= cfg.GiveUp; now += 10 * ms {
 		for _, a := range p.Tick(now, nil) {
 			if a.Kind == Probe {
-				probes++ // and nothing answers it
+				probes++ // never answered
 			}
 		}
 	}
@@ -288,7 +286,7 @@
 	is.True(!p.End(cfg.GiveUp, id, Whole))
 }
 
-func usual(p *Peer, now time.Duration) time.Duration {
+func completeCall(p *Peer, now time.Duration) time.Duration {
 	now += ms
 	id, offer := p.Take(now)
 	if offer == Dial {
@@ -303,8 +301,8 @@
 func TestAllocs(t *testing.T) {
 	cfg := DefaultConfig()
 	p := NewPeer(&cfg)
-	now := usual(p, 0)
-	if n := testing.AllocsPerRun(1000, func() { now = usual(p, now) }); n != 0 {
+	now := completeCall(p, 0)
+	if n := testing.AllocsPerRun(1000, func() { now = completeCall(p, now) }); n != 0 {
 		t.Fatalf("%v allocations", n)
 	}
 }
@@ -315,13 +313,13 @@
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		now = usual(p, now)
+		now = completeCall(p, now)
 	}
 }
 
-// Guards against connections that are closed and dialed again in each lull, though the
-// peer says that it keeps them, and against calls on those that it is about to close.
-func TestIdleConnectionsAreKeptForAsLongAsThePeerSays(t *testing.T) {
+// Guards against closing and redialing connections in each lull although the peer
+// keeps them open, and against calls on connections that the peer is about to close.
+func TestIdleTimeoutFollowsPeer(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.IdleTimeout = 4 * time.Second
