--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -1,80 +1,81 @@
-// Package budget bounds what a node spends on control traffic, in bytes a second
-// sent plus received, and orders what is put off when that is short.
+// Package budget limits the control traffic of a node, in bytes per second sent
+// plus received, and orders traffic that is deferred when the budget is short.
 //
-// Membership and configuration share one Bucket. Whoever carries the messages
-// reports what they cost on the wire, of whatever kind, to Spend; before
-// something is sent that could wait, its class is asked for with Allows. What
-// others send can't be refused: the bucket may go into debt, which is paid
-// before anything else.
+// Membership and configuration share one Bucket. The transport reports the
+// bytes of every message on the wire to Spend; before sending traffic that can
+// be deferred, the sender calls Allows for its class. Received traffic can't be
+// refused: the bucket may go into debt, which is repaid before anything else is
+// allowed.
 //
-// A Bucket is pure and not safe for concurrent use.
+// A Bucket does no I/O and is not safe for concurrent use.
 package budget
 
 import "time"
 
-// Class orders what can be put off; a lower one goes first.
+// Class is the priority class of deferrable traffic; lower values go first.
 type Class uint8
 
 const (
-	// Drain is the news that members leave or have left.
+	// Drain is the announcement that members are leaving or have left.
 	Drain Class = iota
-	// Head is the news of configuration heads and of other facts.
+	// Head is the announcement of configuration heads and other facts.
 	Head
-	// Change is the news of deaths and joins.
+	// Change is the announcement of deaths and joins.
 	Change
-	// Bulk is the whole membership, for members that join.
+	// Bulk is the full membership, sent to joining members.
 	Bulk
-	// Conn is a connection of its own for what could ride along with heartbeats:
-	// what changed in the configuration. Riding along, that comes after heads and
-	// before changes, and is not put off.
+	// Conn is a separate connection for configuration changes that could be
+	// piggybacked on heartbeats. Piggybacked, they come after heads and before
+	// changes and are not deferred.
 	Conn
 )
 
-// reserve is the part of the limit that must be left for a class not to wait.
+// reserve is the fraction of the limit that must remain for a class to be sent.
 //
-// A drain needs enough for one exchange. Heads: with less, messages of their own
-// for heads took what deaths and deltas need (trials at 0.25 and 0.4). Conn: with less, nodes
-// of which each had just enough left opened connections to others that had not.
+// Drain needs enough for one exchange. With less for Head, separate messages for
+// heads used the budget that deaths and deltas need (trials at 0.25 and 0.4). With
+// less for Conn, nodes that each had just enough left opened connections to others
+// that did not.
 var reserve = [...]float64{Drain: 0.115, Head: 0.5, Change: 0.5, Bulk: 0.5, Conn: 0.8}
 
-// Bucket is a token bucket of bytes.
+// Bucket is a token bucket that counts bytes.
 type Bucket struct {
-	rate   float64 // bytes per second
-	limit  float64
-	tokens float64
-	last   time.Duration
-	begun  bool
+	rate       float64 // bytes per second
+	limit      float64
+	tokens     float64
+	lastRefill time.Duration
+	started    bool
 }
 
-// New returns a bucket of rate bytes a second that saves up at most burst of it,
-// and holds start bytes or as much as it saves up, whichever is more.
+// New returns a bucket that refills at rate bytes per second up to the amount of
+// burst, and initially holds start bytes or that amount, whichever is larger.
 func New(rate int, burst time.Duration, start int) *Bucket {
 	limit := float64(rate) * burst.Seconds()
 	return &Bucket{rate: float64(rate), limit: limit, tokens: max(limit, float64(start))}
 }
 
-// Refill brings the bucket up to now.
+// Refill adds the tokens accumulated until now.
 func (b *Bucket) Refill(now time.Duration) {
-	if b.begun && now > b.last {
-		b.tokens = max(b.tokens, min(b.limit, b.tokens+b.rate*(now-b.last).Seconds()))
+	if b.started && now > b.lastRefill {
+		b.tokens = max(b.tokens, min(b.limit, b.tokens+b.rate*(now-b.lastRefill).Seconds()))
 	}
-	b.last, b.begun = now, true
+	b.lastRefill, b.started = now, true
 }
 
-// maxDebt is the part of the limit that may be owed. What exceeds it, as when
-// many members start at once, is forgiven: a node that is mute for long would
-// look dead.
+// maxDebt is the maximum debt as a fraction of the limit. Debt beyond it, as when
+// many members start at once, is forgiven: a node that is silent for long would be
+// taken for dead.
 const maxDebt = 0.25
 
-// Spend notes bytes that were sent or received.
+// Spend deducts bytes that were sent or received.
 func (b *Bucket) Spend(bytes int) { b.tokens = max(b.tokens-float64(bytes), -maxDebt*b.limit) }
 
-// Tokens returns the bytes that are left; negative in debt.
+// Tokens returns the remaining bytes; negative in debt.
 func (b *Bucket) Tokens() int { return int(b.tokens) }
 
-// Limit returns the bytes that can be saved up.
+// Limit returns the capacity of the bucket in bytes.
 func (b *Bucket) Limit() int { return int(b.limit) }
 
-// Allows reports whether something of the class may be sent now. A nil bucket
-// allows everything.
+// Allows reports whether traffic of the class may be sent now. A nil bucket allows
+// everything.
 func (b *Bucket) Allows(c Class) bool { return b == nil || b.tokens > reserve[c]*b.limit }
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a drain or a head waits while a storm of joins is told. Events: any
-// order of spending and pauses. Cause: a later class is allowed what an earlier
-// one is not.
-func TestEarlierClassesGoFirst(t *testing.T) {
+// Guards against a lower-priority class being allowed while a higher one is not,
+// which would delay drains and heads during a storm of joins.
+func TestClassPriorityOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := New(2600, 2*time.Second, rapid.IntRange(0, 40000).Draw(rt, "start"))
 		now := time.Duration(0)
@@ -28,9 +27,9 @@
 	})
 }
 
-// Over any time, what is spent while a class is allowed stays within the rate and
-// what was saved up; a debt is paid first and is forgiven beyond a bound.
-func TestBucketBoundsWhatIsAllowed(t *testing.T) {
+// Over any interval, spending while a class is allowed is bounded by the rate plus
+// the burst; debt is repaid first, and debt beyond a bound is forgiven.
+func TestBucketBoundsAllowedTraffic(t *testing.T) {
 	is := is.New(t)
 	const rate, cost = 1000, 100
 	b := New(rate, 2*time.Second, 0)
@@ -44,7 +43,7 @@
 	is.True(spent <= 12*rate)
 	is.True(spent >= 11*rate)
 	b.Spend(1_000_000)
-	is.Equal(b.Tokens(), -rate/2) // a quarter of what can be saved up
+	is.Equal(b.Tokens(), -rate/2) // a quarter of the limit
 	b.Refill(10*time.Second + 600*time.Millisecond)
 	is.True(!b.Allows(Drain))
 	b.Refill(11 * time.Second)
