--- a/internal/cadence/cadence.go
+++ b/internal/cadence/cadence.go
@@ -1,23 +1,23 @@
-// Package cadence puts periodic work of different parts of a process on the same
-// instants. Waking an idle process costs more than most of the work that it is woken for,
-// so what may wait some milliseconds should share a wake-up.
+// Package cadence aligns periodic work of different parts of a process to common
+// instants. Waking an idle process costs more than most of the work it wakes for, so
+// work that can wait a few milliseconds shares a wake-up.
 package cadence
 
 import "time"
 
-// start is where the instants are counted from.
-var start = time.Now()
+// processStart is the origin of the common instants.
+var processStart = time.Now()
 
-// Until returns the time from now to the next instant, a multiple of step since the
-// process began, that is at least d away.
+// Until returns the time from now to the next multiple of step since the process
+// started that is at least d away.
 func Until(now time.Time, d, step time.Duration) time.Duration {
-	return until(now.Sub(start), d, step)
+	return untilNext(now.Sub(processStart), d, step)
 }
 
-func until(now, d, step time.Duration) time.Duration {
-	at := now + max(d, 0)
-	if over := at % step; over > 0 {
-		at += step - over
+func untilNext(now, d, step time.Duration) time.Duration {
+	next := now + max(d, 0)
+	if remainder := next % step; remainder > 0 {
+		next += step - remainder
 	}
-	return at - now
+	return next - now
 }
--- a/internal/cadence/cadence_test.go
+++ b/internal/cadence/cadence_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWorkFallsOnTheSameInstants(t *testing.T) {
+func TestUntilAlignsToCommonInstants(t *testing.T) {
 	is := is.New(t)
 	const step = 100 * time.Millisecond
 	for _, tc := range []struct{ now, d, want time.Duration }{
@@ -18,6 +18,6 @@
 		{30 * time.Millisecond, 71 * time.Millisecond, 170 * time.Millisecond},
 		{step, -time.Second, 0},
 	} {
-		is.Equal(until(tc.now, tc.d, step), tc.want)
+		is.Equal(untilNext(tc.now, tc.d, step), tc.want)
 	}
 }
