--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -116,8 +116,8 @@
 		{"longer than half of it, a quarter free", 2, 60 * ms, Admit, ""},
 		{"shorter than the service time, none free", 3, 90 * ms, Refuse, status.CodeDeadline},
 		{"long enough", 0, 200 * ms, Admit, ""},
-		{"not with the wait", 7, 130 * ms, Refuse, status.CodeOverloaded}, // 3 running, 4 queued: 100 ms
-		{"with the wait", 7, 300 * ms, Queue, ""},
+		{"too short including the wait", 7, 130 * ms, Refuse, status.CodeOverloaded}, // 3 running, 4 queued: 100 ms
+		{"long enough including the wait", 7, 300 * ms, Queue, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
