--- a/internal/core/early/table.go
+++ b/internal/core/early/table.go
@@ -36,7 +36,7 @@
 type targetReports struct {
 	target      request.TargetID
 	lastLevel   request.Level
-	spanMin     request.Level // minimum since spanStart
+	level       request.Level // minimum since spanStart; in Table.sorted the level compared
 	prevSpanMin request.Level // minimum of the previous span
 	spanStart   time.Duration
 	weight      int
@@ -53,17 +53,17 @@
 func (h *targetReports) record(level request.Level, weight int, now, span time.Duration) {
 	switch {
 	case now-h.spanStart >= 2*span:
-		h.spanMin, h.prevSpanMin, h.spanStart = level, level, now
+		h.level, h.prevSpanMin, h.spanStart = level, level, now
 	case now-h.spanStart >= span:
-		h.spanMin, h.prevSpanMin, h.spanStart = level, h.spanMin, now
+		h.level, h.prevSpanMin, h.spanStart = level, h.level, now
 	default:
-		h.spanMin = min(h.spanMin, level)
+		h.level = min(h.level, level)
 	}
 	h.lastLevel, h.weight, h.reportedAt = level, weight, now
 }
 
 // recentMin returns the lowest level reported in the last one to two spans.
-func (h *targetReports) recentMin() request.Level { return min(h.spanMin, h.prevSpanMin) }
+func (h *targetReports) recentMin() request.Level { return min(h.level, h.prevSpanMin) }
 
 func (h *targetReports) latest() request.Level { return h.lastLevel }
 
@@ -116,8 +116,8 @@
 	}
 }
 
-// entry returns the slot for a target: its existing one, a new one, or the one with
-// the oldest report.
+// entry returns the reports of a target: existing ones, new ones, or new ones in
+// place of those with the oldest report.
 func (l *keyLevels) entry(id request.TargetID, limit int) *targetReports {
 	oldest := 0
 	for i := range l.targets {
@@ -283,7 +283,7 @@
 			continue
 		}
 		total += h.weight
-		t.insert(targetReports{spanMin: t.ageLevel(of(h), age), weight: h.weight})
+		t.insert(targetReports{level: t.ageLevel(of(h), age), weight: h.weight})
 	}
 	if len(t.sorted) < min(t.cfg.MinTargets, known) {
 		return 0
@@ -293,7 +293,7 @@
 	for i := range t.sorted {
 		sum += t.sorted[i].weight
 		if float64(sum) > limit {
-			return t.sorted[i].spanMin
+			return t.sorted[i].level
 		}
 	}
 	return 0
@@ -302,7 +302,7 @@
 // insert adds a report to the scratch space, in ascending order of level.
 func (t *Table) insert(h targetReports) {
 	t.sorted = append(t.sorted, h)
-	for i := len(t.sorted) - 1; i > 0 && t.sorted[i-1].spanMin > h.spanMin; i-- {
+	for i := len(t.sorted) - 1; i > 0 && t.sorted[i-1].level > h.level; i-- {
 		t.sorted[i], t.sorted[i-1] = t.sorted[i-1], t.sorted[i]
 	}
 }
