--- a/internal/core/limit/delay_test.go
+++ b/internal/core/limit/delay_test.go
@@ -38,11 +38,11 @@
 		wait    func(i int) time.Duration
 		queues  bool
 	}{
-		{"as ever", 1, noWait, false},
+		{"unchanged", 1, noWait, false},
 		{"four times slower", 4, noWait, false},
 		{"ten times slower", 10, noWait, false},
-		{"a queue that grows, then stands", 1, queue, true},
-		{"a wait that is small beside the times", 1, func(int) time.Duration { return 20 * time.Millisecond }, false},
+		{"queue that grows, then stays constant", 1, queue, true},
+		{"wait that is small relative to the times", 1, func(int) time.Duration { return 20 * time.Millisecond }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/limit/probe.go
+++ b/internal/core/limit/probe.go
@@ -263,9 +263,9 @@
 }
 
 // inflated reports whether the target's own time per request exceeds the best time
-// by the given factor. A target with slow callees does not queue internally:
-// otherwise each service above a slow one would try fewer slots and refuse requests
-// that it could serve, until seconds after the slow one has recovered.
+// by the given factor. Waiting for callees does not count: otherwise each service
+// above a slow one would try fewer slots, refuse requests that it could serve, and
+// continue to do so for seconds after the slow one has recovered.
 func (p *Probe) inflated(r reading, by float64) bool {
 	return float64(r.ownTime) > by*float64(p.bestTime)
 }
