--- a/internal/core/retry/allowance.go
+++ b/internal/core/retry/allowance.go
@@ -2,12 +2,12 @@
 
 import "peardrift/internal/core/request"
 
-// MaxAllowance caps an allowance, in extra attempts, so that a caller's
-// malformed or hostile number can't undo the bound.
+// MaxAllowance caps an allowance, in extra attempts, so that a malformed or hostile
+// value from a caller can't lift the bound.
 const MaxAllowance = 64
 
-// RequestAllowance is the allowance of one request at one node, in extra attempts.
-// The zero value holds nothing.
+// RequestAllowance is the number of extra attempts that one request may still make at
+// one node. The zero value allows none.
 type RequestAllowance struct {
 	left   int
 	made   int
@@ -15,25 +15,25 @@
 	closed bool
 }
 
-// NewRequestAllowance returns the allowance of a request that came with the given allowance,
-// cut to 0..MaxAllowance. repeat says that an earlier attempt of the same call
-// may have run; then each call made below costs one.
+// NewRequestAllowance returns the allowance of a request that arrived with the given
+// number of extra attempts, clamped to 0..MaxAllowance. repeat reports that an earlier
+// attempt of the same call may have run; each call made below then costs one.
 func NewRequestAllowance(allowance int, repeat bool) RequestAllowance {
 	return RequestAllowance{left: min(max(allowance, 0), MaxAllowance), repeat: repeat}
 }
 
-// Left returns the extra attempts that are left here.
+// Left returns the remaining extra attempts.
 func (p *RequestAllowance) Left() int { return p.left }
 
-// Made returns the attempts made by and below this node for the request, as
-// far as answers told; the node reports it upward with its answer.
+// Made returns the attempts made for the request by this node and below it, as far as
+// answers reported them. The node reports it upstream with its answer.
 func (p *RequestAllowance) Made() int { return p.made }
 
 // Repeat reports whether this execution repeats one that may have run.
 func (p *RequestAllowance) Repeat() bool { return p.repeat }
 
-// Call is one sub-call of a request: the attempts made of it so far.
-// The zero value is a call of which no attempt was made.
+// Call counts the attempts of one sub-call of a request. The zero value is a call
+// without attempts.
 type Call struct {
 	attempts int
 	runs     int
@@ -43,10 +43,10 @@
 // Attempts returns the attempts started so far.
 func (c *Call) Attempts() int { return c.attempts }
 
-// Runs returns the attempts that got past a refusal.
+// Runs returns the attempts that weren't refused.
 func (c *Call) Runs() int { return c.runs }
 
-// MayHaveRun reports whether some attempt got past a refusal.
+// MayHaveRun reports whether any attempt wasn't refused.
 func (c *Call) MayHaveRun() bool { return c.ran }
 
 // Grant is what one attempt carries to the callee. It is settled once.
@@ -57,28 +57,28 @@
 	Repeat bool
 
 	open bool
-	paid bool // by one extra attempt
+	paid bool // cost one extra attempt
 }
 
-// Answer is what an attempt's answer says about the allowance.
+// Answer is what the answer to an attempt reports about the allowance.
 type Answer struct {
-	// Outcome of the attempt; Unknown if there was no whole answer.
+	// Outcome of the attempt; Unknown without a complete answer.
 	Outcome request.Outcome
-	// Unspent is the part of the grant that the callee didn't use. Of an attempt
-	// without an answer it is 0 (lost is spent), unless the outcome is Refused.
+	// Unspent is the unused part of the grant. Without an answer it is 0, because a
+	// lost grant counts as spent, unless the outcome is Refused.
 	Unspent int
-	// Made is the attempts that the callee reports to have been made below it.
+	// Made is the number of attempts that the callee reports below it.
 	Made int
-	// Free: the attempt was refused before it got to a target, where such attempts
-	// cost nothing (Config.RefusedFree).
+	// Free is set if the attempt was refused before it reached a target and such
+	// attempts cost nothing (Config.RefusedFree).
 	Free bool
 }
 
-// Start pays for the next attempt of c and returns what it carries. It returns
-// false, and changes nothing, if the attempt must be paid for and nothing is
-// left, or the allowance is closed; the call is then refused with
-// status.CodeRetriesExhausted. below is the callee's usual number of calls
-// (Cost.Below): a callee that makes none is given no allowance.
+// Start charges the next attempt of c and returns what it carries. It returns false,
+// and changes nothing, if the attempt costs an extra attempt and none is left, or if
+// the allowance is closed; the call is then refused with status.CodeRetriesExhausted.
+// below is the expected number of calls that the callee makes (Cost.Below); a callee
+// that makes none gets no allowance.
 func (p *RequestAllowance) Start(c *Call, below int) (Grant, bool) {
 	if p.closed {
 		return Grant{}, false
@@ -91,35 +91,35 @@
 		p.left--
 	}
 	g := Grant{Repeat: p.repeat || c.ran, open: true, paid: paid}
-	g.Allowance = p.take(p.share(g.Repeat, below))
+	g.Allowance = p.take(p.grantSize(g.Repeat, below))
 	c.attempts++
 	p.made++
 	return g, true
 }
 
-// grantFirst is what a first execution takes along: enough for one retry where
-// the failure is, little enough that a lost answer doesn't take the means to
-// repeat the call with it, and that calls made side by side each get some.
-const grantFirst = 1
+// firstGrant is the allowance that a first execution carries: enough for one retry
+// close to the failure, and little enough that a lost answer leaves the caller the
+// means to repeat the call and that parallel calls each get some.
+const firstGrant = 1
 
-// share is how much one attempt takes along. A repeat gets what its calls will
-// cost, since each of them must be paid for, and all that is left while that is not
-// known.
-func (p *RequestAllowance) share(repeat bool, below int) int {
+// grantSize returns the allowance that one attempt carries. A repeat gets as many as it
+// has calls below, since each of them costs one, or all that is left while that number
+// is unknown.
+func (p *RequestAllowance) grantSize(repeat bool, below int) int {
 	switch {
 	case below == 0 || repeat && below > 0:
 		return below
 	case repeat:
 		return p.left
 	default:
-		return grantFirst
+		return firstGrant
 	}
 }
 
-// Settle ends an attempt and takes back the unspent part of its grant. A second
-// call with the same grant does nothing (a duplicated answer must not create
-// allowance), nor does one after Close (a late answer's part was already
-// reported upward as spent).
+// Settle ends an attempt and returns the unspent part of its grant to the allowance. A
+// second call with the same grant does nothing, so that a duplicated answer can't
+// create allowance. After Close nothing is returned, because the grant was already
+// reported upstream as spent.
 func (p *RequestAllowance) Settle(c *Call, g *Grant, a Answer) {
 	if !g.open {
 		return
@@ -134,13 +134,13 @@
 	}
 	p.left += min(max(a.Unspent, 0), g.Allowance)
 	if a.Free && g.paid {
-		p.left++ // the attempts of one call stay bounded by Config.PerCall
+		p.left++ // Config.PerCall still bounds the attempts of the call
 	}
 	p.made += max(a.Made, 0)
 }
 
-// Close ends the request here and returns the unspent part, to be reported
-// upward. Grants still out count as spent. Later calls change nothing.
+// Close ends the request at this node and returns the unspent part, to be reported
+// upstream. Outstanding grants count as spent. Later calls change nothing.
 func (p *RequestAllowance) Close() int {
 	n := p.left
 	p.left, p.closed = 0, true
@@ -153,14 +153,14 @@
 	return n
 }
 
-// Cost is the running mean of the calls that an attempt at a callee makes
+// Cost is the moving average of the number of calls that an attempt at a callee makes
 // below it, for one service and class at one node.
 type Cost struct {
 	mean float64
 	seen bool
 }
 
-// Observe takes in the Made of an attempt that completed.
+// Observe records Answer.Made of a completed attempt.
 func (c *Cost) Observe(cfg *Config, made int) {
 	if !c.seen {
 		c.mean, c.seen = float64(made), true
@@ -169,17 +169,17 @@
 	c.mean += cfg.CostWeight * (float64(made) - c.mean)
 }
 
-// roundDown keeps the tail of a decaying mean from counting as a whole call.
-const roundDown = 0.05
+// roundingTolerance keeps the tail of a decaying mean from counting as a whole call.
+const roundingTolerance = 0.05
 
-// Below returns the expected number of calls below an attempt, rounded up, or
-// -1 if nothing is known yet.
+// Below returns the expected number of calls below an attempt, rounded up, or -1
+// without observations.
 func (c *Cost) Below() int {
 	if !c.seen {
 		return -1
 	}
 	n := int(c.mean)
-	if c.mean-float64(n) > roundDown {
+	if c.mean-float64(n) > roundingTolerance {
 		n++
 	}
 	return n
--- a/internal/core/retry/allowance_test.go
+++ b/internal/core/retry/allowance_test.go
@@ -10,10 +10,10 @@
 	"peardrift/internal/core/request"
 )
 
-// call is one position in a call graph: a call and the calls it makes.
+// call is a node of a call graph: a call and the calls it makes.
 type call struct {
-	kids []*call
-	size int
+	children []*call
+	size     int
 }
 
 func drawGraph(rng *rand.Rand, depth int) *call {
@@ -23,36 +23,36 @@
 	}
 	for range rng.IntN(4) {
 		k := drawGraph(rng, depth-1)
-		c.kids = append(c.kids, k)
+		c.children = append(c.children, k)
 		c.size += k.size
 	}
 	return c
 }
 
-// fate is what happens to one attempt.
-type fate int
+// attemptResult is what happens to one attempt.
+type attemptResult int
 
 const (
-	completes fate = iota
+	completes attemptResult = iota
 	refused
-	neverArrives     // connection broken, the callee saw nothing
+	neverArrives     // the connection broke before the callee received it
 	answerLost       // ran, its answer is lost
 	answerDuplicated // ran, its answer comes twice
-	answerLate       // the caller gives up, the callee runs later and answers late
+	answerLate       // the caller times out, the callee runs and answers later
 	fails            // ran and failed
-	fates
+	numResults
 )
 
-// chain runs a request over a graph; every failed attempt is made again as long
-// as the allowance pays for it, which is the worst that any decider can do.
-type chain struct {
+// graphRun runs a request over a call graph. It retries every failed attempt for as
+// long as the allowance lasts, which is the worst that any retry policy can do.
+type graphRun struct {
 	rng      *rand.Rand
 	attempts int
 	reached  map[*call]bool
-	later    []func() // zombies: executions that their callers gave up on
+	late     []func() // executions whose callers timed out
 }
 
-func (ch *chain) call(c *call, p *RequestAllowance) {
+func (ch *graphRun) call(c *call, p *RequestAllowance) {
 	var sub Call
 	for {
 		ch.runLater(false)
@@ -69,10 +69,10 @@
 	}
 }
 
-// attempt plays one attempt and reports whether the caller is content.
-func (ch *chain) attempt(c *call, p *RequestAllowance, sub *Call, g *Grant) bool {
+// attempt simulates one attempt and reports whether the caller accepts the result.
+func (ch *graphRun) attempt(c *call, p *RequestAllowance, sub *Call, g *Grant) bool {
 	lost := Answer{Outcome: request.Unknown}
-	switch f := fate(ch.rng.IntN(int(fates))); f {
+	switch f := attemptResult(ch.rng.IntN(int(numResults))); f {
 	case refused:
 		p.Settle(sub, g, Answer{Outcome: request.Refused, Unspent: g.Allowance})
 		return ch.rng.IntN(2) == 0
@@ -86,7 +86,7 @@
 	case answerLate:
 		carried := *g
 		p.Settle(sub, g, lost)
-		ch.later = append(ch.later, func() { p.Settle(sub, g, ch.run(c, carried)) })
+		ch.late = append(ch.late, func() { p.Settle(sub, g, ch.run(c, carried)) })
 		return false
 	default:
 		a := ch.run(c, *g)
@@ -98,34 +98,33 @@
 	}
 }
 
-// run executes a call at its callee with what the attempt carried.
-func (ch *chain) run(c *call, g Grant) Answer {
+// run executes a call at its callee with the grant of the attempt.
+func (ch *graphRun) run(c *call, g Grant) Answer {
 	p := NewRequestAllowance(g.Allowance, g.Repeat)
-	for _, k := range c.kids {
+	for _, k := range c.children {
 		ch.call(k, &p)
 	}
 	return Answer{Outcome: request.Completed, Made: p.Made(), Unspent: p.Close()}
 }
 
-func (ch *chain) runLater(all bool) {
-	for len(ch.later) > 0 && (all || ch.rng.IntN(2) == 0) {
-		f := ch.later[0]
-		ch.later = ch.later[1:]
+func (ch *graphRun) runLater(all bool) {
+	for len(ch.late) > 0 && (all || ch.rng.IntN(2) == 0) {
+		f := ch.late[0]
+		ch.late = ch.late[1:]
 		f()
 	}
 }
 
-// Symptom: one slow lookup deep in a chain turns into dozens of calls.
-// Events: each hop retries on its own; answers are lost, late or duplicated,
-// executions that their callers gave up on go on making calls.
-// Cause: no hop knows what the others spent. The allowance bounds the sum.
+// Guards against retry amplification: each hop retries on its own while answers are
+// lost, late or duplicated and abandoned executions go on making calls. The allowance
+// bounds the attempts of all hops together.
 func TestChainBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		depth := rapid.IntRange(0, 4).Draw(t, "depth")
 		a := rapid.IntRange(0, 12).Draw(t, "allowance")
 		for range 100 { // requests
-			ch := &chain{rng: rng, reached: map[*call]bool{}}
+			ch := &graphRun{rng: rng, reached: map[*call]bool{}}
 			entry := NewRequestAllowance(a, false)
 			ch.call(drawGraph(rng, depth), &entry)
 			entry.Close()
@@ -150,19 +149,19 @@
 	p.Settle(&a, &ga, Answer{Outcome: request.Refused, Unspent: 1})
 	is.Equal(p.Left(), 6)
 	again, _ := p.Start(&a, -1)
-	is.True(!again.Repeat) // refused: nothing ran yet
+	is.True(!again.Repeat) // after a refusal the next attempt is no repeat
 	p.Settle(&b, &gb, Answer{})
 	repeat, _ := p.Start(&b, 2)
 	is.True(repeat.Repeat)
-	is.Equal(repeat.Allowance, 2) // what its two calls will cost
-	is.Equal(p.Close(), 1)        // 1 + 1 went for a, 1 + 2 for b
+	is.Equal(repeat.Allowance, 2) // one for each of its two calls
+	is.Equal(p.Close(), 1)        // 1 + 1 spent on a, 1 + 2 on b
 	p.Settle(&a, &again, Answer{Unspent: 1})
-	is.Equal(p.Left(), 0) // too late
+	is.Equal(p.Left(), 0) // settled after Close
 	_, ok = p.Start(&a, 0)
 	is.True(!ok)
 }
 
-func TestRequestAllowanceUnspentIsCapped(t *testing.T) {
+func TestRequestAllowanceCapsUnspent(t *testing.T) {
 	is := is.New(t)
 	p := NewRequestAllowance(1000, false)
 	is.Equal(p.Left(), MaxAllowance)
@@ -170,12 +169,12 @@
 	var c Call
 	g, _ := p.Start(&c, -1)
 	p.Settle(&c, &g, Answer{Outcome: request.Completed, Unspent: 50})
-	is.Equal(p.Left(), 2) // a callee can't hand back more than it got
+	is.Equal(p.Left(), 2) // a callee can't return more than its grant
 }
 
-// Guards against a repeat that fails halfway for want of allowance while others' costs
-// are not known: it has to pay for each call that it makes.
-func TestARepeatOfUnknownCostTakesAllThatIsLeft(t *testing.T) {
+// Guards against a repeat that runs out of allowance halfway, since it pays for each
+// call below it, while the number of these calls is unknown.
+func TestRepeatOfUnknownCostGetsWholeAllowance(t *testing.T) {
 	is := is.New(t)
 	entry := NewRequestAllowance(4, false)
 	var call Call
@@ -194,5 +193,5 @@
 		run.Settle(&sub, &g, Answer{Outcome: request.Completed})
 	}
 	entry.Settle(&call, &again, Answer{Outcome: request.Completed, Unspent: run.Close()})
-	is.Equal(entry.Left(), 0) // 4, less a lost grant, the repeat and its two calls
+	is.Equal(entry.Left(), 0) // 4, minus the lost grant, the repeat and its two calls
 }
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_sim_test.go
@@ -9,15 +9,14 @@
 	"peardrift/internal/status"
 )
 
-// lookup is a chain of calls, each node calling the next one once, whose last
-// service is the archive. It counts what a request costs when the archive's
-// answers don't come in time.
-type lookup struct {
+// chainSim is a chain of services, each calling the next one once. It counts the
+// attempts that a request makes while answers of the last service time out.
+type chainSim struct {
 	cfg      *Config
 	rng      *rand.Rand
 	depth    int
-	slow     float64 // share of archive calls that time out
-	lost     float64 // share of other calls whose answer is lost
+	slow     float64 // fraction of calls of the last service that time out
+	lost     float64 // fraction of other calls whose answer is lost
 	attempts int
 	costs    []Cost
 	budgets  []ServiceBudget
@@ -25,9 +24,9 @@
 	now      time.Duration
 }
 
-func newLookup(depth int, slow, lost float64) *lookup {
+func newChainSim(depth int, slow, lost float64) *chainSim {
 	cfg := DefaultConfig()
-	l := &lookup{
+	l := &chainSim{
 		cfg: &cfg, rng: rand.New(rand.NewPCG(1, 2)), depth: depth, slow: slow, lost: lost,
 		costs: make([]Cost, depth), budgets: make([]ServiceBudget, depth),
 	}
@@ -38,9 +37,9 @@
 	return l
 }
 
-// perHop makes the call at a depth with up to PerCall tries of its own, as
-// clients do that know nothing of each other.
-func (l *lookup) perHop(d int) bool {
+// perHop makes the call at a depth with up to PerCall attempts at each hop, like
+// clients that retry independently of each other.
+func (l *chainSim) perHop(d int) bool {
 	for range l.cfg.PerCall {
 		l.attempts++
 		if (d+1 == l.depth || l.perHop(d+1)) && !l.fails(d) {
@@ -50,15 +49,15 @@
 	return false
 }
 
-func (l *lookup) fails(d int) bool {
+func (l *chainSim) fails(d int) bool {
 	if d+1 == l.depth {
 		return l.rng.Float64() < l.slow
 	}
 	return l.rng.Float64() < l.lost
 }
 
-// bounded makes it with the request's allowance.
-func (l *lookup) bounded(d int, p *RequestAllowance) bool {
+// bounded makes the call with the request's allowance.
+func (l *chainSim) bounded(d int, p *RequestAllowance) bool {
 	var sub Call
 	for {
 		g, ok := p.Start(&sub, l.costs[d].Below())
@@ -68,7 +67,7 @@
 		l.attempts++
 		a := l.run(d, g)
 		if l.fails(d) {
-			a = Answer{} // its answer, with what it brought back, is lost
+			a = Answer{} // the answer is lost together with the unspent grant
 		}
 		p.Settle(&sub, &g, a)
 		if a.Outcome == request.Completed {
@@ -85,7 +84,7 @@
 	}
 }
 
-func (l *lookup) run(d int, g Grant) Answer {
+func (l *chainSim) run(d int, g Grant) Answer {
 	if d+1 == l.depth {
 		return Answer{Outcome: request.Completed, Unspent: g.Allowance}
 	}
@@ -98,20 +97,19 @@
 	return a
 }
 
-// request is one request from its entry node, 10 ms after the one before.
-func (l *lookup) request() bool {
+// request sends one request from its entry node, 10 ms after the previous one.
+func (l *chainSim) request() bool {
 	l.now += 10 * time.Millisecond
 	p := NewRequestAllowance(l.cfg.Attempts, false)
 	return l.bounded(0, &p)
 }
 
-// Symptom: a single slow archive lookup turns into dozens of calls.
-// Events: the archive, four calls deep, answers nothing in time; each hop tries
-// three times. Cause: tries of the hops multiply.
-func TestSlowLookup(t *testing.T) {
+// Guards against multiplied retries: with three attempts per hop, a service four calls
+// deep that answers nothing in time would get dozens of calls per request.
+func TestSlowServiceDoesNotMultiplyRetries(t *testing.T) {
 	const requests = 1000
-	l := newLookup(4, 0, 0)
-	for range requests { // the costs are learned while all is well
+	l := newChainSim(4, 0, 0)
+	for range requests { // learn the costs without failures
 		l.request()
 	}
 	l.slow, l.attempts = 1, 0
@@ -125,12 +123,12 @@
 		t.Fatalf("%d attempts for one request", worst)
 	}
 	if most := requests*4 + requests/10; l.attempts > most {
-		t.Fatalf("%d attempts, at most %d expected with the budget", l.attempts, most)
+		t.Fatalf("%d attempts; the budget allows at most %d", l.attempts, most)
 	}
 }
 
-// BenchmarkLookup reports attempts for each request and the share completed, of
-// 20,000 requests four calls deep.
+// BenchmarkLookup reports the attempts per request and the fraction of completed
+// requests, for 20,000 requests four calls deep.
 func BenchmarkLookup(b *testing.B) {
 	cases := []struct {
 		name       string
@@ -143,17 +141,17 @@
 	}
 	for _, c := range cases {
 		b.Run(c.name+"/per-hop", func(b *testing.B) {
-			l := newLookup(4, c.slow, c.lost)
+			l := newChainSim(4, c.slow, c.lost)
 			report(b, l, func() bool { return l.perHop(0) })
 		})
 		b.Run(c.name+"/allowance", func(b *testing.B) {
-			l := newLookup(4, c.slow, c.lost)
+			l := newChainSim(4, c.slow, c.lost)
 			report(b, l, l.request)
 		})
 	}
 }
 
-func report(b *testing.B, l *lookup, try func() bool) {
+func report(b *testing.B, l *chainSim, try func() bool) {
 	const requests = 20000
 	done := 0
 	for b.Loop() {
--- a/internal/core/retry/decide.go
+++ b/internal/core/retry/decide.go
@@ -8,27 +8,27 @@
 	"peardrift/internal/status"
 )
 
-// Reason says why there is or is not a next attempt; its String is a metric tag.
+// Reason says why another attempt is or isn't made. Its String is a metric label value.
 type Reason uint8
 
-// The reasons, in the order in which they are looked at.
+// The reasons, in the order in which they are evaluated.
 const (
-	// Again: make the next attempt, after Decision.Wait.
+	// Again: make another attempt after Decision.Wait.
 	Again Reason = iota
 	// Whole: the attempt completed; there is nothing to retry.
 	Whole
-	// Final: no other target would answer differently.
+	// Final: any other target would give the same answer.
 	Final
 	// AtMostOnce: the attempt may have run and must not run twice.
 	AtMostOnce
 	// NotIdempotent: the attempt may have run and a second run may differ.
 	NotIdempotent
-	// PerCall: the call had its attempts.
+	// PerCall: the call reached its maximum number of attempts.
 	PerCall
-	// Deadline: an attempt would not end in time.
+	// Deadline: another attempt wouldn't end before the deadline.
 	Deadline
-	// Allowance: the request's allowance doesn't cover an attempt and the calls
-	// that it usually makes below.
+	// Allowance: the request's allowance doesn't cover another attempt and the calls
+	// expected below it.
 	Allowance
 	// Overload: the service as a whole is overloaded.
 	Overload
@@ -42,7 +42,7 @@
 	Allowance: "allowance", Overload: "overload", Budget: "budget",
 }
 
-// String returns the reason as it stands in metrics and logs.
+// String returns the reason as it appears in metrics and logs.
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -50,87 +50,87 @@
 	return "unknown"
 }
 
-// Result is an ended attempt and what is known about its call.
+// Result is a finished attempt and the state of its call.
 type Result struct {
 	Outcome request.Outcome
 	Code    status.Code // of a failure; empty if completed
 
 	// Deadline of the request; 0 for none.
 	Deadline time.Duration
-	// Usual is the callee's usual time to answer; 0 if not known.
+	// Usual is the callee's expected latency; 0 if unknown.
 	Usual time.Duration
-	// Priority of the request and Level last learned for the callee's service
-	// as a whole (early.Table.Level).
+	// Priority is the request's, Level the last known admission level of the callee's
+	// service as a whole (early.Table.Level).
 	Priority request.Priority
 	Level    request.Level
 
-	// Attempts made of this call so far (Call.Attempts).
+	// Attempts of this call so far (Call.Attempts).
 	Attempts int
-	// Left in the allowance (RequestAllowance.Left) and usual number of calls Below the callee
-	// (Cost.Below).
+	// Left is the remaining allowance (RequestAllowance.Left), Below the expected
+	// number of calls below the callee (Cost.Below).
 	Left  int
 	Below int
-	// Runs is how many attempts of the call got past a refusal (Call.Runs), and
-	// MaxRuns how many may; 0: as the allowance covers.
+	// Runs is the number of attempts that weren't refused (Call.Runs) and MaxRuns its
+	// limit; 0 means that only the allowance limits it.
 	Runs, MaxRuns int
-	// MayHaveRun says that some attempt of the call got past a refusal
-	// (Call.MayHaveRun): the next attempt is then a repeat.
+	// MayHaveRun reports that an attempt of the call wasn't refused (Call.MayHaveRun),
+	// so that the next attempt is a repeat.
 	MayHaveRun bool
 
-	// AtMostOnce is the class's declaration.
+	// AtMostOnce is declared by the class.
 	AtMostOnce bool
-	// Idempotent: the method or the class's declaration says that running twice
-	// has the effect of running once.
+	// Idempotent: by its method or class, running the request twice has the effect of
+	// running it once.
 	Idempotent bool
 }
 
-// Decision is the answer of Decide. If Reason isn't Again the result is passed
-// up at once as it is, with its Retry-After.
+// Decision is the result of Decide. If Reason isn't Again, the attempt's result is
+// returned upstream unchanged, including its Retry-After.
 type Decision struct {
 	Reason Reason
-	// Wait before the next attempt; 0 for a refused one, which goes to another
-	// target at once.
+	// Wait is the delay before the next attempt; 0 after a refusal, which is retried on
+	// another target at once.
 	Wait time.Duration
 }
 
-// Retry reports whether a next attempt is to be made.
+// Retry reports whether to make another attempt.
 func (d Decision) Retry() bool { return d.Reason == Again }
 
-// Decider decides about next attempts.
+// Decider decides whether failed attempts are retried.
 type Decider struct {
 	cfg *Config
 	rng *rand.Rand
 }
 
-// NewDecider returns a decider that draws its spread from rng.
+// NewDecider returns a Decider that draws its jitter from rng.
 func NewDecider(cfg *Config, rng *rand.Rand) *Decider {
 	return &Decider{cfg: cfg, rng: rng}
 }
 
-// Decide says whether another attempt is made after r, and draws it from the
-// service's budget if so.
+// Decide reports whether to make another attempt after r and, if so, takes its cost
+// from the service's budget.
 func (d *Decider) Decide(now time.Duration, r *Result, b *ServiceBudget) Decision {
-	if reason := d.judge(now, r, b); reason != Again {
+	if reason := d.evaluate(now, r, b); reason != Again {
 		return Decision{Reason: reason}
 	}
-	wait := d.wait(r)
+	wait := d.backoff(r)
 	if r.Deadline != 0 && now+wait+r.Usual >= r.Deadline {
 		return Decision{Reason: Deadline}
 	}
-	if !d.cfg.Free(r.Outcome, r.Code) && !b.Take(now, d.price(r)) {
+	if !d.cfg.Free(r.Outcome, r.Code) && !b.Take(now, d.attemptCost(r)) {
 		return Decision{Reason: Budget}
 	}
 	return Decision{Reason: Again, Wait: wait}
 }
 
-func (d *Decider) judge(now time.Duration, r *Result, b *ServiceBudget) Reason {
-	if reason := mayRepeat(r); reason != Again {
+func (d *Decider) evaluate(now time.Duration, r *Result, b *ServiceBudget) Reason {
+	if reason := mayRetry(r); reason != Again {
 		return reason
 	}
 	if r.Attempts >= d.cfg.PerCall || r.MaxRuns > 0 && r.Runs >= r.MaxRuns {
 		return PerCall
 	}
-	if r.Left < d.price(r) {
+	if r.Left < d.attemptCost(r) {
 		return Allowance
 	}
 	if overloaded(now, r, b) {
@@ -139,12 +139,12 @@
 	return Again
 }
 
-// mayRepeat judges by what the result says about the attempt alone.
-func mayRepeat(r *Result) Reason {
+// mayRetry decides by the attempt's result alone.
+func mayRetry(r *Result) Reason {
 	if r.Outcome == request.Completed {
 		return Whole
 	}
-	if final(r.Code) {
+	if isFinal(r.Code) {
 		return Final
 	}
 	if r.Outcome == request.Refused && !r.MayHaveRun {
@@ -159,10 +159,10 @@
 	return Again
 }
 
-// final reports codes that another target would answer in the same way, or
-// that must not be tried elsewhere: a suspect would crash that target too, also
-// one that was only to wait for another one's end.
-func final(c status.Code) bool {
+// isFinal reports whether any other target would return the same code, or whether the
+// request must not be sent to another target: a request suspected of crashing targets
+// would crash that one too, even if it was only refused to wait for another suspect.
+func isFinal(c status.Code) bool {
 	switch c {
 	case status.CodeMalformed, status.CodeTooLarge, status.CodeUnknownService,
 		status.CodeUnknownClass, status.CodeKeyMissing, status.CodeKeyReused,
@@ -176,22 +176,22 @@
 	return false
 }
 
-// price is what the next attempt needs of the allowance and the budget. A repeat pays for each
-// call below it too; begun without that, it would run out of allowance halfway
-// and its work would be wasted.
-func (d *Decider) price(r *Result) int {
+// attemptCost is the number of attempts that the next one takes from the allowance and
+// the budget. A repeat also pays for each call below it; otherwise it would run out of
+// allowance halfway and waste its work.
+func (d *Decider) attemptCost(r *Result) int {
 	if !r.MayHaveRun && r.Outcome == request.Refused {
 		return 1
 	}
 	return 1 + max(r.Below, 0)
 }
 
-// overloaded reports whether the service as a whole takes no retries. Sending a
-// refused call elsewhere costs a target next to nothing and is the only way for
-// an important request past a target that leaves; so that stays allowed as long
-// as the request's priority is above the level. Refused for load by one target,
-// a request is tried elsewhere only if its importance is above the level's: one
-// of the same importance is near the margin everywhere.
+// overloaded reports whether the service as a whole accepts no retries. Sending a
+// refused call to another target costs little and is the only way for an important
+// request to avoid a draining target, so it is allowed while the request's priority is
+// above the level. After a load refusal by one target, a request is sent to another one
+// only if its importance is above the level's, because a request of the same importance
+// is close to the admission threshold everywhere.
 func overloaded(now time.Duration, r *Result, b *ServiceBudget) bool {
 	if r.Outcome != request.Refused || r.MayHaveRun {
 		return r.Level > 0 || b.Overloaded(now)
@@ -202,10 +202,10 @@
 	if r.Level > 0 && r.Priority.Importance() > r.Level.Importance() {
 		return false
 	}
-	return forLoad(r.Code) && (r.Level > 0 || b.Overloaded(now))
+	return isLoadRefusal(r.Code) && (r.Level > 0 || b.Overloaded(now))
 }
 
-func (d *Decider) wait(r *Result) time.Duration {
+func (d *Decider) backoff(r *Result) time.Duration {
 	if r.Outcome == request.Refused {
 		return 0
 	}
@@ -216,5 +216,5 @@
 	return mean/2 + time.Duration(d.rng.Int64N(int64(mean)))
 }
 
-// maxDoublings keeps the exponential wait from overflowing.
+// maxDoublings keeps the exponential backoff from overflowing.
 const maxDoublings = 10
--- a/internal/core/retry/decide_test.go
+++ b/internal/core/retry/decide_test.go
@@ -58,16 +58,15 @@
 			got := d.Decide(0, &r, &b)
 			is.Equal(got.Reason, tt.want)
 			if got.Retry() && r.Outcome == request.Refused {
-				is.Equal(got.Wait, time.Duration(0)) // elsewhere at once
+				is.Equal(got.Wait, time.Duration(0)) // retried on another target without delay
 			}
 		})
 	}
 }
 
-// Symptom: load on a failing service rises with each caller that sends again.
-// Events: all attempts at a service fail for a minute, each is to be retried.
-// Cause: retries were not tied to successes. The budget leaves MinRate.
-func TestServiceBudgetDriesUp(t *testing.T) {
+// Guards against retries that aren't tied to successes: while all attempts at a service
+// fail for a minute and each is to be retried, only MinRate remains.
+func TestServiceBudgetLimitsRetriesWhileAllFail(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	b := NewServiceBudget(&cfg, 0)
@@ -78,10 +77,10 @@
 			retries++
 		}
 	}
-	is.True(retries <= 1+int(cfg.MinRate*60)) // the first token and the minimum rate
+	is.True(retries <= 1+int(cfg.MinRate*60)) // the initial token plus MinRate
 }
 
-func TestServiceBudgetFollowsSuccesses(t *testing.T) {
+func TestServiceBudgetGrowsWithSuccesses(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.MinRate = 0
@@ -95,10 +94,10 @@
 			retries++
 		}
 	}
-	is.True(retries >= 98 && retries <= 100) // Ratio of the successes
+	is.True(retries >= 98 && retries <= 100) // Ratio times the successes
 }
 
-func TestServiceBudgetStopsWhenRefusalsDominate(t *testing.T) {
+func TestServiceBudgetStopsRetriesOnLoadRefusals(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	b := NewServiceBudget(&cfg, 0)
@@ -111,7 +110,7 @@
 	d := NewDecider(&cfg, rand.New(rand.NewPCG(1, 2)))
 	r := Result{Outcome: request.Refused, Code: status.CodeOverloaded, Attempts: 1, Left: 3}
 	is.Equal(d.Decide(0, &r, &b).Reason, Overload)
-	for range 5 { // served again: retries resume within seconds
+	for range 5 { // retries resume within seconds of the recovery
 		b.Observe(3*time.Second, request.Completed, "")
 	}
 	is.Equal(d.Decide(3*time.Second, &r, &b).Reason, Again)
@@ -122,13 +121,13 @@
 	b := NewServiceBudget(&cfg, 0)
 	d := NewDecider(&cfg, rand.New(rand.NewPCG(1, 2)))
 	r := Result{Outcome: request.Refused, Code: status.CodeDraining, Attempts: 1, Left: 3}
-	n := testing.AllocsPerRun(100, func() { usual(d, &r, &b) })
+	n := testing.AllocsPerRun(100, func() { runAttempt(d, &r, &b) })
 	if n != 0 {
 		t.Fatalf("%v allocations", n)
 	}
 }
 
-func usual(d *Decider, r *Result, b *ServiceBudget) Decision {
+func runAttempt(d *Decider, r *Result, b *ServiceBudget) Decision {
 	p := NewRequestAllowance(3, false)
 	var c Call
 	g, _ := p.Start(&c, -1)
@@ -144,6 +143,6 @@
 	r := Result{Outcome: request.Refused, Code: status.CodeDraining, Attempts: 1, Left: 3}
 	b.ReportAllocs()
 	for b.Loop() {
-		usual(d, &r, &br)
+		runAttempt(d, &r, &br)
 	}
 }
--- a/internal/core/retry/doc.go
+++ b/internal/core/retry/doc.go
@@ -1,39 +1,39 @@
-// Package retry decides which failed attempts are made again, and bounds how
-// many a whole request may cost over its chain of calls.
+// Package retry decides which failed attempts are retried and bounds how many extra
+// attempts a request may cost over its whole call chain.
 //
-// Four mechanisms, each with one type:
+// There are four mechanisms, each with its own type:
 //
-//   - RequestAllowance: the allowance of one request at one node. The entry node starts
-//     with A extra attempts (the class's Attempts). Each call carries a part of
-//     the allowance down (Grant), its answer brings the unspent part back.
-//     An attempt is free only if it is the first of its call in an execution
-//     that nothing ran before; all others cost one. So
+//   - RequestAllowance: the extra attempts that one request may make at one node. The
+//     entry node starts with A of them (the class's Attempts). Each call carries a part
+//     down (Grant), and its answer returns the unspent part. An attempt is free only if
+//     it is the first one of its call in an execution that isn't itself a repeat; all
+//     others cost one. Therefore
 //
 //     attempts over the whole chain <= calls of the graph made once + A
 //
-//     whatever fails: an answer that is lost takes its grant with it, a
-//     duplicated one brings it back once, a late one finds the allowance closed.
-//     The premise is that a transport doesn't deliver one call twice: client
-//     libraries that repeat calls on their own must have that turned off.
+//     for any failure: a lost answer loses its grant, a duplicated answer returns it
+//     once, and a late answer finds the allowance closed. This requires that the
+//     transport doesn't deliver a call twice; automatic retries of client libraries
+//     must be turned off.
 //
-//   - ServiceBudget: the budget of retries of one callee service at one node, filled by
-//     successes. Summed over all nodes, retries of a service stay under Ratio
-//     times its successes plus MinRate for each calling node.
+//   - ServiceBudget: the retry budget of one callee service at one node, filled by
+//     successes. Over all nodes, the retries of a service stay below Ratio times its
+//     successes plus MinRate for each calling node.
 //
-//   - Repeats: the bound on callers that send the same request again through other
-//     nodes, which each time brings a new allowance; kept by the nodes of the service
-//     that is called, where the sendings meet.
+//   - Repeats: the bound on callers that resend a request through other nodes, which
+//     gives it a new allowance each time. It is kept by the nodes of the called service,
+//     where all submissions arrive.
 //
 //   - Decider: whether a result may be retried at all.
 //
-// Who calls what: the entry node makes a RequestAllowance per request (NewRequestAllowance with the
-// class's Attempts), every other node one per incoming call (NewRequestAllowance with what
-// the call carried). For each sub-call the node keeps a Call; RequestAllowance.Start comes
-// before each attempt and yields what the attempt carries, RequestAllowance.Settle after
-// it, RequestAllowance.Close when the node answers its own caller. Between two attempts
-// Decider.Decide says whether there is a next one. ServiceBudget.Observe gets each
-// attempt's result.
+// The entry node creates a RequestAllowance per request (NewRequestAllowance with the
+// class's Attempts), every other node one per incoming call (NewRequestAllowance with
+// what the call carried). The node keeps a Call for each sub-call. It calls
+// RequestAllowance.Start before each attempt, which returns what the attempt carries,
+// RequestAllowance.Settle after it, and RequestAllowance.Close when it answers its own
+// caller. Between attempts, Decider.Decide reports whether to make another one.
+// ServiceBudget.Observe gets the result of each attempt.
 //
-// Nothing here is safe for concurrent use: a RequestAllowance and its Calls belong under
-// their request's mutex, ServiceBudget, Cost and Decider under one per callee service.
+// Nothing here is safe for concurrent use: guard a RequestAllowance and its Calls by a
+// mutex per request, and ServiceBudget, Cost and Decider by one per callee service.
 package retry
--- a/internal/core/retry/share_test.go
+++ b/internal/core/retry/fleet_budget_test.go
@@ -10,11 +10,10 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: a service gets more repeats in a window than the fleet may make.
-// Events: many nodes see failures at the same moment, some of them have just been
-// restarted with a full budget. Cause: a budget for each node that takes no heed
-// of how many there are.
-func TestFleetBudgetHoldsOverAllNodes(t *testing.T) {
+// Guards against per-node budgets that ignore the number of nodes: when many nodes see
+// failures at once, some of them just restarted, the total must stay within the fleet's
+// budget.
+func TestFleetBudgetBoundsAllNodes(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.FleetBudget, cfg.FleetWindow, cfg.CallRatio = 49, 10*time.Second, 0
@@ -24,25 +23,24 @@
 			b := NewServiceBudget(&cfg, 0)
 			b.Share(nodes)
 			for at := time.Duration(0); at < cfg.FleetWindow; at += 10 * time.Millisecond {
-				b.ObserveCall(at, request.Completed, "") // earns nothing
+				b.ObserveCall(at, request.Completed, "") // adds nothing to the budget
 				if b.Take(at, 1) {
 					taken++
 				}
 			}
 		}
-		is.True(taken <= 49+nodes/3) // a start holds one attempt
+		is.True(taken <= 49+nodes/3) // a new budget holds one attempt
 	}
 }
 
-// Symptom: a request is refused for want of retries though no target has seen it.
-// Events: two gates turn it away, one that leaves and one that is full. Cause:
-// refusals that cost no target anything are paid like repeats.
-func TestRefusalsBeforeATargetAreFree(t *testing.T) {
+// Guards against a request that is refused for lack of allowance though no target has
+// seen it, after two nodes refused it, one draining and one overloaded.
+func TestRefusalBeforeTargetIsFree(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.RefusedFree = true
 	is.True(cfg.Free(request.Refused, status.CodeDraining))
-	is.True(!cfg.Free(request.Refused, status.CodeTargetShed)) // it has reached one
+	is.True(!cfg.Free(request.Refused, status.CodeTargetShed)) // it reached a target
 	is.True(!cfg.Free(request.Unknown, status.CodeConnectionLost))
 	p := NewRequestAllowance(1, false)
 	var c Call
@@ -55,8 +53,8 @@
 	is.Equal(c.Runs(), 0)
 }
 
-// Symptom: one attempt of a caller runs on more targets than its route allows.
-func TestRunsAreBounded(t *testing.T) {
+// Guards against one call that runs on more targets than its route allows.
+func TestMaxRuns(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	d := NewDecider(&cfg, nil)
--- a/internal/core/retry/repeats.go
+++ b/internal/core/retry/repeats.go
@@ -7,99 +7,99 @@
 	"peardrift/internal/status"
 )
 
-// Identity is what a caller names one request by, over all its sendings; 0 if it
-// names none.
+// Identity is the caller's name for one request, the same each time it sends the
+// request; 0 if it gives none.
 type Identity uint64
 
-// Repeats bounds the runs of one request that its caller sends again, at the
-// node of the service that it calls.
+// Repeats bounds how often a request that its caller resends is run, at the node of the
+// called service.
 //
-// Symptom it prevents: a caller sends a failing request again and again, each
-// time through another node. Each entry node takes it for a new request with an
-// allowance of its own, and each run of it runs the whole chain below. Here its
-// sendings meet again, whichever nodes they came through: the first that runs is
-// free, later ones draw on a budget that fills as the ServiceBudget's does, by this
-// target's successes. So of one request, over all entry nodes,
+// A caller may resend a failing request through a different entry node each time. Each
+// entry node takes it for a new request with a new allowance, and each run repeats the
+// whole chain below. All submissions meet at the called service: the first one that
+// runs is free, later ones are charged to a budget that this target's successes fill
+// like a ServiceBudget. Over all entry nodes, one request therefore has
 //
-//	runs begun <= targets of the service + what their budgets paid
+//	runs started <= targets of the service + runs paid for by their budgets
 //
-// within Config.RepeatWindow of one another. Attempts that a node makes of one
-// sending are free here, as that sending's RequestAllowance pays for them.
+// within Config.RepeatWindow of one another. Attempts of the same submission are free
+// here, since its RequestAllowance pays for them.
 type Repeats struct {
-	cfg    *Config
-	budget ServiceBudget
-	seen   map[Identity]*sending // touched since turned
-	old    map[Identity]*sending // touched in the window before
-	turned time.Duration
+	cfg       *Config
+	budget    ServiceBudget
+	current   map[Identity]*submission // touched since rotatedAt
+	previous  map[Identity]*submission // touched in the previous window
+	rotatedAt time.Duration
 }
 
-// sending is the last one of a request that ran here.
-type sending struct {
-	id   request.ID
-	open int // begun and not ended
-	ran  bool
+// submission is the last submission of a request that ran here.
+type submission struct {
+	id       request.ID
+	inFlight int // attempts in flight
+	ran      bool
 }
 
-// NewRepeats returns a Repeats that has seen nothing, with a budget of one.
+// NewRepeats returns an empty Repeats with a budget of one.
 func NewRepeats(cfg *Config, now time.Duration) Repeats {
-	return Repeats{cfg: cfg, budget: NewServiceBudget(cfg, now), seen: map[Identity]*sending{}, turned: now}
+	return Repeats{cfg: cfg, budget: NewServiceBudget(cfg, now), current: map[Identity]*submission{}, rotatedAt: now}
 }
 
-// Begin books a sending that is about to run; false if it repeats another one
-// and the budget doesn't pay for it. Then it runs nowhere, and End isn't called.
+// Begin records a submission that is about to run. It returns false if the submission
+// repeats another one and the budget doesn't cover it; it must not run then, and End
+// isn't called.
 func (r *Repeats) Begin(now time.Duration, who Identity, id request.ID) bool {
-	r.turn(now)
+	r.rotate(now)
 	s := r.find(who)
 	if s == nil {
-		r.seen[who] = &sending{id: id, open: 1}
+		r.current[who] = &submission{id: id, inFlight: 1}
 		return true
 	}
 	if s.id != id && !r.budget.Take(now, 1) {
 		return false
 	}
 	s.id = id
-	s.open++
+	s.inFlight++
 	return true
 }
 
-// End books the end of a sending that was begun. One that was refused ran
-// nowhere; the next is then as free as it was.
+// End records the end of a submission. A refused one didn't run, so the next one is as
+// free as it was.
 func (r *Repeats) End(now time.Duration, who Identity, o request.Outcome) {
 	r.Observe(now, o)
 	s := r.find(who)
 	if s == nil {
-		return // forgotten since
+		return // evicted meanwhile
 	}
-	s.open--
+	s.inFlight--
 	s.ran = s.ran || o != request.Refused
-	if s.open <= 0 && !s.ran {
-		delete(r.seen, who)
+	if s.inFlight <= 0 && !s.ran {
+		delete(r.current, who)
 	}
 }
 
-// Observe takes in the end of a run whose caller named no identity.
+// Observe records the result of a run whose caller gave no identity.
 func (r *Repeats) Observe(now time.Duration, o request.Outcome) {
 	r.budget.Observe(now, o, status.Code(""))
 }
 
-// find returns what is known of a request, as touched now.
-func (r *Repeats) find(who Identity) *sending {
-	if s := r.seen[who]; s != nil {
+// find returns the entry of a request and marks it as touched.
+func (r *Repeats) find(who Identity) *submission {
+	if s := r.current[who]; s != nil {
 		return s
 	}
-	s := r.old[who]
+	s := r.previous[who]
 	if s != nil {
-		delete(r.old, who)
-		r.seen[who] = s
+		delete(r.previous, who)
+		r.current[who] = s
 	}
 	return s
 }
 
-// turn forgets what wasn't touched for a window, or sooner if there is too much:
-// two generations cost no search for the oldest.
-func (r *Repeats) turn(now time.Duration) {
-	if now-r.turned < r.cfg.RepeatWindow && len(r.seen) < r.cfg.MaxRepeats {
+// rotate drops entries that weren't touched for a window, or earlier if there are too
+// many. Two generations make it unnecessary to search for the oldest entry.
+func (r *Repeats) rotate(now time.Duration) {
+	if now-r.rotatedAt < r.cfg.RepeatWindow && len(r.current) < r.cfg.MaxRepeats {
 		return
 	}
-	r.old, r.seen, r.turned = r.seen, map[Identity]*sending{}, now
+	r.previous, r.current, r.rotatedAt = r.current, map[Identity]*submission{}, now
 }
--- a/internal/core/retry/repeats_test.go
+++ b/internal/core/retry/repeats_test.go
@@ -17,13 +17,10 @@
 	return id
 }
 
-// Symptom: one failing request costs the fleet a run of its whole chain for each
-// time that its caller sends it, as often as it likes.
-// Events: callers send requests that never complete again and again, each time
-// through another of many entry nodes, beside others that complete; each sending
-// is tried at several targets. Cause: each entry node takes a sending for a new
-// request and gives it a new allowance.
-func TestRepeatsAreBoundedOverAllEntryNodes(t *testing.T) {
+// Guards against callers that resend a failing request through many entry nodes: each
+// one gives it a new allowance, so each submission would run the whole chain again.
+// Other requests complete meanwhile, and each submission is tried at several targets.
+func TestRepeatsBoundedOverAllEntryNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -34,7 +31,7 @@
 		entries := rapid.IntRange(1, 40).Draw(t, "entry nodes")
 		health := rapid.Float64Range(0, 0.9).Draw(t, "share of others")
 		sent := uint64(0)
-		sendings, completed := 0, 0
+		runs, completed := 0, 0
 		var now time.Duration
 		for range 2000 {
 			now += time.Duration(rng.Int64N(int64(10 * time.Millisecond)))
@@ -45,15 +42,15 @@
 				continue
 			}
 			sent++
-			id := idOf(sent*uint64(entries) + uint64(rng.IntN(entries))) // drawn by its entry node
+			id := idOf(sent*uint64(entries) + uint64(rng.IntN(entries))) // each entry node draws its own IDs
 			if to.Begin(now, 1, id) {
-				sendings++
+				runs++
 				to.End(now, 1, request.Failed)
 			}
 		}
 		paid := float64(len(targets)) * (2 + cfg.MinRate*now.Seconds())
-		if bound := paid + cfg.Ratio*float64(completed); float64(sendings) > bound {
-			t.Fatalf("%d of %d sendings ran, bound %.1f", sendings, sent, bound)
+		if bound := paid + cfg.Ratio*float64(completed); float64(runs) > bound {
+			t.Fatalf("%d of %d submissions ran, bound %.1f", runs, sent, bound)
 		}
 	})
 }
@@ -92,7 +89,7 @@
 		{"long after", func(r *Repeats) {
 			r.End(0, 1, request.Failed)
 			for at := time.Duration(0); at < 3*cfg.RepeatWindow; at += cfg.RepeatWindow {
-				r.turn(at)
+				r.rotate(at)
 			}
 			drain(r)
 		}, 3 * cfg.RepeatWindow, 1, idOf(2), true},
@@ -113,6 +110,6 @@
 	r := NewRepeats(&cfg, 0)
 	for n := range 5 * cfg.MaxRepeats {
 		is.True(r.Begin(0, Identity(n+1), idOf(1)))
-		is.True(len(r.seen)+len(r.old) <= 2*cfg.MaxRepeats)
+		is.True(len(r.current)+len(r.previous) <= 2*cfg.MaxRepeats)
 	}
 }
