--- a/internal/core/route/doc.go
+++ b/internal/core/route/doc.go
@@ -1,33 +1,32 @@
-// Package route picks the target of a service that gets the next call.
+// Package route picks the target of a service for the next call.
 //
-// A Table holds one callee service as one caller sees it: a bounded subset of
-// the service's targets, what the caller measured of each, and what each
-// reported of its load. Pick compares two random targets of the caller's zone
-// and takes the cheaper one. Other zones are looked at only if that one is
-// loaded above Floor, and taken where they are cheaper by more than ZoneFactor, or
-// less loaded by ZoneGap.
+// A Table holds one callee service as seen by one caller: a bounded subset of the
+// service's targets, the caller's measurements of each, and the load each one reported.
+// Pick compares two random targets of the caller's zone and takes the cheaper one. It
+// considers other zones only if that one is loaded above Floor, and chooses them if they
+// are cheaper by more than ZoneFactor or less loaded by ZoneGap.
 //
-// What a pick rests on, strongest first:
+// A choice depends on, in order of precedence:
 //
-//   - Connections. A target whose connections break is avoided at once and
-//     tried again with backoff by one call, or one bare connection
-//     (NextProbe), at a time. A target that leaves gets nothing.
-//   - Results. Failures make a target dear however fast they come, and eject it
-//     for a while; at most MaxEjected of the subset, for if more fail it is the
-//     service that fails and avoiding targets would overload the rest. Where
-//     all that are left are ejected they are used, until another one comes.
-//   - Measurements: time to answer of whole answers, calls in flight from here,
+//   - Connections. A target whose connections fail is avoided at once and tried again
+//     with backoff, by one call or one connection without a request (NextProbe) at a
+//     time. A draining target gets no calls.
+//   - Results. Failures raise the cost of a target regardless of their latency, and eject
+//     it for a while. At most MaxEjected of the subset is ejected: if more targets fail,
+//     the service itself is failing, and avoiding targets would overload the rest. If
+//     all remaining targets are ejected they are used until another one is available.
+//   - Measurements: latency of complete answers, calls in flight from this caller,
 //     refusals.
-//   - Reported load, as far as it agrees with the measurements. A report that
-//     disagrees loses weight with each answer that shows it.
+//   - Reported load, as far as it agrees with the measurements. A report that disagrees
+//     loses weight with each answer that contradicts it.
 //
-// Who calls what: Update with each new snapshot of targets, Pick, then Started
-// before the call is sent and Done exactly once when it ended. An index stays
-// valid from Pick to Done also across an Update.
+// Call Update with each new snapshot of targets, then Pick, Started before the call is
+// sent and Done exactly once when it ended. An index stays valid from Pick to Done, also
+// across an Update.
 //
-// Connections stay bounded by the subset: a caller uses at most Config.Subset
-// targets of a service, fewer where callers times subset would fill more than
-// ConnShare of the targets' connections (see SubsetSize).
+// The subset bounds connections: a caller uses at most Config.Subset targets of a
+// service, fewer if callers times subset would use more than ConnShare of the targets'
+// connections (see SubsetSize).
 //
-// A Table isn't safe for concurrent use: one mutex per service.
+// A Table isn't safe for concurrent use; guard it by one mutex per service.
 package route
--- a/internal/core/route/ejected_test.go
+++ b/internal/core/route/eject_test.go
@@ -10,11 +10,10 @@
 
 func failing(time.Duration, Target) Result { return Result{Kind: Failure, Latency: ms} }
 
-// Symptom: a service with a target is refused as if it had none, for up to 30 s.
-// Events: one of two targets fails until it is ejected; the other one leaves, or
-// its connections break. Cause: the bound on ejections held when the target was
-// ejected, and nothing looked again when it was the last one left.
-func TestLastTargetsAreUsedThoughEjected(t *testing.T) {
+// Guards against refusing calls with no-target for up to 30 s while an ejected target
+// exists: MaxEjected was respected when the target was ejected, but then the other one
+// left or its connections broke.
+func TestEjectedTargetsUsedIfNoneElse(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		lose func(tab *Table, ts []Target, now time.Duration)
@@ -36,9 +35,9 @@
 			tab := newTable(ts)
 			bad := ts[0].ID
 			now := time.Duration(0)
-			for tab.ejected(now) == 0 {
+			for tab.countEjected(now) == 0 {
 				now += ms
-				play(tab, now, 1, ms, func(now time.Duration, tg Target) Result {
+				simulate(tab, now, 1, ms, func(now time.Duration, tg Target) Result {
 					if tg.ID == bad {
 						return failing(now, tg)
 					}
@@ -52,23 +51,23 @@
 			var tried Tried
 			tried.Add(idx)
 			_, ok = tab.Pick(now, 0, &tried)
-			is.True(!ok) // a retry gets no second try at it
+			is.True(!ok) // a retry doesn't use the same target again
 			tab.Update(now, targets(3), 0)
-			got := play(tab, now, 100, ms/10, func(time.Duration, Target) Result { return Result{Kind: Success, Latency: ms} })
-			is.Equal(got[bad], 0) // another target has come: the ejection holds
+			got := simulate(tab, now, 100, ms/10, func(time.Duration, Target) Result { return Result{Kind: Success, Latency: ms} })
+			is.Equal(got[bad], 0) // with another target available, the ejection applies
 		})
 	}
 }
 
-// fleet is a table whose targets fail, break, leave and come back at random.
+// fleet is a table whose targets fail, disconnect, drain and return at random.
 type fleet struct {
-	tab *Table
-	ts  []Target
-	now time.Duration
-	out []int // indices of calls under way
+	tab      *Table
+	ts       []Target
+	now      time.Duration
+	inFlight []int // indices of calls in flight
 }
 
-// healthy reports whether a target is there that nothing speaks against.
+// healthy reports whether there is a target that isn't draining or avoided.
 func (f *fleet) healthy() bool {
 	for _, i := range f.tab.all {
 		if e := &f.tab.entries[i]; !e.Leaving && e.avoid == avoidNot {
@@ -78,8 +77,8 @@
 	return false
 }
 
-// open reports whether some target can be connected to and has room.
-func (f *fleet) open() bool {
+// available reports whether a target can be connected to and has capacity left.
+func (f *fleet) available() bool {
 	for _, i := range f.tab.all {
 		if e := &f.tab.entries[i]; !e.Leaving && e.avoid != avoidBroken && e.inFlight < e.cap {
 			return true
@@ -88,42 +87,42 @@
 	return false
 }
 
-// call picks a target and checks the pick.
+// call picks a target and checks the choice.
 func (f *fleet) call(t *rapid.T) {
 	was := f.healthy()
 	idx, ok := f.tab.Pick(f.now, 0, nil)
 	if !ok {
-		if f.open() && !was {
-			t.Fatal("no target, though one that isn't broken has room")
+		if f.available() && !was {
+			t.Fatal("no target picked although a connected one has capacity")
 		}
 		return
 	}
 	e := &f.tab.entries[idx]
-	probe := f.now >= e.until && !e.probing
+	probe := f.now >= e.avoidUntil && !e.probing
 	if was && e.avoid == avoidErrors && !probe {
-		t.Fatal("an ejected target got a call beside a healthy one")
+		t.Fatal("an ejected target got a call while a healthy one was available")
 	}
 	if e.inFlight >= e.cap || e.Leaving {
-		t.Fatal("a target that is full or leaves got a call")
+		t.Fatal("a full or draining target got a call")
 	}
 	f.tab.Started(f.now, idx)
-	f.out = append(f.out, idx)
+	f.inFlight = append(f.inFlight, idx)
 }
 
-func (f *fleet) end(t *rapid.T) {
-	if len(f.out) == 0 {
+func (f *fleet) endOldest(t *rapid.T) {
+	if len(f.inFlight) == 0 {
 		return
 	}
-	idx := f.out[0]
-	f.out = f.out[1:]
+	idx := f.inFlight[0]
+	f.inFlight = f.inFlight[1:]
 	kind := rapid.SampledFrom([]Kind{Success, Failure, Failure, Failure, Failure, Shed, Broken, Ignored}).Draw(t, "kind")
 	f.tab.Done(f.now, idx, &Result{Kind: kind, Latency: ms})
 }
 
-// Symptom: a broken target gets the calls of all callers.
-// Events: targets fail, are ejected, break, leave and come back in any order.
-// Cause: an ejection that is undone while others could take the calls.
-func TestNoStormAtEjectedTargets(t *testing.T) {
+// Guards against ejections that end while healthy targets could take the calls, which
+// would send the calls of all callers to a failing target. Targets fail, are ejected,
+// disconnect, drain and return in any order.
+func TestHealthyTargetsPreferredToEjected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{ts: targets(rapid.IntRange(1, 4).Draw(t, "targets"))}
 		for i := range f.ts {
@@ -140,7 +139,7 @@
 				}
 				f.tab.Update(f.now, f.ts, 0)
 			case 1, 2, 3, 4:
-				f.end(t)
+				f.endOldest(t)
 			default:
 				f.call(t)
 			}
--- a/internal/core/route/measure.go
+++ b/internal/core/route/measure.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// errorWeight and shedWeight are the weights of one result in the shares.
+	// errorWeight and shedWeight are the weights of one result in the moving averages.
 	errorWeight = 0.1
 	shedWeight  = 0.2
-	// Trust in reports falls by distrust with each answer that contradicts the
-	// report, and regains part of the rest with each one that agrees.
-	distrust = 0.7
-	regain   = 0.05
-	// A report below the mean load is contradicted by many refusals or a time
-	// that is slowFactor times the mean; one of a hot target by no refusals and
-	// a time below fastFactor times the mean.
+	// Trust in reports is multiplied by trustDecay with each answer that contradicts
+	// the report, and recovers by trustGain of the rest with each one that agrees.
+	trustDecay = 0.7
+	trustGain  = 0.05
+	// A report below the mean load is contradicted by many refusals or a latency above
+	// slowFactor times the mean; a report of a hot target by no refusals and a latency
+	// below fastFactor times the mean.
 	slowFactor = 2.0
 	fastFactor = 1.1
 	manySheds  = 0.3
 	fewSheds   = 0.01
-	// shedMemory is the time constant in which refusals are forgotten: a target
-	// that refused is tried again soon, since a refusal costs little.
-	shedMemory = time.Second
-	// restTime is how long a measurement holds before it begins to be forgotten.
-	restTime = time.Second
+	// shedDecay is the time constant with which refusals decay. It is short because a
+	// refusal costs little, so a target that refused can be tried again soon.
+	shedDecay = time.Second
+	// decayDelay is how long a measurement is kept before it begins to decay.
+	decayDelay = time.Second
 )
 
-// Started books a call that is sent to the target at idx.
+// Started records that a call is sent to the target at idx.
 func (t *Table) Started(now time.Duration, idx int) {
 	e := &t.entries[idx]
 	e.inFlight++
@@ -36,14 +36,14 @@
 	}
 }
 
-// Done books the end of a call; it comes exactly once for each Started.
+// Done records the end of a call; call it exactly once for each Started.
 func (t *Table) Done(now time.Duration, idx int, r *Result) {
 	e := &t.entries[idx]
 	e.inFlight--
 	if r.HasLevel {
 		e.level, e.levelAt = r.Level, now
 	}
-	t.book(now, e, r)
+	t.record(now, e, r)
 	if r.Limit > 0 {
 		t.report(now, e, r)
 	}
@@ -52,55 +52,55 @@
 	}
 }
 
-func (t *Table) book(now time.Duration, e *entry, r *Result) {
+func (t *Table) record(now time.Duration, e *entry, r *Result) {
 	switch r.Kind {
 	case Success:
-		t.succeeded(now, e, r.Latency)
+		t.recordSuccess(now, e, r.Latency)
 	case Failure:
-		t.failed(now, e, r.Latency)
+		t.recordFailure(now, e, r.Latency)
 	case Shed:
-		e.shed += shedWeight * (1 - e.shed)
+		e.shedRate += shedWeight * (1 - e.shedRate)
 		e.changed = now
-		e.reached()
+		e.connected()
 	case Leaves:
 		e.Leaving = true
 	case Broken:
-		t.broke(now, e)
+		t.recordBreak(now, e)
 	case Ignored:
 		e.probing = false
 	}
 }
 
-func (t *Table) succeeded(now time.Duration, e *entry, latency time.Duration) {
+func (t *Table) recordSuccess(now time.Duration, e *entry, latency time.Duration) {
 	e.sample(t.cfg.LatencyWeight, latency.Seconds())
-	e.errors -= errorWeight * e.errors
-	e.shed -= shedWeight * e.shed
+	e.errorRate -= errorWeight * e.errorRate
+	e.shedRate -= shedWeight * e.shedRate
 	e.changed = now
 	e.failures, e.ejections = 0, 0
-	e.reached()
-	if e.avoid == avoidErrors && now >= e.until {
+	e.connected()
+	if e.avoid == avoidErrors && now >= e.avoidUntil {
 		e.avoid = avoidNot
 	}
 }
 
-func (t *Table) failed(now time.Duration, e *entry, latency time.Duration) {
-	// Symptom: one target fails at once and draws the calls of all callers.
-	// Its times are short and nothing is ever in flight, so it looks idle.
-	// A failure therefore never lowers the mean time, only raises it.
+func (t *Table) recordFailure(now time.Duration, e *entry, latency time.Duration) {
+	// A target that fails immediately has short latencies and nothing in flight, so it
+	// would look idle and attract the calls of all callers. A failure therefore never
+	// lowers the mean latency, only raises it.
 	if s := latency.Seconds(); !e.measured || s > e.latency {
 		e.sample(t.cfg.LatencyWeight, s)
 	}
-	e.errors += errorWeight * (1 - e.errors)
+	e.errorRate += errorWeight * (1 - e.errorRate)
 	e.changed = now
 	e.failures++
-	e.reached()
-	if e.failures >= t.cfg.EjectAfter || e.errors >= t.cfg.EjectErrors {
+	e.connected()
+	if e.failures >= t.cfg.EjectAfter || e.errorRate >= t.cfg.EjectErrors {
 		t.eject(now, e)
 	}
 }
 
-// reached notes that a connection to the target works.
-func (e *entry) reached() {
+// connected records that a connection to the target works.
+func (e *entry) connected() {
 	e.probing = false
 	e.breaks = 0
 	if e.avoid == avoidBroken {
@@ -116,41 +116,41 @@
 	e.latency += weight * (s - e.latency)
 }
 
-// report takes in the target's own word on its load and weighs it against what
-// was measured here: a target that says it is idle while it refuses or is slow,
-// or that it is full while it is fast, is believed less.
+// report records the load that the target reports and compares it with the
+// measurements. A target that reports low load while it refuses or is slow, or high
+// load while it is fast, loses trust.
 func (t *Table) report(now time.Duration, e *entry, r *Result) {
-	e.load = float64(r.InFlight) / float64(r.Limit)
-	e.reported, e.reportedAt, e.ownThen = true, now, e.inFlight
+	e.reportedLoad = float64(r.InFlight) / float64(r.Limit)
+	e.reported, e.reportedAt, e.inFlightAtReport = true, now, e.inFlight
 	slow := t.meanLatency > 0 && e.latency > slowFactor*t.meanLatency
-	fast := e.latency < fastFactor*t.meanLatency && e.shed < fewSheds
-	low, high := e.load < t.meanUtil, e.load > t.hotLoad()
-	if (low && (slow || e.shed > manySheds)) || (high && fast) {
-		e.trust *= distrust
+	fast := e.latency < fastFactor*t.meanLatency && e.shedRate < fewSheds
+	low, high := e.reportedLoad < t.meanLoad, e.reportedLoad > t.hotLoad()
+	if (low && (slow || e.shedRate > manySheds)) || (high && fast) {
+		e.trust *= trustDecay
 		return
 	}
-	e.trust += regain * (1 - e.trust)
+	e.trust += trustGain * (1 - e.trust)
 }
 
-// eject avoids a target that fails, unless too many are avoided already.
+// eject avoids a failing target, unless too many are ejected already.
 func (t *Table) eject(now time.Duration, e *entry) {
-	if e.avoid != avoidNot && now < e.until {
+	if e.avoid != avoidNot && now < e.avoidUntil {
 		return
 	}
-	if t.ejected(now) >= t.maxEjected() {
+	if t.countEjected(now) >= t.maxEjected() {
 		e.avoid = avoidNot
 		return
 	}
 	e.avoid = avoidErrors
-	e.until = now + backoff(t.cfg.EjectTime, t.cfg.EjectMax, e.ejections)
+	e.avoidUntil = now + backoff(t.cfg.EjectTime, t.cfg.EjectMax, e.ejections)
 	e.ejections++
-	e.failures = t.cfg.EjectAfter - 1 // the first failure after it ejects again
+	e.failures = t.cfg.EjectAfter - 1 // the first failure afterwards ejects it again
 }
 
-func (t *Table) ejected(now time.Duration) int {
+func (t *Table) countEjected(now time.Duration) int {
 	n := 0
 	for _, i := range t.all {
-		if e := &t.entries[i]; e.avoid == avoidErrors && now < e.until {
+		if e := &t.entries[i]; e.avoid == avoidErrors && now < e.avoidUntil {
 			n++
 		}
 	}
@@ -165,11 +165,11 @@
 	return max(1, int(t.cfg.MaxEjected*float64(n)))
 }
 
-// broke avoids a target at once. Symptom otherwise: each call to a target that
-// crashed is lost until the membership notices, which takes seconds; so the
-// calls in flight are lost and no others. Breaks of calls that were sent before
-// the first one was seen count once.
-func (t *Table) broke(now time.Duration, e *entry) {
+// recordBreak avoids a target after a connection failure. Membership takes seconds to notice
+// a crash, and until then each call to the target would be lost; this way only the
+// calls in flight are. Failures of calls that were sent before the first failure was
+// seen count once.
+func (t *Table) recordBreak(now time.Duration, e *entry) {
 	wasProbe := e.probing
 	e.probing = false
 	if e.avoid == avoidBroken && !wasProbe {
@@ -177,8 +177,8 @@
 	}
 	e.avoid = avoidBroken
 	wait := backoff(t.cfg.BreakTime, t.cfg.BreakMax, e.breaks)
-	// Spread, so that the callers of a target that returns don't all come at once.
-	e.until = now + wait/2 + time.Duration(t.rng.Int64N(int64(wait)+1))
+	// Jitter spreads the callers that reconnect to a recovered target.
+	e.avoidUntil = now + wait/2 + time.Duration(t.rng.Int64N(int64(wait)+1))
 	e.breaks++
 }
 
@@ -193,14 +193,14 @@
 	return min(base, limit)
 }
 
-// NextProbe names a target whose avoidance for broken connections has run out
-// and to which no call is under way, for the node to try with a bare
-// connection and no request: then no call is risked. Answer with Probed.
-// A node that doesn't probe may leave it; Pick then sends one call at a time.
+// NextProbe returns a target that was avoided for connection failures, whose backoff
+// has ended and that has no call in flight. The node should try to connect to it
+// without sending a request, so that no call is at risk, and report the result to
+// Probed. Probing is optional; without it Pick sends one call at a time.
 func (t *Table) NextProbe(now time.Duration) (idx int, ok bool) {
 	for _, i := range t.all {
 		e := &t.entries[i]
-		if e.avoid == avoidBroken && !e.probing && now >= e.until && !e.Leaving {
+		if e.avoid == avoidBroken && !e.probing && now >= e.avoidUntil && !e.Leaving {
 			e.probing = true
 			e.inFlight++ // keeps the index until Probed
 			return int(i), true
@@ -209,21 +209,21 @@
 	return 0, false
 }
 
-// Probed books the end of a probe: whether the connection could be made.
+// Probed records the end of a probe and whether the connection succeeded.
 func (t *Table) Probed(now time.Duration, idx int, connected bool) {
 	e := &t.entries[idx]
 	e.inFlight--
 	if connected {
-		e.reached()
+		e.connected()
 	} else {
-		t.broke(now, e)
+		t.recordBreak(now, e)
 	}
 	if !e.used {
 		t.release(int32(idx))
 	}
 }
 
-// fade returns the factor by which something decays in dt.
-func fade(dt, constant time.Duration) float64 {
+// decayFactor returns the factor by which a value decays in dt.
+func decayFactor(dt, constant time.Duration) float64 {
 	return math.Exp(-dt.Seconds() / constant.Seconds())
 }
--- a/internal/core/route/refresh.go
+++ b/internal/core/route/refresh.go
@@ -3,50 +3,50 @@
 import "time"
 
 const (
-	// errorCost is how much dearer a target is that fails always.
+	// errorCost is the relative extra cost of a target that always fails.
 	errorCost = 20
-	// loadCost is how much dearer a target is that is fully loaded.
+	// loadCost is the relative extra cost of a fully loaded target.
 	loadCost = 1
-	// telling is the number of calls in flight from here from which it says more
-	// about a target than the target's report does: that is as old as the last
-	// answer, and callers that all follow it fill the targets in turn.
-	telling = 4
-	// minTime keeps times that are too short to tell apart from deciding, in
-	// seconds.
-	minTime = 100e-6
-	// suspectUtil is the load that a suspected target counts with, at least.
-	suspectUtil = 1
+	// minInFlight is the number of calls in flight from this caller from which they are
+	// a better signal than the target's report. A report is as old as the last answer,
+	// and callers that all follow it overload the targets in turn.
+	minInFlight = 4
+	// minLatency, in seconds, keeps differences between very short latencies from
+	// deciding.
+	minLatency = 100e-6
+	// suspectLoad is the minimum load assumed for a target suspected dead.
+	suspectLoad = 1
 )
 
-// refresh works out again what Pick compares, at most once in Config.Refresh.
+// refresh recomputes what Pick compares, at most once per Config.Refresh.
 func (t *Table) refresh(now time.Duration) {
 	if t.fresh && now-t.refreshed < t.cfg.Refresh {
 		return
 	}
 	dt := now - t.refreshed
 	t.refreshed, t.fresh = now, true
-	t.means(now, dt)
-	topWeight := t.weigh(now)
+	t.updateMeans(now, dt)
+	topWeight := t.updateWeights(now)
 	for _, i := range t.all {
 		e := &t.entries[i]
 		if topWeight > 0 {
 			e.weight /= topWeight
 		}
-		e.hot = e.util > t.hotLoad() && e.inFlight < telling
-		e.cost = t.price(e)
+		e.hot = e.load > t.hotLoad() && e.inFlight < minInFlight
+		e.cost = t.targetCost(e)
 	}
 }
 
-// hotLoad is the load above which a target counts as hot.
-func (t *Table) hotLoad() float64 { return max(t.cfg.Floor, t.cfg.HotFactor*t.meanUtil) }
+// hotLoad returns the load above which a target is hot.
+func (t *Table) hotLoad() float64 { return max(t.cfg.Floor, t.cfg.HotFactor*t.meanLoad) }
 
-// means forgets what is old and works out the mean time and load.
-func (t *Table) means(now, dt time.Duration) {
+// updateMeans decays old measurements and computes the mean latency and load.
+func (t *Table) updateMeans(now, dt time.Duration) {
 	sum, n := 0.0, 0
-	f := decay{shed: fade(dt, shedMemory), rest: fade(dt, t.cfg.Forget)}
+	f := decay{shed: decayFactor(dt, shedDecay), rest: decayFactor(dt, t.cfg.Forget)}
 	for _, i := range t.all {
 		e := &t.entries[i]
-		t.forget(now, e, f)
+		t.decayEntry(now, e, f)
 		if e.measured && e.avoid == avoidNot {
 			sum += e.latency
 			n++
@@ -55,19 +55,18 @@
 	if n > 0 {
 		t.meanLatency = sum / float64(n)
 	}
-	t.meanUtil = t.meanLoad(now)
+	t.meanLoad = t.updateLoads(now)
 }
 
-// meanLoad works out the load of each target and returns the mean. A target
-// of which nothing is known counts as the mean of the known ones, but at most
-// as Floor: so a zone that is loaded above that turns to targets that it knows
-// nothing of, and learns.
-func (t *Table) meanLoad(now time.Duration) float64 {
+// updateLoads computes the load of each target and returns the mean. A target without
+// measurements counts as the mean of the others, but at most as Floor, so that a zone
+// loaded above Floor sends calls to unknown targets and measures them.
+func (t *Table) updateLoads(now time.Duration) float64 {
 	sum, known := 0.0, 0
 	for _, i := range t.all {
 		e := &t.entries[i]
-		if e.util = t.estimate(now, e); e.util >= 0 {
-			sum += e.util
+		if e.load = t.estimateLoad(now, e); e.load >= 0 {
+			sum += e.load
 			known++
 		}
 	}
@@ -76,67 +75,67 @@
 		guess = min(sum/float64(known), t.cfg.Floor)
 	}
 	for _, i := range t.all {
-		if e := &t.entries[i]; e.util < 0 {
-			e.util = guess
+		if e := &t.entries[i]; e.load < 0 {
+			e.load = guess
 			sum += guess
 		}
 	}
 	return sum / float64(max(t.Len(), 1))
 }
 
-// decay is by how much shares shrink from one refresh to the next.
+// decay holds the decay factors from one refresh to the next.
 type decay struct {
 	shed float64
 	rest float64
 }
 
-// forget lets the measurements of a target without calls drift to the mean.
-// Symptom otherwise: a target that was slow once gets no more calls, so nothing
-// ever shows that it recovered.
-func (t *Table) forget(now time.Duration, e *entry, f decay) {
-	e.shed *= f.shed
-	if now-e.changed < restTime {
+// decayEntry lets the measurements of a target without calls decay to the mean.
+// Otherwise a target that was slow once would get no more calls, and nothing would show
+// that it recovered.
+func (t *Table) decayEntry(now time.Duration, e *entry, f decay) {
+	e.shedRate *= f.shed
+	if now-e.changed < decayDelay {
 		return
 	}
-	e.errors *= f.rest
+	e.errorRate *= f.rest
 	e.latency = t.meanLatency + f.rest*(e.latency-t.meanLatency)
 }
 
-// unknown is the load of a target of which nothing is known.
-const unknown = -1
+// unknownLoad is the load of a target without measurements.
+const unknownLoad = -1
 
-// estimate is the load of a target, about 0 to 1: the report moved on by the
-// calls sent since, as far as it is trusted; else what the measurements show.
-func (t *Table) estimate(now time.Duration, e *entry) float64 {
+// estimateLoad returns the load of a target, about 0 to 1: the report plus the calls
+// sent since, weighted by trust; otherwise what the measurements show.
+func (t *Table) estimateLoad(now time.Duration, e *entry) float64 {
 	if e.Suspected {
-		return max(suspectUtil, e.load)
+		return max(suspectLoad, e.reportedLoad)
 	}
 	own := float64(e.inFlight) / float64(max(e.Slots, 1))
 	recent := now-e.changed < t.cfg.ReportAge
 	switch {
 	case e.reported && now-e.reportedAt < t.cfg.ReportAge:
-		load := max(e.load+own-float64(e.ownThen)/float64(max(e.Slots, 1)), 0)
-		return max(e.trust*load+(1-e.trust)*t.measuredUtil(e, own), e.shed)
+		load := max(e.reportedLoad+own-float64(e.inFlightAtReport)/float64(max(e.Slots, 1)), 0)
+		return max(e.trust*load+(1-e.trust)*t.measuredLoad(e, own), e.shedRate)
 	case e.measured && recent && !e.reported:
-		return max(t.measuredUtil(e, own), e.shed)
-	case own > 0 || e.shed > 0:
-		return max(own, e.shed)
+		return max(t.measuredLoad(e, own), e.shedRate)
+	case own > 0 || e.shedRate > 0:
+		return max(own, e.shedRate)
 	}
-	return unknown
+	return unknownLoad
 }
 
-// measuredUtil guesses a load from the time to answer: a target as fast as the
-// mean counts as half loaded, one that takes twice as long as fully loaded.
-func (t *Table) measuredUtil(e *entry, own float64) float64 {
+// measuredLoad estimates the load from the latency: a target at the mean latency counts
+// as half loaded, one at twice the mean as fully loaded.
+func (t *Table) measuredLoad(e *entry, own float64) float64 {
 	if !e.measured || t.meanLatency <= 0 {
 		return own
 	}
 	return max(own, min(e.latency/t.meanLatency/2, 1))
 }
 
-// weigh sets each target's chance to be drawn by its slots and its age, and
-// returns the highest.
-func (t *Table) weigh(now time.Duration) float64 {
+// updateWeights sets the sampling weight of each target by its slots and age, and
+// returns the highest one.
+func (t *Table) updateWeights(now time.Duration) float64 {
 	top := 0.0
 	for _, i := range t.all {
 		e := &t.entries[i]
@@ -146,7 +145,7 @@
 	return top
 }
 
-// ramp is the part of its share that a target gets by its age.
+// ramp returns the fraction of its weight that a target gets by its age.
 func (t *Table) ramp(now time.Duration, e *entry) float64 {
 	age := now - e.Since
 	if e.Since == 0 || age >= t.cfg.SlowStart {
@@ -155,12 +154,12 @@
 	return max(t.cfg.SlowStartMin, age.Seconds()/t.cfg.SlowStart.Seconds())
 }
 
-// price is the cost of a target without the calls in flight from here: the time
-// that a call is expected to take, dearer with load and failures. A target's own
-// time counts only if it stands out. Symptom otherwise: targets of a service with
-// short and long classes are full in turn, since a mean time wanders by more than
-// targets differ, and callers all go where it happens to be short.
-func (t *Table) price(e *entry) float64 {
+// targetCost returns the cost of a target, ignoring the calls in flight from this
+// caller: the expected latency, increased by load and failures. A target's own latency
+// counts only if it is an outlier. A mean over short and long request classes varies
+// more than targets differ, so otherwise all callers would follow the noise and fill
+// the targets in turn.
+func (t *Table) targetCost(e *entry) float64 {
 	s := t.meanLatency
 	if e.measured && e.latency > slowFactor*s {
 		s = e.latency
@@ -168,5 +167,5 @@
 	if !e.local {
 		s += t.cfg.ZoneCost.Seconds()
 	}
-	return max(s, minTime) * (1 + loadCost*e.util*e.util) * (1 + errorCost*e.errors)
+	return max(s, minLatency) * (1 + loadCost*e.load*e.load) * (1 + errorCost*e.errorRate)
 }
--- a/internal/core/route/load_test.go
+++ b/internal/core/route/scenario_test.go
@@ -11,44 +11,44 @@
 	"peardrift/internal/core/request"
 )
 
-// picker is one caller's way to choose among targets 0 to n-1.
+// picker is one caller's policy for choosing among targets 0 to n-1.
 type picker interface {
 	pick(now time.Duration) (int, bool)
 	done(now time.Duration, i int, r *Result)
 }
 
-// routed is the way of this package.
-type routed struct {
-	t     *Table
-	place map[request.TargetID]int
-	index map[int]int // of the table, by target
+// tablePicker is the policy of this package.
+type tablePicker struct {
+	t        *Table
+	position map[request.TargetID]int
+	index    map[int]int // index in the table, by target
 }
 
-func newRouted(cfg *Config, caller int, zone string, ts []Target) picker {
-	r := &routed{place: map[request.TargetID]int{}, index: map[int]int{}}
+func newTablePicker(cfg *Config, caller int, zone string, ts []Target) picker {
+	r := &tablePicker{position: map[request.TargetID]int{}, index: map[int]int{}}
 	r.t = NewTable(cfg, Place{Caller: uint64(caller), Region: "r", Zone: zone}, rand.New(rand.NewPCG(uint64(caller), 9)))
 	r.t.Update(0, ts, 0)
 	for i, tg := range ts {
-		r.place[tg.ID] = i
+		r.position[tg.ID] = i
 	}
 	return r
 }
 
-func (r *routed) pick(now time.Duration) (int, bool) {
+func (r *tablePicker) pick(now time.Duration) (int, bool) {
 	idx, ok := r.t.Pick(now, 0, nil)
 	if !ok {
 		return 0, false
 	}
 	r.t.Started(now, idx)
-	i := r.place[r.t.Target(idx).ID]
+	i := r.position[r.t.Target(idx).ID]
 	r.index[i] = idx
 	return i, true
 }
 
-func (r *routed) done(now time.Duration, i int, res *Result) { r.t.Done(now, r.index[i], res) }
+func (r *tablePicker) done(now time.Duration, i int, res *Result) { r.t.Done(now, r.index[i], res) }
 
-// leastOf picks the one with the fewest calls in flight from here of n random
-// ones; with one it is random.
+// leastOf picks, of n random targets, the one with the fewest calls in flight from this
+// caller; with n of 1 it is random.
 type leastOf struct {
 	n        int
 	inFlight []int
@@ -68,20 +68,20 @@
 
 func (l *leastOf) done(_ time.Duration, i int, _ *Result) { l.inFlight[i]-- }
 
-// server is a target with its slots, a queue and what is wrong with it.
+// server simulates a target with slots, a queue and faults.
 type server struct {
-	free     []time.Duration // when each slot is free
-	pending  []time.Duration // ends of the calls in hand
-	slowness float64
-	fails    bool // each call, at once
-	idle     bool // says that it is
-	down     bool
-	got      int
+	free        []time.Duration // when each slot becomes free
+	pending     []time.Duration // when the calls in flight end
+	slowness    float64
+	fails       bool // fails each call immediately
+	reportsIdle bool // always reports no load
+	down        bool
+	received    int
 }
 
-// serve returns how a call that arrives at now ends, and when.
+// serve returns when a call that arrives at now ends, and its result.
 func (s *server) serve(now, work time.Duration) (time.Duration, Result) {
-	s.got++
+	s.received++
 	switch {
 	case s.down:
 		return now, Result{Kind: Broken}
@@ -99,49 +99,49 @@
 	s.pending = append(s.pending, end)
 	s.pending = slices.DeleteFunc(s.pending, func(e time.Duration) bool { return e <= now })
 	r := Result{Kind: Success, InFlight: len(s.pending), Limit: len(s.free)}
-	if s.idle {
+	if s.reportsIdle {
 		r.InFlight = 0
 	}
 	return end, r
 }
 
-type end struct {
+type completion struct {
 	at     time.Duration
 	caller int
 	target int
 	r      Result
 }
 
-type queue []end
+type queue []completion
 
 func (q queue) Len() int           { return len(q) }
 func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(end)) }
+func (q *queue) Push(x any)        { *q = append(*q, x.(completion)) }
 func (q *queue) Pop() any {
 	e := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return e
 }
 
-// scene is a service under load and what happens to it at half time.
-type scene struct {
+// scenario is a service under load and a fault at half time.
+type scenario struct {
 	name    string
 	perZone []int
-	load    float64 // of the targets' slots
+	load    float64 // fraction of the targets' slots
 	callers int
-	happens func(ss []*server)
+	fault   func(ss []*server)
 }
 
 const (
-	few    = 24  // callers
-	many   = 480 // each with a twentieth of the calls
-	seeds  = 5
-	play0  = 20 * time.Second
-	oneWay = 1500 * time.Microsecond
+	few      = 24  // callers
+	many     = 480 // 20 x few, each with a twentieth of the calls
+	seeds    = 5
+	duration = 20 * time.Second
+	oneWay   = 1500 * time.Microsecond
 )
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{"even", []int{4, 4, 4}, 0.6, few, nil},
 	{"even-busy", []int{4, 4, 4}, 0.85, few, nil},
 	{"small-zone", []int{1, 4, 4}, 0.6, few, nil},
@@ -153,23 +153,23 @@
 	{"many-callers-one-fails-fast", []int{4, 4, 4}, 0.6, many, func(ss []*server) { ss[0].fails = true }},
 	{"many-callers-one-crashes", []int{4, 4, 4}, 0.6, many, func(ss []*server) { ss[0].down = true }},
 	{"one-slow", []int{4, 4, 4}, 0.6, few, func(ss []*server) { ss[0].slowness = 5 }},
-	{"one-slow-says-idle", []int{4, 4, 4}, 0.6, few, func(ss []*server) { ss[0].slowness, ss[0].idle = 5, true }},
+	{"one-slow-says-idle", []int{4, 4, 4}, 0.6, few, func(ss []*server) { ss[0].slowness, ss[0].reportsIdle = 5, true }},
 	{"one-fails-fast", []int{4, 4, 4}, 0.6, few, func(ss []*server) { ss[0].fails = true }},
 	{"one-crashes", []int{4, 4, 4}, 0.6, few, func(ss []*server) { ss[0].down = true }},
 }
 
-// measured is taken over the second half.
+// measured holds the measurements of the second half.
 type measured struct {
 	calls, failed, remote int
-	took                  []time.Duration
+	latencies             []time.Duration
 }
 
 func (m *measured) quantile(q float64) time.Duration {
-	slices.Sort(m.took)
-	return m.took[int(q*float64(len(m.took)-1))]
+	slices.Sort(m.latencies)
+	return m.latencies[int(q*float64(len(m.latencies)-1))]
 }
 
-func (sc scene) run(seed uint64, way func(caller int, zone string, ts []Target) picker) *measured {
+func (sc scenario) run(seed uint64, newPicker func(caller int, zone string, ts []Target) picker) *measured {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	ts := targets(sc.perZone...)
 	ss := make([]*server, len(ts))
@@ -180,19 +180,19 @@
 	zone := func(caller int) string { return fmt.Sprintf("z%d", caller%len(sc.perZone)) }
 	ps := make([]picker, sc.callers)
 	for c := range ps {
-		ps[c] = way(c, zone(c), ts)
+		ps[c] = newPicker(c, zone(c), ts)
 	}
 	m, q := &measured{}, queue{}
 	gap := float64(10*ms) / (sc.load * float64(20*len(ts)))
-	for now := time.Duration(0); now < play0; now += time.Duration(rng.ExpFloat64() * gap) {
+	for now := time.Duration(0); now < duration; now += time.Duration(rng.ExpFloat64() * gap) {
 		for len(q) > 0 && q[0].at <= now {
-			e := heap.Pop(&q).(end)
+			e := heap.Pop(&q).(completion)
 			ps[e.caller].done(e.at, e.target, &e.r)
 		}
-		half := now >= play0/2
-		if half && sc.happens != nil {
-			sc.happens(ss)
-			sc.happens = nil
+		half := now >= duration/2
+		if half && sc.fault != nil {
+			sc.fault(ss)
+			sc.fault = nil
 		}
 		c := rng.IntN(sc.callers)
 		i, ok := ps[c].pick(now)
@@ -200,15 +200,15 @@
 			m.failed++
 			continue
 		}
-		way := time.Duration(0)
+		delay := time.Duration(0)
 		if ts[i].Zone != zone(c) {
-			way = oneWay
+			delay = oneWay
 		}
-		at, r := ss[i].serve(now+way, time.Duration(rng.ExpFloat64()*float64(10*ms)))
-		r.Latency = at + way - now
-		heap.Push(&q, end{now + r.Latency, c, i, r})
+		at, r := ss[i].serve(now+delay, time.Duration(rng.ExpFloat64()*float64(10*ms)))
+		r.Latency = at + delay - now
+		heap.Push(&q, completion{now + r.Latency, c, i, r})
 		if half {
-			m.add(&r, way > 0)
+			m.add(&r, delay > 0)
 		}
 	}
 	return m
@@ -223,14 +223,14 @@
 		m.failed++
 		return
 	}
-	m.took = append(m.took, r.Latency)
+	m.latencies = append(m.latencies, r.Latency)
 }
 
 func (m *measured) merge(n *measured) {
 	m.calls += n.calls
 	m.failed += n.failed
 	m.remote += n.remote
-	m.took = append(m.took, n.took...)
+	m.latencies = append(m.latencies, n.latencies...)
 }
 
 func (m *measured) report(b *testing.B) {
@@ -240,13 +240,13 @@
 	b.ReportMetric(float64(m.remote)/float64(m.calls), "remote/call")
 }
 
-// BenchmarkScenes reports of 10 s for each of several seeds: calls failed, in a
-// thousand; quantiles of the time to answer; the share that went to other zones.
+// BenchmarkScenes reports, for 10 s and several seeds: failed calls per thousand,
+// latency quantiles, and the fraction of calls to other zones.
 func BenchmarkScenes(b *testing.B) {
 	cfg := DefaultConfig()
-	ways := []struct {
-		name string
-		way  func(int, string, []Target) picker
+	policies := []struct {
+		name      string
+		newPicker func(int, string, []Target) picker
 	}{
 		{"random", func(c int, _ string, ts []Target) picker {
 			return &leastOf{1, make([]int, len(ts)), rand.New(rand.NewPCG(uint64(c), 9))}
@@ -254,15 +254,15 @@
 		{"least-of-two", func(c int, _ string, ts []Target) picker {
 			return &leastOf{2, make([]int, len(ts)), rand.New(rand.NewPCG(uint64(c), 9))}
 		}},
-		{"route", func(c int, zone string, ts []Target) picker { return newRouted(&cfg, c, zone, ts) }},
+		{"route", func(c int, zone string, ts []Target) picker { return newTablePicker(&cfg, c, zone, ts) }},
 	}
-	for _, sc := range scenes {
-		for _, w := range ways {
+	for _, sc := range scenarios {
+		for _, w := range policies {
 			b.Run(sc.name+"/"+w.name, func(b *testing.B) {
 				for b.Loop() {
 					all, worst := &measured{}, time.Duration(0)
 					for seed := range uint64(seeds) {
-						m := sc.run(seed, w.way)
+						m := sc.run(seed, w.newPicker)
 						worst = max(worst, m.quantile(0.99))
 						all.merge(m)
 					}
--- a/internal/core/route/subset.go
+++ b/internal/core/route/subset.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is where a caller stands.
+// Place is the location of a caller.
 type Place struct {
-	// Caller identifies the calling node; it decides the caller's subset.
+	// Caller identifies the calling node and determines its subset.
 	Caller uint64
 	Region string
 	Zone   string
@@ -18,10 +18,10 @@
 
 // SubsetSize returns how many of a service's targets each of its callers uses.
 //
-// Each caller keeps at least one connection to each target of its subset, so
-// callers x size connections spread over all targets. The size is the largest
-// that keeps this under ConnShare of what the targets accept, within MinSubset
-// and Subset. conns is the sum over all targets; callers 0 means not known.
+// Each caller keeps at least one connection to each target of its subset, so callers x
+// size connections spread over all targets. The size is the largest one that keeps this
+// below ConnShare of the connections that the targets accept, within MinSubset and
+// Subset. conns is the sum over all targets; callers is 0 if unknown.
 func SubsetSize(cfg *Config, targets, conns, callers int) int {
 	size := cfg.Subset
 	if callers > 0 && conns > 0 {
@@ -30,18 +30,18 @@
 	return min(max(size, cfg.MinSubset), targets)
 }
 
-// scored is a candidate with its rendezvous hash.
-type scored struct {
+// hashedTarget is a candidate with its rendezvous hash.
+type hashedTarget struct {
 	i    int
 	hash uint64
 }
 
-// subset returns the indices of the caller's targets in ts: those of its zone
-// and the others, in the order of their rendezvous hash. A target that comes or
-// goes changes the subsets of about size/targets of the callers by one target.
-// Targets of another region are used only if the own one has none left.
+// subset returns the indices of the caller's targets in ts, local and remote ones,
+// ordered by rendezvous hash. A target that is added or removed changes one target in
+// the subsets of about size/targets of the callers. Targets of another region are used
+// only if the caller's region has none.
 func subset(cfg *Config, at Place, ts []Target, callers int) (local, remote []int) {
-	var own, region, far []scored
+	var own, region, far []hashedTarget
 	conns := 0
 	for i := range ts {
 		t := &ts[i]
@@ -49,7 +49,7 @@
 			continue
 		}
 		conns += t.Conns
-		s := scored{i: i, hash: rendezvous(at.Caller, uint64(t.ID))}
+		s := hashedTarget{i: i, hash: rendezvous(at.Caller, uint64(t.ID))}
 		switch {
 		case t.Region != at.Region:
 			far = append(far, s)
@@ -64,11 +64,11 @@
 	}
 	size := SubsetSize(cfg, len(own)+len(region), conns, callers)
 	nLocal := min(len(own), max(int(cfg.LocalShare*float64(size)+0.5), size-len(region)))
-	return first(own, nLocal), first(region, size-nLocal)
+	return topByHash(own, nLocal), topByHash(region, size-nLocal)
 }
 
-func first(s []scored, n int) []int {
-	slices.SortFunc(s, func(a, b scored) int {
+func topByHash(s []hashedTarget, n int) []int {
+	slices.SortFunc(s, func(a, b hashedTarget) int {
 		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.i, b.i))
 	})
 	idx := make([]int, 0, n)
--- a/internal/core/route/subset_test.go
+++ b/internal/core/route/subset_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// bigService is a service of n targets over the zones of one region.
+// bigService returns n targets spread over the zones of one region.
 func bigService(n int) []Target {
 	ts := make([]Target, n)
 	for i := range ts {
@@ -41,7 +41,7 @@
 	return ts
 }
 
-func used(cfg *Config, caller int, ts []Target, callers int) []request.TargetID {
+func subsetIDs(cfg *Config, caller int, ts []Target, callers int) []request.TargetID {
 	at := Place{Caller: uint64(caller) * 0x9e3779b97f4a7c15, Region: "r", Zone: fmt.Sprint("z", caller%3)}
 	local, remote := subset(cfg, at, ts, callers)
 	var ids []request.TargetID
@@ -58,7 +58,7 @@
 	rest := ts[1:]
 	changed := 0
 	for c := range 300 {
-		before, after := used(&cfg, c, ts, 300), used(&cfg, c, rest, 300)
+		before, after := subsetIDs(&cfg, c, ts, 300), subsetIDs(&cfg, c, rest, 300)
 		is.Equal(len(before), cfg.Subset)
 		gone := 0
 		for _, id := range before {
@@ -66,7 +66,7 @@
 				gone++
 			}
 		}
-		is.True(gone <= 1) // the one that left, and no other
+		is.True(gone <= 1) // only the target that left
 		changed += gone
 	}
 	is.True(changed > 20 && changed < 90) // about 300 x 16 / 100
@@ -86,13 +86,13 @@
 	for _, i := range append(local, remote...) {
 		is.Equal(ts[i].Region, "r")
 	}
-	local, remote = subset(&cfg, at, ts[:30], 0) // the own region has none left
+	local, remote = subset(&cfg, at, ts[:30], 0) // the caller's region has no targets
 	is.Equal(len(local), 0)
 	is.Equal(len(remote), 16)
 }
 
-// BenchmarkSubsetSpread reports how unevenly the callers of a service spread
-// over its targets: the most callers of one target, and the even share.
+// BenchmarkSubsetSpread reports how unevenly the callers of a service spread over its
+// targets: the most callers of one target and the even share.
 func BenchmarkSubsetSpread(b *testing.B) {
 	cfg := DefaultConfig()
 	for _, n := range []struct{ targets, callers int }{{18, 200}, {100, 500}, {100, 5000}, {300, 14000}} {
@@ -102,7 +102,7 @@
 			for b.Loop() {
 				got := map[request.TargetID]int{}
 				for c := range n.callers {
-					ids := used(&cfg, c, ts, n.callers)
+					ids := subsetIDs(&cfg, c, ts, n.callers)
 					size = len(ids)
 					for _, id := range ids {
 						got[id]++
@@ -120,7 +120,7 @@
 	}
 }
 
-// BenchmarkUpdate is a snapshot with one more target of a service of 300.
+// BenchmarkUpdate alternates between snapshots of 299 and 300 targets.
 func BenchmarkUpdate(b *testing.B) {
 	ts := bigService(300)
 	tab := newTable(ts)
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -7,40 +7,40 @@
 	"peardrift/internal/core/request"
 )
 
-// entry is one target of the subset with what was measured of it.
+// entry is one target of the subset and its measurements.
 type entry struct {
 	Target
-	used     bool // in the present subset
+	used     bool // in the current subset
 	local    bool // in the caller's zone
 	cap      int32
 	inFlight int32
 
-	measured bool
-	latency  float64 // seconds, mean of successes
-	errors   float64 // share of failures, 0 to 1
-	shed     float64 // share of refusals for load, 0 to 1
-	changed  time.Duration
-	failures int // in a row
+	measured  bool
+	latency   float64 // seconds, mean of successes
+	errorRate float64 // fraction of failures, 0 to 1
+	shedRate  float64 // fraction of refusals for load, 0 to 1
+	changed   time.Duration
+	failures  int // consecutive
 
-	reported   bool
-	load       float64 // reported, 0 to 1 and above
-	reportedAt time.Duration
-	ownThen    int32   // own calls in flight at the report
-	trust      float64 // weight of reports, 0 to 1
+	reported         bool
+	reportedLoad     float64 // 0 to 1, above 1 if calls are queued
+	reportedAt       time.Duration
+	inFlightAtReport int32   // calls in flight from here at the report
+	trust            float64 // weight of reports, 0 to 1
 
 	level   request.Level
 	levelAt time.Duration
 
-	avoid     avoidance
-	until     time.Duration // avoided until then
-	ejections int           // in a row
-	breaks    int           // in a row
-	probing   bool
+	avoid      avoidance
+	avoidUntil time.Duration
+	ejections  int // consecutive
+	breaks     int // consecutive
+	probing    bool
 
 	// Derived by refresh.
-	util   float64
+	load   float64
 	cost   float64
-	weight float64 // relative chance to be drawn, 0 to 1
+	weight float64 // relative sampling probability, 0 to 1
 	hot    bool
 }
 
@@ -52,7 +52,7 @@
 	avoidBroken
 )
 
-// Table is one callee service as one caller sees it.
+// Table holds the targets of one callee service as seen by one caller.
 type Table struct {
 	cfg     *Config
 	at      Place
@@ -60,31 +60,31 @@
 	entries []entry
 	free    []int32
 	index   map[request.TargetID]int32
-	all     []int32 // the subset, those of the own zone first
-	local   []int32 // parts of all
+	all     []int32 // the subset, local zone first
+	local   []int32 // subslices of all
 	remote  []int32
 
 	refreshed   time.Duration
 	fresh       bool
-	meanUtil    float64
+	meanLoad    float64
 	meanLatency float64
 }
 
-// NewTable returns an empty table of a caller at the given place. rng draws the
+// NewTable returns an empty table for a caller at the given place. rng samples the
 // targets to compare; it must not be shared with another goroutine.
 func NewTable(cfg *Config, at Place, rng *rand.Rand) *Table {
 	return &Table{cfg: cfg, at: at, rng: rng, index: map[request.TargetID]int32{}}
 }
 
-// Update takes a new snapshot of the service's targets; it doesn't keep ts.
-// callers is the number of nodes that call the service, 0 if not known.
-// Measurements of targets that stay in the subset are kept.
+// Update applies a new snapshot of the service's targets; it doesn't retain ts. callers
+// is the number of nodes that call the service, 0 if unknown. Targets that stay in the
+// subset keep their measurements.
 func (t *Table) Update(now time.Duration, ts []Target, callers int) {
 	local, remote := subset(t.cfg, t.at, ts, callers)
 	for i := range t.entries {
 		t.entries[i].used = false
 	}
-	// The callers that one target is to expect, from the subsets' size.
+	// The expected number of callers per target, from the size of the subsets.
 	expected := float64(callers*(len(local)+len(remote))) / float64(max(len(ts), 1))
 	t.all = t.place(t.all[:0], now, ts, local, expected)
 	t.all = t.place(t.all, now, ts, remote, expected)
@@ -98,20 +98,20 @@
 	t.fresh = false
 }
 
-// place enters the targets of a list into the table and returns their indices.
+// place adds the listed targets to the table and returns their indices.
 func (t *Table) place(to []int32, now time.Duration, ts []Target, list []int, expected float64) []int32 {
 	for _, j := range list {
 		tg := ts[j]
 		i, ok := t.index[tg.ID]
 		if !ok || t.entries[i].Incarnation < tg.Incarnation {
-			i = t.slot()
+			i = t.allocate()
 			t.index[tg.ID] = i
 			t.entries[i] = entry{Target: tg, trust: 1, changed: now}
 		}
 		e := &t.entries[i]
 		if tg.Incarnation == e.Incarnation {
-			// A leave that an answer told wins over a snapshot that lags behind
-			// it, for that incarnation.
+			// A leave learned from an answer takes precedence over an older snapshot of
+			// the same incarnation.
 			tg.Leaving = tg.Leaving || e.Leaving
 			e.Target = tg
 		}
@@ -122,7 +122,7 @@
 	return to
 }
 
-func (t *Table) slot() int32 {
+func (t *Table) allocate() int32 {
 	if n := len(t.free); n > 0 {
 		i := t.free[n-1]
 		t.free = t.free[:n-1]
@@ -132,9 +132,9 @@
 	return int32(len(t.entries) - 1)
 }
 
-// release frees the slot of a target that is neither used nor has calls in
-// flight. Until then the index stays taken, so that Done of a call that was
-// sent before an Update can't be booked on another target.
+// release frees the index of a target that is neither in the subset nor has calls in
+// flight. Until then the index stays reserved, so that Done of a call sent before an
+// Update can't be attributed to another target.
 func (t *Table) release(i int32) {
 	e := &t.entries[i]
 	if e.used || e.inFlight > 0 || e.ID == 0 {
@@ -147,7 +147,7 @@
 	t.free = append(t.free, i)
 }
 
-// connCap bounds the calls that a caller has in flight at one target, each of
+// connCap returns the limit of calls in flight from one caller to one target, each of
 // which holds a connection: PeakFactor times the caller's even share.
 func connCap(cfg *Config, conns int, expected float64) int32 {
 	if conns <= 0 {
@@ -166,5 +166,6 @@
 // Target returns the target at an index that Pick returned.
 func (t *Table) Target(idx int) Target { return t.entries[idx].Target }
 
-// InFlight returns the calls in flight from here at an index that Pick returned.
+// InFlight returns the number of calls in flight from this caller at an index that Pick
+// returned.
 func (t *Table) InFlight(idx int) int { return int(t.entries[idx].inFlight) }
--- a/internal/core/route/table_test.go
+++ b/internal/core/route/table_test.go
@@ -34,8 +34,8 @@
 	return t
 }
 
-// play makes calls, one each interval, each of which ends as end says.
-func play(t *Table, from time.Duration, n int, interval time.Duration, end func(now time.Duration, tg Target) Result) map[request.TargetID]int {
+// simulate makes n calls, one per interval, with the results that end returns.
+func simulate(t *Table, from time.Duration, n int, interval time.Duration, end func(now time.Duration, tg Target) Result) map[request.TargetID]int {
 	got := map[request.TargetID]int{}
 	for i := range n {
 		now := from + time.Duration(i)*interval
@@ -54,7 +54,7 @@
 func TestPrefersZone(t *testing.T) {
 	is := is.New(t)
 	ts := targets(3, 3, 3)
-	got := play(newTable(ts), 0, 3000, ms, func(_ time.Duration, tg Target) Result {
+	got := simulate(newTable(ts), 0, 3000, ms, func(_ time.Duration, tg Target) Result {
 		r := Result{Kind: Success, Latency: 5 * ms, InFlight: 40, Limit: 100}
 		if tg.Zone != "z0" {
 			r.Latency += 3 * ms
@@ -62,34 +62,34 @@
 		return r
 	})
 	for _, tg := range ts[:3] {
-		is.True(got[tg.ID] > 500) // spread over the zone
+		is.True(got[tg.ID] > 500) // distributed over the zone
 	}
 	is.Equal(len(got), 3)
 }
 
-// Symptom: a target that fails at once gets most calls of all callers.
-// Events: one target of six answers each call with a failure within 0.1 ms.
-// Cause: it never has anything in flight and is the fastest, so it looks idle.
-func TestFastFailuresDontAttract(t *testing.T) {
+// Guards against a target that attracts calls by failing fast: one of six answers each
+// call with a failure within 0.1 ms, so it is the fastest and never has calls in
+// flight.
+func TestFastFailuresDoNotAttractCalls(t *testing.T) {
 	is := is.New(t)
 	ts := targets(6)
 	bad := ts[0].ID
-	got := play(newTable(ts), 0, 5000, ms, func(_ time.Duration, tg Target) Result {
+	got := simulate(newTable(ts), 0, 5000, ms, func(_ time.Duration, tg Target) Result {
 		if tg.ID == bad {
 			return Result{Kind: Failure, Latency: ms / 10}
 		}
 		return Result{Kind: Success, Latency: 5 * ms}
 	})
-	is.True(got[bad] < 10) // 5 until ejected, then one per ejection
+	is.True(got[bad] < 10) // 5 until it is ejected, then one per ejection
 }
 
-func TestSomeFastFailuresDontAttract(t *testing.T) {
+func TestOccasionalFastFailuresDoNotAttractCalls(t *testing.T) {
 	is := is.New(t)
 	ts := targets(6)
 	bad, n := ts[0].ID, 0
 	tab := newTable(ts)
-	got := play(tab, 0, 6000, ms, func(_ time.Duration, tg Target) Result {
-		if n++; tg.ID == bad && n%3 == 0 { // too few to be ejected
+	got := simulate(tab, 0, 6000, ms, func(_ time.Duration, tg Target) Result {
+		if n++; tg.ID == bad && n%3 == 0 { // too rare for an ejection
 			return Result{Kind: Failure, Latency: ms / 10}
 		}
 		return Result{Kind: Success, Latency: 5 * ms}
@@ -98,20 +98,19 @@
 	is.True(tab.entries[tab.index[bad]].latency >= (5 * ms).Seconds())
 }
 
-// Symptom: a service that fails as a whole loses its last targets to ejection,
-// the rest are overloaded. Cause: ejection without a bound.
+// Guards against unbounded ejection, which overloads the remaining targets when the
+// whole service fails.
 func TestEjectionIsBounded(t *testing.T) {
 	is := is.New(t)
 	ts := targets(10)
 	tab := newTable(ts)
-	play(tab, 0, 2000, ms, func(time.Duration, Target) Result { return Result{Kind: Failure, Latency: ms} })
-	is.Equal(tab.ejected(2*time.Second-ms) <= 3, true)
+	simulate(tab, 0, 2000, ms, func(time.Duration, Target) Result { return Result{Kind: Failure, Latency: ms} })
+	is.Equal(tab.countEjected(2*time.Second-ms) <= 3, true)
 }
 
-// Symptom: calls go on being lost on a target that crashed.
-// Events: a target crashes with calls in flight, returns after 2 s.
-// Cause: membership takes seconds to notice; the connections tell at once.
-func TestBrokenTargetIsAvoidedAtOnce(t *testing.T) {
+// Guards against losing further calls on a target that crashes with calls in flight and
+// returns after 2 s. Membership takes seconds to notice; connections fail immediately.
+func TestBrokenTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	ts := targets(4)
 	down := ts[0].ID
@@ -122,10 +121,10 @@
 		}
 		return Result{Kind: Success, Latency: 5 * ms}
 	}
-	got := play(tab, 0, 2000, ms, end)
-	is.True(got[down] <= 8) // the first, then one each time the backoff ends
-	got = play(tab, 3*time.Second, 3000, ms, end)
-	is.True(got[down] > 400) // back in its share
+	got := simulate(tab, 0, 2000, ms, end)
+	is.True(got[down] <= 8) // the first one, then one per backoff
+	got = simulate(tab, 3*time.Second, 3000, ms, end)
+	is.True(got[down] > 400) // receives its share again
 }
 
 func TestProbe(t *testing.T) {
@@ -137,21 +136,20 @@
 	_, ok := tab.Pick(ms, 0, nil)
 	is.True(!ok)
 	_, ok = tab.NextProbe(ms)
-	is.True(!ok) // not before the backoff has run out
+	is.True(!ok) // not before the backoff ends
 	p, ok := tab.NextProbe(100 * ms)
 	is.True(ok)
 	_, ok = tab.Pick(100*ms, 0, nil)
-	is.True(!ok) // no call is risked while the probe is out
+	is.True(!ok) // no call is sent during the probe
 	tab.Probed(101*ms, p, true)
 	_, ok = tab.Pick(101*ms, 0, nil)
 	is.True(ok)
 	is.Equal(tab.InFlight(p), 0)
 }
 
-// Symptom: a target that leaves gets new calls again.
-// Events: its answer says that it leaves, then a late announcement of the same
-// incarnation arrives with a snapshot. Cause: the announcement was believed.
-func TestLeaveWinsForItsIncarnation(t *testing.T) {
+// Guards against new calls to a draining target: an answer reports that it leaves, then
+// a snapshot with an older announcement of the same incarnation arrives.
+func TestLeaveHoldsForIncarnation(t *testing.T) {
 	is := is.New(t)
 	ts := targets(1)
 	tab := newTable(ts)
@@ -167,10 +165,9 @@
 	is.True(ok)
 }
 
-// Symptom: the end of a call is booked on another target.
-// Events: the target is replaced by another while the call is in flight.
-// Cause: its place in the table was given away.
-func TestIndexOutlivesUpdate(t *testing.T) {
+// Guards against attributing the end of a call to another target that took over the
+// index of the call's target while the call was in flight.
+func TestIndexValidAcrossUpdate(t *testing.T) {
 	is := is.New(t)
 	tab := newTable(targets(1))
 	old, _ := tab.Pick(0, 0, nil)
@@ -182,23 +179,22 @@
 	tab.Done(2*ms, old, &Result{Kind: Broken})
 	_, ok = tab.Pick(2*ms, 0, nil)
 	is.True(ok)
-	is.Equal(len(tab.free), 1) // and is free after the end
+	is.Equal(len(tab.free), 1) // the index is free after the call
 	tab.Started(2*ms, idx)
 	tab.Update(3*ms, targets(0, 0, 1), 0)
-	tab.Update(4*ms, targets(0, 0, 0, 1), 0) // takes the place of the one before
+	tab.Update(4*ms, targets(0, 0, 0, 1), 0) // reuses the index of the previous target
 	tab.Done(5*ms, idx, &Result{Kind: Broken})
 	now, ok := tab.Pick(5*ms, 0, nil)
 	is.True(ok && tab.InFlight(now) == 0)
 }
 
-// Symptom: one target of four gets hardly any calls, the others carry its part.
-// Events: it reports a full load at all times, but answers as fast as the others
-// and refuses nothing. Cause: its report was believed.
-func TestLyingReportsLose(t *testing.T) {
+// Guards against trusting a false report: one of four targets always reports full load,
+// but is as fast as the others and refuses nothing.
+func TestFalseReportsLoseTrust(t *testing.T) {
 	is := is.New(t)
 	ts := targets(4)
 	liar := ts[0].ID
-	got := play(newTable(ts), 0, 4000, ms, func(_ time.Duration, tg Target) Result {
+	got := simulate(newTable(ts), 0, 4000, ms, func(_ time.Duration, tg Target) Result {
 		r := Result{Kind: Success, Latency: 5 * ms, InFlight: 60, Limit: 100}
 		if tg.ID == liar {
 			r.InFlight = 100
@@ -208,13 +204,13 @@
 	is.True(got[liar] > 500) // half of its even share
 }
 
-// Symptom: a target is refused by and gets the same calls again and again.
-// Events: it reports that it is idle, and refuses each call at once.
-func TestShedsBeatIdleReport(t *testing.T) {
+// Guards against sending calls again and again to a target that reports that it is idle
+// but refuses each call immediately.
+func TestRefusalsOutweighIdleReport(t *testing.T) {
 	is := is.New(t)
 	ts := targets(4)
 	liar := ts[0].ID
-	got := play(newTable(ts), 0, 4000, ms, func(_ time.Duration, tg Target) Result {
+	got := simulate(newTable(ts), 0, 4000, ms, func(_ time.Duration, tg Target) Result {
 		if tg.ID == liar {
 			return Result{Kind: Shed, InFlight: 0, Limit: 100}
 		}
@@ -229,8 +225,8 @@
 	ts[0].Since = time.Nanosecond
 	end := func(time.Duration, Target) Result { return Result{Kind: Success, Latency: 5 * ms} }
 	tab := newTable(ts)
-	early := play(tab, 0, 1000, ms, end)[ts[0].ID]
-	late := play(tab, 10*time.Second, 1000, ms, end)[ts[0].ID]
+	early := simulate(tab, 0, 1000, ms, end)[ts[0].ID]
+	late := simulate(tab, 10*time.Second, 1000, ms, end)[ts[0].ID]
 	is.True(early > 0 && early < 120)
 	is.True(late > 150)
 }
@@ -249,16 +245,16 @@
 		tab.Started(0, idx)
 		n++
 	}
-	is.Equal(n, 8) // PeakFactor times its share of 2
+	is.Equal(n, 8) // PeakFactor times the even share of 2
 }
 
-func TestLevelSteersLowPriorities(t *testing.T) {
+func TestLevelRoutesLowPriorities(t *testing.T) {
 	is := is.New(t)
 	ts := targets(2)
 	tab := newTable(ts)
 	strict := ts[0].ID
 	level := request.Priority(50) << 16
-	play(tab, 0, 100, ms, func(_ time.Duration, tg Target) Result {
+	simulate(tab, 0, 100, ms, func(_ time.Duration, tg Target) Result {
 		r := Result{Kind: Success, Latency: 5 * ms, HasLevel: true}
 		if tg.ID == strict {
 			r.Level = level
@@ -311,7 +307,7 @@
 	}
 }
 
-// BenchmarkRareCall has each call pay for a refresh of the whole subset.
+// BenchmarkRareCall refreshes the whole subset at each call.
 func BenchmarkRareCall(b *testing.B) {
 	tab := newTable(targets(6, 6, 6))
 	now := time.Duration(0)
--- a/internal/core/route/target.go
+++ b/internal/core/route/target.go
@@ -6,67 +6,69 @@
 	"peardrift/internal/core/request"
 )
 
-// Target is one target of the service, as a snapshot of the members has it.
+// Target is one target of the service in a membership snapshot.
 type Target struct {
 	ID request.TargetID
-	// Incarnation rises with each start of the target. Measurements and a leave
-	// belong to one incarnation.
+	// Incarnation increases with each start of the target. Measurements and a leave
+	// apply to one incarnation.
 	Incarnation uint64
 	Region      string
 	Zone        string
-	// Slots is the requests that the target runs at once, Conns the connections
-	// it accepts.
+	// Slots is the number of requests that the target runs concurrently, Conns the
+	// number of connections it accepts.
 	Slots int
 	Conns int
 	// Since is when this incarnation became ready; 0 if long ago.
 	Since time.Duration
-	// Suspected says that its node may be gone: used only if others are hot.
+	// Suspected: the target's node may be dead; used only if other targets are hot.
 	Suspected bool
-	// Leaving: gets nothing new.
+	// Leaving: the target gets no new calls.
 	Leaving bool
 }
 
-// Kind is how a call ended, as far as it tells something of the target.
+// Kind classifies the end of a call by what it says about the target.
 type Kind uint8
 
 const (
-	// Ignored tells nothing: cancelled by the caller, or at the caller's fault.
+	// Ignored says nothing about the target: canceled by the caller, or the caller's
+	// fault.
 	Ignored Kind = iota
-	// Success is a whole answer that isn't a failure of the target.
+	// Success is a complete answer that isn't a failure of the target.
 	Success
-	// Failure is an answer that is one, or a time-out.
+	// Failure is a failure answer or a timeout.
 	Failure
 	// Shed is a refusal for load.
 	Shed
-	// Leaves is a refusal because the target is leaving, for its incarnation.
+	// Leaves is a refusal because this incarnation of the target is draining.
 	Leaves
-	// Broken is a connection that could not be made, broke or went silent.
+	// Broken is a connection that couldn't be established, broke or went silent.
 	Broken
 )
 
-// Result is what Done takes in of an ended call.
+// Result describes a finished call for Done.
 type Result struct {
 	Kind Kind
-	// Latency from Started to the answer's first byte.
+	// Latency is the time from Started to the first byte of the answer.
 	Latency time.Duration
-	// Level is the admission level that the answer reported, if HasLevel.
+	// Level is the admission level in the answer, valid if HasLevel.
 	Level    request.Level
 	HasLevel bool
-	// InFlight and Limit are the target's own report, if Limit > 0.
+	// InFlight and Limit are the load reported by the target, valid if Limit > 0.
 	InFlight int
 	Limit    int
 }
 
-// MaxTried bounds the targets that a Tried remembers.
+// MaxTried is the maximum number of targets in a Tried.
 const MaxTried = 8
 
-// Tried is the targets that one call was sent to before. The zero value is none.
+// Tried is the set of targets that one call was already sent to. The zero value is
+// empty.
 type Tried struct {
 	n   uint8
 	idx [MaxTried]int32
 }
 
-// Add remembers a target; past MaxTried it forgets the oldest.
+// Add adds a target; beyond MaxTried it replaces the oldest.
 func (t *Tried) Add(idx int) {
 	t.idx[t.n%MaxTried] = int32(idx)
 	t.n++
--- a/internal/core/route/zone_test.go
+++ b/internal/core/route/zone_test.go
@@ -6,38 +6,37 @@
 	"github.com/matryer/is"
 )
 
-// leaves reports whether a call leaves its zone where the own target and another
-// zone's are so loaded, and twelve calls are in flight from here, all in the own zone.
-func leaves(gap, own, other float64) bool {
+// leavesZone reports whether a call leaves its zone at the given loads of the local and
+// the remote target, with twelve calls in flight from this caller, all in its own zone.
+func leavesZone(gap, own, other float64) bool {
 	ts := targets(1, 1)
 	t := newTable(ts)
 	t.cfg.Floor, t.cfg.ZoneGap = 0.85, gap
 	t.refresh(0)
-	at := func(load float64, idx int32, flying int32) choice {
+	at := func(load float64, idx int32, inFlight int32) candidate {
 		e := &t.entries[idx]
-		e.util, e.inFlight, e.latency, e.measured = load, flying, 0.05, true
-		return choice{idx: idx, rank: cold, cost: t.price(e) * float64(1+flying)}
+		e.load, e.inFlight, e.latency, e.measured = load, inFlight, 0.05, true
+		return candidate{idx: idx, rank: cold, cost: t.targetCost(e) * float64(1+inFlight)}
 	}
 	near, far := at(own, t.all[0], 12), at(other, t.all[1], 0)
-	return t.looksFurther(near) && t.across(near, far).idx == far.idx
+	return t.considersRemote(near) && t.betterAcrossZones(near, far).idx == far.idx
 }
 
-// Symptom: more than a quarter of the calls go to other zones though all are loaded alike,
-// and the bytes cost more than anything else. Events: each zone has one target, all
-// of whose slots are taken; some calls wait. Cause: candidates were compared by a cost
-// that counts the calls in flight from here, nearly all of which are in the own
-// zone.
-func TestZonesLoadedAlikeKeepTheirCalls(t *testing.T) {
+// Guards against calls that leave their zone though all zones are equally loaded: with
+// all slots taken and some calls queued, more than a quarter of the calls went to other
+// zones, because the cost counted the calls in flight from this caller, nearly all of
+// which are local. That traffic was the largest cost.
+func TestEquallyLoadedZonesKeepCalls(t *testing.T) {
 	is := is.New(t)
-	is.True(!leaves(0.5, 1.05, 1.05))
-	is.True(!leaves(0.5, 1.3, 0.9))
-	is.True(leaves(0, 1.05, 1.05)) // the fault, so that the scene shows it
+	is.True(!leavesZone(0.5, 1.05, 1.05))
+	is.True(!leavesZone(0.5, 1.3, 0.9))
+	is.True(leavesZone(0, 1.05, 1.05)) // without ZoneGap the call leaves
 }
 
-// Symptom: calls wait in one zone while slots of another are free. Events: the own
-// target has as many waiting as running, the others are half used.
-func TestWaitingCallsLeaveForFreeSlots(t *testing.T) {
+// Guards against calls that queue in one zone while another has free slots: the local
+// target has as many calls queued as running, the others are half used.
+func TestQueuedCallsSpillToFreeZone(t *testing.T) {
 	is := is.New(t)
-	is.True(leaves(0.5, 2, 0.5))
-	is.True(leaves(0.5, 1.5, 1))
+	is.True(leavesZone(0.5, 2, 0.5))
+	is.True(leavesZone(0.5, 1.5, 1))
 }
