--- a/internal/core/ratelimit/config.go
+++ b/internal/core/ratelimit/config.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Config sets up the parts of the package. All nodes must agree on it.
+// Config holds the settings of the package. All nodes must use the same ones.
 type Config struct {
-	// Terms are what the fleet is held to.
+	// Terms bound what the whole fleet runs.
 	Terms Terms
-	// Validity is for how long a grant may be used after it was asked for (default
-	// 9 s). Higher: longer failures of the dividing node and of the table pass
-	// unnoticed; a part that was granted to a lost node stays unused for longer.
+	// Validity is how long a grant may be used after it was asked for. Default 9 s.
+	// Higher bridges longer failures of the dividing node and of the table, but a part
+	// granted to a lost node stays unused for longer.
 	Validity time.Duration
-	// Renew is the age at which a grant is asked for anew (default 3 s). Lower:
-	// grants follow demand sooner, at more messages.
+	// Renew is the age at which a grant is renewed. Default 3 s. Lower follows demand
+	// sooner at the price of more messages.
 	Renew time.Duration
-	// Term is for how long a lease holds after its last renewal (default 5 s).
-	// Higher: fewer calls of the platform, and a dividing node that is lost is
-	// replaced later. It must be below Validity.
+	// Term is how long a lease is held after its last renewal. Default 5 s. Higher
+	// needs fewer calls to the platform, but a lost dividing node is replaced later. It
+	// must be less than Validity.
 	Term time.Duration
-	// Renewal is the time between renewals of a lease (default 2 s).
+	// Renewal is the time between renewals of a lease. Default 2 s.
 	Renewal time.Duration
 }
 
-// Terms bound what runs of an organisation in any span of Window: its rate times the
-// window and its burst, times 1 + Excess, and Slack.
+// Terms bound the requests of an organisation that run in any time span of length
+// Window: (rate x Window + burst) x (1 + Excess) + Slack.
 type Terms struct {
 	Window time.Duration // default 5 s
 	Excess float64       // default 0.1
-	Slack  float64       // requests; default 0
+	Slack  float64       // in requests; default 0
 }
 
-// DefaultConfig returns the defaults that the fields name.
+// DefaultConfig returns the defaults documented on the fields.
 func DefaultConfig() Config {
 	return Config{
 		Terms:    Terms{Window: 5 * time.Second, Excess: 0.1},
@@ -40,32 +40,32 @@
 	}
 }
 
-// drift bounds by how much two clocks may differ in speed, as a part.
-const drift = 0.02
+// maxClockDrift bounds the relative difference in speed of two clocks.
+const maxClockDrift = 0.02
 
-// outlast returns a time after which one of length d has passed on any clock.
-func outlast(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + drift)) }
+// withDrift returns a duration after which d has passed on any clock.
+func withDrift(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + maxClockDrift)) }
 
 // Limit is an organisation's rate limit.
 type Limit struct {
 	Rate  float64 // requests per second
-	Burst float64 // requests beyond it in any window
+	Burst float64 // additional requests in any window
 }
 
-// Limit returns the limit of an organisation that declares a rate, in requests per second,
-// and a burst, in requests. Half of the burst counts as rate, so that an organisation which
-// always uses what its windows allow gets most of it.
+// Limit returns the limit of an organisation that declares a rate, in requests per
+// second, and a burst, in requests. Half of the burst counts as rate, so that an
+// organisation that always uses its full window gets most of it.
 func (t Terms) Limit(rate, burst float64) Limit {
 	return Limit{Rate: rate + burst/2/t.Window.Seconds(), Burst: burst / 2}
 }
 
-// usable is the part of what the terms leave beyond the rate that buckets may hold; the
-// rest covers clocks of different speed.
-const usable = 1 - drift
+// usableFraction is the fraction of what the terms allow beyond the rate that buckets
+// may hold. The rest covers clocks of different speed.
+const usableFraction = 1 - maxClockDrift
 
-// capacity returns how many tokens all buckets of an organisation may hold together. In
-// a window no more can be taken than that and what flows in at the rate.
+// capacity returns the number of tokens that all buckets of an organisation may hold
+// together. No more than these and what the rate adds can be taken in one window.
 func (t Terms) capacity(l Limit) float64 {
 	inflow := l.Rate * t.Window.Seconds()
-	return max(1, ((inflow+l.Burst)*(1+t.Excess)+t.Slack-inflow)*usable)
+	return max(1, ((inflow+l.Burst)*(1+t.Excess)+t.Slack-inflow)*usableFraction)
 }
--- a/internal/core/ratelimit/doc.go
+++ b/internal/core/ratelimit/doc.go
@@ -1,34 +1,35 @@
-// Package ratelimit holds organisations to their rate limits over a whole fleet of
+// Package ratelimit enforces the rate limits of organisations over a whole fleet of
 // nodes, without a call to another node for each request.
 //
 // # What it does
 //
-// An organisation's limit is divided as token buckets: each node that has requests of
-// the organisation holds a bucket of its own, granted for some seconds, and the node
-// that divides the limit keeps what it has not granted. Rates and capacities only ever
-// move between buckets, so that at any moment all of them together have no more than
-// the limit allows, whoever is cut off from whom.
+// The limit of an organisation is divided into token buckets: each node with requests of
+// the organisation holds its own bucket, granted for some seconds, and the node that
+// divides the limit keeps what it hasn't granted. Rates and capacities only move between
+// buckets, so at any time all buckets together hold no more than the limit allows,
+// during any network partition.
 //
-// The parts, each in its file:
+// The parts, each in its own file:
 //
 //   - Local holds a node's buckets and measures its demand;
-//   - Ledger divides limits by demand: who asks for less than its fair share gets what
-//     it asks for, with room for bursts, and the others share the rest evenly;
-//   - Lease says which node may run the ledger of a shard of the organisations: it
-//     holds a row of the platform's table, which one node at a time can change.
+//   - Ledger divides limits by demand: a node that asks for less than its fair share
+//     gets what it asks for, with headroom for bursts, and the others share the rest
+//     evenly;
+//   - Lease decides which node runs the ledger of a shard of the organisations: the
+//     holder of a row in the platform's table, which one node at a time can change.
 //
 // # Why the limit holds
 //
-// A grant ends at the holder a fixed time after the holder asked for it, and at the
-// ledger not before the same time after it was asked. So the ledger never counts too
-// little as granted, whatever answers are late or lost. A ledger that begins anew, at
-// another node or after a restart, knows nothing of what was granted before: until all
-// such grants have ended, or every node that the row names as a holder has said what it
+// A grant ends at the node a fixed time after the node asked for it, and at the ledger
+// no earlier than that time after the question arrived. The ledger therefore never
+// underestimates what is granted, even if answers are late or lost. A new ledger, on
+// another node or after a restart, doesn't know what was granted before. Until all such
+// grants have ended, or every node that the row names as a holder has reported what it
 // holds, it grants only what the asking node held before.
 //
 // # Contract
 //
-// Everything is pure: no I/O, no goroutine, no clock, no randomness. The clock that is
-// passed in must count the time for which the machine is suspended. Nothing is safe for
-// concurrent use.
+// Everything is pure: no I/O, no goroutines, no clock, no randomness. The clock that is
+// passed in must include the time for which the machine is suspended. Nothing is safe
+// for concurrent use.
 package ratelimit
--- a/internal/core/ratelimit/lease.go
+++ b/internal/core/ratelimit/lease.go
@@ -11,10 +11,10 @@
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
 	Holder   request.TargetID
-	Life     uint64 // of the holder
-	Count    uint64 // rises with each write of a life
-	Released bool   // the holder grants no more
-	// Parts are those that nodes may hold; Whole is false if there may be others.
+	Life     uint64 // incarnation of the holder
+	Count    uint64 // increases with each write of one Life
+	Released bool   // the holder has stopped granting
+	// Parts are the grants that nodes may hold; Whole is false if there may be others.
 	Organisations []request.Organisation
 	Parts         []RowPart
 	Whole         bool
@@ -24,120 +24,122 @@
 type RowPart struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
-	Of       int // place of the organisation in Row.Organisations
+	Of       int // index into Row.Organisations
 	Node     request.TargetID
 	Rate     float32
 	Capacity float32
 }
 
-// maxParts bounds Row.Parts, so that a row fits the table: each takes some 22 bytes.
+// maxParts bounds Row.Parts, so that a row fits into the table: each part takes about
+// 22 bytes.
 const maxParts = 2500
 
-// Lease is one node's view of who divides the limits of a shard.
+// Lease is one node's view of the lease on a shard. Its holder divides the shard's
+// limits.
 type Lease struct {
 	cfg   Config
 	self  request.TargetID
 	life  uint64
-	first bool // the whole fleet starts for the first time
-	// rewound: the row came back from an older copy, so that the nodes that it names
-	// needn't be all.
+	first bool // first start of the whole fleet
+	// rewound: the table was restored from an older copy, so the row may not name all
+	// nodes.
 	rewound bool
 
-	row     Row
-	version int64 // of the row; 0: there is none
-	known   bool  // the row was read
-	gone    bool  // the process that the row names has ended
-	seen    time.Duration
-
-	busy  bool
-	wrote time.Duration // when the write that is to be settled was sent; 0: none
-	count uint64        // of that write
-	write Row
-	// creates: that write makes the row.
-	creates bool
-	until   time.Duration // the lease is held
-	next    time.Duration // of the next call
-	last    time.Duration // when the lease was renewed last
-	asked   time.Duration // when it was last asked who divides; the node takes part since
-	ledger  *Ledger
+	row         Row
+	version     int64 // of the row; 0 if there is none
+	known       bool  // the row was read
+	holderEnded bool  // the holder's process has ended
+	changedAt   time.Duration
+
+	inFlight    bool
+	writeSentAt time.Duration // when the unconfirmed write was sent; 0 if none
+	count       uint64        // Row.Count of that write
+	writtenRow  Row
+	// creates: that write creates the row.
+	creates    bool
+	heldUntil  time.Duration // until when the lease is held
+	nextCallAt time.Duration // when the next call is due
+	renewedAt  time.Duration // when the lease was last renewed
+	askedAt    time.Duration // when a node last asked this one; it then competes for the lease
+	ledger     *Ledger
 }
 
 // NewLease returns a lease that isn't held.
 func NewLease(cfg Config, self request.TargetID, life uint64, first bool) *Lease {
-	return &Lease{cfg: cfg, self: self, life: life, first: first, asked: -time.Hour}
+	return &Lease{cfg: cfg, self: self, life: life, first: first, askedAt: -time.Hour}
 }
 
-// Step is the next call of the platform.
+// Step is the next call to the platform.
 type Step uint8
 
 const (
-	// Idle: none.
+	// Idle: no call.
 	Idle Step = iota
-	// Read the row, and report it to HandleRow.
+	// Read the row and pass it to HandleRow.
 	Read
-	// Write the row if it still has the version, then report to HandleWrite.
+	// Write the row if its version is unchanged, then call HandleWrite.
 	Write
 )
 
-// Held reports whether the node divides the shard's limits.
-func (l *Lease) Held(now time.Duration) bool { return now < l.until && l.ledger != nil }
+// Held reports whether this node holds the lease and divides the shard's limits.
+func (l *Lease) Held(now time.Duration) bool { return now < l.heldUntil && l.ledger != nil }
 
-// Holder returns the node that divides, as the row said last; 0 if none is known.
+// Holder returns the lease holder according to the last row read; 0 if unknown.
 func (l *Lease) Holder(now time.Duration) request.TargetID {
-	if !l.known || l.row.Released || l.row.Holder == l.self || now-l.seen > 2*l.cfg.Term {
+	if !l.known || l.row.Released || l.row.Holder == l.self || now-l.changedAt > 2*l.cfg.Term {
 		return 0
 	}
 	return l.row.Holder
 }
 
 const (
-	// takePart is for how long after a question a node tries to hold the lease.
-	takePart = 4 * time.Second
-	// failPause is the time to the next call after one that failed.
-	failPause = 500 * time.Millisecond
-	// writeEvery is the least time between two writes, for parts that wait.
-	writeEvery = time.Second
+	// competeTime is how long after a question a node tries to acquire the lease.
+	competeTime = 4 * time.Second
+	// failureDelay is the delay before the next call after a failed one.
+	failureDelay = 500 * time.Millisecond
+	// minWriteInterval is the minimum time between two writes that record new parts.
+	minWriteInterval = time.Second
 )
 
-// Asked takes in that some node took this one for the one that divides.
-func (l *Lease) Asked(now time.Duration) { l.asked = now }
+// Asked records that another node took this one for the lease holder.
+func (l *Lease) Asked(now time.Duration) { l.askedAt = now }
 
-// Next returns the call that is due. The outcome must be reported once.
+// Next returns the call that is due. Its outcome must be reported once.
 func (l *Lease) Next(now time.Duration) (step Step, row Row, version int64) {
-	if l.busy || now < l.next || !l.Held(now) && now-l.asked > takePart {
+	if l.inFlight || now < l.nextCallAt || !l.Held(now) && now-l.askedAt > competeTime {
 		return Idle, Row{}, 0
 	}
-	l.busy = true
+	l.inFlight = true
 	switch {
-	case l.wrote != 0 || !l.known:
+	case l.writeSentAt != 0 || !l.known:
 		return Read, Row{}, 0
-	case l.Held(now) || l.mayTake(now):
+	case l.Held(now) || l.mayAcquire(now):
 		l.count++
-		l.wrote = max(now, 1)
-		l.write, l.creates = l.rowOf(now), l.version == 0
-		return Write, l.write, l.version
+		l.writeSentAt = max(now, 1)
+		l.writtenRow, l.creates = l.buildRow(now), l.version == 0
+		return Write, l.writtenRow, l.version
 	default:
 		return Read, Row{}, 0
 	}
 }
 
-// mayTake reports whether the row's holder has certainly lost it.
-func (l *Lease) mayTake(now time.Duration) bool {
+// mayAcquire reports whether the lease of the row's holder has certainly ended.
+func (l *Lease) mayAcquire(now time.Duration) bool {
 	switch {
-	case l.version != 0 && (l.row.Released || l.row.Holder == l.self || l.gone):
+	case l.version != 0 && (l.row.Released || l.row.Holder == l.self || l.holderEnded):
 		return true
 	case l.version == 0 && l.first:
 		return true
 	default:
-		return now-l.seen > outlast(l.cfg.Term)
+		return now-l.changedAt > withDrift(l.cfg.Term)
 	}
 }
 
-func (l *Lease) rowOf(now time.Duration) Row {
+func (l *Lease) buildRow(now time.Duration) Row {
 	r := Row{Holder: l.self, Life: l.life, Count: l.count}
 	switch {
 	case l.ledger != nil:
-		l.ledger.name(now, &r)
+		l.ledger.record(now, &r)
 	case l.version == 0:
 		r.Whole = l.first
 	default:
@@ -147,70 +149,70 @@
 	return r
 }
 
-// HandleWrite takes in that a write has ended; whether it took effect shows only by
+// HandleWrite records that a write ended. Whether it took effect is known only after
 // reading the row. sent is false if the platform certainly did nothing.
 func (l *Lease) HandleWrite(now time.Duration, sent bool) {
-	l.busy = false
+	l.inFlight = false
 	if !sent {
-		l.wrote = 0
-		l.next = now + failPause
+		l.writeSentAt = 0
+		l.nextCallAt = now + failureDelay
 	}
 }
 
-// HandleFailure takes in that the row could not be read.
+// HandleFailure records that reading the row failed.
 func (l *Lease) HandleFailure(now time.Duration) {
-	l.busy = false
-	l.next = now + failPause
+	l.inFlight = false
+	l.nextCallAt = now + failureDelay
 }
 
-// HandleRow takes in the row as it was read; version 0 if there is none.
+// HandleRow processes the row that was read; version 0 means that there is none.
 func (l *Lease) HandleRow(now time.Duration, row Row, version int64) {
-	l.busy = false
+	l.inFlight = false
 	before := l.row
 	same := l.known && version == l.version && row.Holder == before.Holder && row.Life == before.Life && row.Count == before.Count
 	if !same {
-		l.seen, l.gone = now, false
+		l.changedAt, l.holderEnded = now, false
 	}
 	l.row, l.version, l.known = row, version, true
 	mine := version != 0 && row.Holder == l.self && row.Life == l.life
-	if mine && l.wrote != 0 && row.Count == l.count {
-		l.hold(now)
+	if mine && l.writeSentAt != 0 && row.Count == l.count {
+		l.acquire(now)
 		return
 	}
-	l.wrote = 0
+	l.writeSentAt = 0
 	if !mine {
-		l.until, l.ledger = 0, nil
-		l.next = max(now, l.seen+outlast(l.cfg.Term))
-		if l.mayTake(now) {
-			l.next = now
+		l.heldUntil, l.ledger = 0, nil
+		l.nextCallAt = max(now, l.changedAt+withDrift(l.cfg.Term))
+		if l.mayAcquire(now) {
+			l.nextCallAt = now
 		}
 		return
 	}
-	l.next = now
+	l.nextCallAt = now
 }
 
-// hold takes in that a write of this life took effect.
-func (l *Lease) hold(now time.Duration) {
-	l.until = l.wrote + l.cfg.Term*9/10
-	l.wrote = 0
-	l.last = now
-	l.next = now + l.cfg.Renewal
-	if l.write.Released {
-		l.until, l.ledger = 0, nil
+// acquire handles a confirmed write of this process.
+func (l *Lease) acquire(now time.Duration) {
+	l.heldUntil = l.writeSentAt + l.cfg.Term*9/10
+	l.writeSentAt = 0
+	l.renewedAt = now
+	l.nextCallAt = now + l.cfg.Renewal
+	if l.writtenRow.Released {
+		l.heldUntil, l.ledger = 0, nil
 		return
 	}
 	switch {
 	case l.ledger != nil:
-	case l.creates && l.write.Whole:
+	case l.creates && l.writtenRow.Whole:
 		l.ledger = FirstLedger(l.cfg, now)
 	default:
-		l.ledger = NewLedger(l.cfg, now, &l.write)
+		l.ledger = NewLedger(l.cfg, now, &l.writtenRow)
 	}
 	l.rewound = false
-	l.ledger.Written(&l.write)
+	l.ledger.Written(&l.writtenRow)
 }
 
-// Ask answers a node's question where this node divides.
+// Ask answers a node's question if this node holds the lease.
 func (l *Lease) Ask(now time.Duration, a *Ask, limits func(request.Organisation) (Limit, bool)) Reply {
 	l.Asked(now)
 	if !l.Held(now) {
@@ -219,34 +221,34 @@
 	grants := l.ledger.Ask(now, a, limits)
 	if l.ledger.dirty {
 		l.ledger.dirty = false
-		l.next = min(l.next, max(now, l.last+writeEvery))
+		l.nextCallAt = min(l.nextCallAt, max(now, l.renewedAt+minWriteInterval))
 	}
 	return Reply{Divides: true, Grants: grants}
 }
 
-// HolderGone takes in that the process of a holder has ended, for sure.
+// HolderGone records that the process of a holder has certainly ended.
 func (l *Lease) HolderGone(now time.Duration, holder request.TargetID) {
 	if l.known && l.row.Holder == holder && holder != l.self {
-		l.gone = true
-		l.next = min(l.next, now)
+		l.holderEnded = true
+		l.nextCallAt = min(l.nextCallAt, now)
 	}
 }
 
-// Release gives the lease up; the row is written by the next call.
+// Release gives up the lease. The caller writes the returned row.
 func (l *Lease) Release(now time.Duration) (row Row, version int64, ok bool) {
-	if !l.Held(now) || l.wrote != 0 {
+	if !l.Held(now) || l.writeSentAt != 0 {
 		return Row{}, 0, false
 	}
 	l.count++
-	r := l.rowOf(now)
+	r := l.buildRow(now)
 	r.Released = true
-	l.until, l.ledger = 0, nil
+	l.heldUntil, l.ledger = 0, nil
 	return r, l.version, true
 }
 
-// Rewound takes in that the table came back from an older copy: what was seen of the
-// row says nothing of how long it has stood.
+// Rewound records that the table was restored from an older copy, so that the time for
+// which the row was seen unchanged is no longer meaningful.
 func (l *Lease) Rewound(now time.Duration) {
-	l.known, l.seen, l.first, l.rewound = false, now, false, true
-	l.next = min(l.next, now)
+	l.known, l.changedAt, l.first, l.rewound = false, now, false, true
+	l.nextCallAt = min(l.nextCallAt, now)
 }
--- a/internal/core/ratelimit/ledger.go
+++ b/internal/core/ratelimit/ledger.go
@@ -12,70 +12,71 @@
 type Ledger struct {
 	cfg      Config
 	accounts map[request.Organisation]*account
-	nodes    map[request.TargetID]*holder
+	nodes    map[request.TargetID]*asker
 
-	// What was granted before the ledger began: loans end by loaned, and parts that the
-	// row didn't name by ended.
-	loaned time.Duration
-	ended  time.Duration
-	first  bool // no other ledger ever was
-	dirty  bool // a part waits to be written to the row
-	// unnamed: the row says that there may be parts which it doesn't name.
-	unnamed bool
+	// Grants from before this ledger: loans end at loansEndAt, and parts that the row
+	// didn't record at unrecordedEndAt.
+	loansEndAt      time.Duration
+	unrecordedEndAt time.Duration
+	first           bool // there was no ledger before
+	dirty           bool // a part must be written to the row
+	// rowPartial: the row says that there may be parts it doesn't record.
+	rowPartial bool
 }
 
-// holder is a node that asks.
-type holder struct {
+// asker identifies the last question of a node that asks for grants.
+type asker struct {
 	life uint64
 	seq  uint64
 }
 
-// NewLedger returns a ledger that goes on from what the row of an earlier one names.
+// NewLedger returns a ledger that starts from the parts recorded in a predecessor's
+// row.
 func NewLedger(cfg Config, now time.Duration, row *Row) *Ledger {
 	l := &Ledger{
-		cfg: cfg, accounts: make(map[request.Organisation]*account), nodes: make(map[request.TargetID]*holder),
-		loaned: now + outlast(loanTime),
+		cfg: cfg, accounts: make(map[request.Organisation]*account), nodes: make(map[request.TargetID]*asker),
+		loansEndAt: now + withDrift(loanValidity),
 	}
 	if !row.Whole {
-		l.ended = now + outlast(cfg.Validity)
+		l.unrecordedEndAt = now + withDrift(cfg.Validity)
 	}
 	for _, p := range row.Parts {
 		o := row.organisation(&p)
 		acc := l.accounts[o]
 		if acc == nil {
-			acc = &account{at: now, holdings: make(map[request.TargetID]*holding), divided: -time.Hour}
+			acc = &account{updatedAt: now, holdings: make(map[request.TargetID]*holding), dividedAt: -time.Hour}
 			l.accounts[o] = acc
 		}
-		s := portion{float64(p.Rate), float64(p.Capacity)}
-		acc.holdings[p.Node] = &holding{rate: s.rate, capacity: s.capacity, until: now + outlast(cfg.Validity), asked: now, written: s}
-		acc.rate += s.rate
-		acc.held += s.capacity
+		s := allocation{float64(p.Rate), float64(p.Capacity)}
+		acc.holdings[p.Node] = &holding{rate: s.rate, capacity: s.capacity, expiresAt: now + withDrift(cfg.Validity), askedAt: now, recorded: s}
+		acc.heldRate += s.rate
+		acc.heldCapacity += s.capacity
 	}
 	return l
 }
 
-// FirstLedger returns the ledger of a fleet of which no other ever was.
+// FirstLedger returns the first ledger of a fleet.
 func FirstLedger(cfg Config, now time.Duration) *Ledger {
 	l := NewLedger(cfg, now, &Row{Whole: true})
-	l.loaned, l.first = now, true
+	l.loansEndAt, l.first = now, true
 	return l
 }
 
-// begins is when all that nodes may hold is known.
-func (l *Ledger) begins() time.Duration { return max(l.loaned, l.ended) }
+// settledAt is when all parts that nodes may hold are known.
+func (l *Ledger) settledAt() time.Duration { return max(l.loansEndAt, l.unrecordedEndAt) }
 
-// Settled reports whether all is known that nodes may hold.
-func (l *Ledger) Settled(now time.Duration) bool { return now >= l.begins() }
+// Settled reports whether all parts that nodes may hold are known.
+func (l *Ledger) Settled(now time.Duration) bool { return now >= l.settledAt() }
 
-// name writes the parts that nodes may hold to a row.
-func (l *Ledger) name(now time.Duration, r *Row) {
-	r.Whole = now >= l.ended
+// record adds the parts that nodes may hold to a row.
+func (l *Ledger) record(now time.Duration, r *Row) {
+	r.Whole = now >= l.unrecordedEndAt
 	for _, o := range slices.Sorted(maps.Keys(l.accounts)) {
 		acc := l.accounts[o]
 		acc.expire(now)
 		at := len(r.Organisations)
 		for _, id := range slices.Sorted(maps.Keys(acc.holdings)) {
-			if s := acc.holdings[id].named(now); s.capacity > 0 {
+			if s := acc.holdings[id].toRecord(now); s.capacity > 0 {
 				r.Parts = append(r.Parts, RowPart{Of: at, Node: id, Rate: float32(s.rate), Capacity: float32(s.capacity)})
 			}
 		}
@@ -86,7 +87,7 @@
 	}
 }
 
-// organisation returns that of a part; empty if the row is malformed.
+// organisation returns the organisation of a part; empty if the row is malformed.
 func (r *Row) organisation(p *RowPart) request.Organisation {
 	if p.Of < 0 || p.Of >= len(r.Organisations) {
 		return ""
@@ -94,35 +95,35 @@
 	return r.Organisations[p.Of]
 }
 
-// Written takes in that the row stands. If it says that there may be other parts than it
-// names, they needn't be named before they are granted.
+// Written records that the row was written. If it says that there may be parts it
+// doesn't record, parts needn't be recorded before they are granted.
 func (l *Ledger) Written(row *Row) {
-	l.unnamed = !row.Whole
+	l.rowPartial = !row.Whole
 	for _, acc := range l.accounts {
 		for _, h := range acc.holdings {
-			h.written = portion{}
+			h.recorded = allocation{}
 		}
 	}
 	for i := range row.Parts {
 		p := &row.Parts[i]
 		if acc := l.accounts[row.organisation(p)]; acc != nil {
 			if h := acc.holdings[p.Node]; h != nil {
-				h.written = portion{float64(p.Rate), float64(p.Capacity)}
+				h.recorded = allocation{float64(p.Rate), float64(p.Capacity)}
 			}
 		}
 	}
 }
 
-// Ask answers a node's question. limits tells the limit of an organisation, false if it
-// has none. The answer is nil for a question that came late.
+// Ask answers a node's question. limits returns the limit of an organisation, false if
+// it has none. The answer is nil for a question that arrives out of order.
 func (l *Ledger) Ask(now time.Duration, a *Ask, limits func(request.Organisation) (Limit, bool)) []Grant {
 	h := l.nodes[a.Node]
 	switch {
 	case h == nil || h.life != a.Life:
 		if h != nil || a.Starts {
-			l.forget(a.Node) // the earlier life has ended, and its buckets with it
+			l.forget(a.Node) // the earlier process and its buckets are gone
 		}
-		h = &holder{life: a.Life}
+		h = &asker{life: a.Life}
 		l.nodes[a.Node] = h
 	case a.Seq <= h.seq:
 		return nil
@@ -146,14 +147,14 @@
 			continue
 		}
 		if settled {
-			g.Again = acc.again()
+			g.Again = acc.retryAfter()
 		}
 		out = append(out, g)
 	}
 	return out
 }
 
-// forget drops what a node holds.
+// forget drops the holdings of a node.
 func (l *Ledger) forget(id request.TargetID) {
 	for _, acc := range l.accounts {
 		acc.release(id)
@@ -163,16 +164,16 @@
 func (l *Ledger) account(now time.Duration, o request.Organisation, limit Limit) *account {
 	acc := l.accounts[o]
 	if acc == nil {
-		// Nothing of it was granted since all earlier grants ended.
-		acc = &account{at: l.begins(), holdings: make(map[request.TargetID]*holding), divided: -time.Hour}
+		// Nothing was granted since all earlier grants ended.
+		acc = &account{updatedAt: l.settledAt(), holdings: make(map[request.TargetID]*holding), dividedAt: -time.Hour}
 		if l.first {
 			acc.pool = l.cfg.Terms.capacity(limit)
 		}
 		l.accounts[o] = acc
 	}
 	if acc.limit != limit {
-		acc.relimit(limit, l.cfg.Terms.capacity(limit))
+		acc.setLimit(limit, l.cfg.Terms.capacity(limit))
 	}
-	acc.advance(now, l.begins())
+	acc.advance(now, l.settledAt())
 	return acc
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -10,15 +10,14 @@
 	"peardrift/internal/core/request"
 )
 
-// The limit is divided so well that what is asked for within it is let in, also where
-// all of the demand is at a few of many nodes.
-func TestWhatIsWithinTheLimitIsLetIn(t *testing.T) {
+// Demand within the limit is admitted, even if it is all at a few of many nodes.
+func TestDemandWithinLimitIsAdmitted(t *testing.T) {
 	for _, tc := range []struct {
 		nodes, with int
-		part        float64 // demand as a part of the limit
+		part        float64 // demand as a fraction of the limit
 	}{{3, 3, 0.6}, {18, 5, 0.8}, {71, 3, 0.6}, {71, 3, 0.9}, {71, 60, 0.6}, {71, 71, 0.8}, {1000, 40, 0.7}} {
 		for _, rate := range []float64{8, 40, 400} {
-			w := newWorld(t, 3, tc.nodes, Limit{Rate: rate, Burst: rate})
+			w := newSimulation(t, 3, tc.nodes, Limit{Rate: rate, Burst: rate})
 			for i := range tc.with {
 				w.nodes[i*tc.nodes/tc.with].rate = rate * tc.part / float64(tc.with)
 			}
@@ -26,49 +25,49 @@
 			w.arrived, w.admitted, w.taken = 0, 0, nil
 			w.RunUntil(75 * time.Second)
 			got := float64(w.admitted) / float64(w.arrived)
-			t.Logf("%d of %d nodes, rate %v: %.3f let in", tc.with, tc.nodes, rate, got)
+			t.Logf("%d of %d nodes, rate %v: %.3f admitted", tc.with, tc.nodes, rate, got)
 			if got < 0.95 {
-				t.Errorf("%d of %d nodes, rate %v: %.3f let in", tc.with, tc.nodes, rate, got)
+				t.Errorf("%d of %d nodes, rate %v: %.3f admitted", tc.with, tc.nodes, rate, got)
 			}
-			w.check("at rest")
+			w.checkBound("steady load")
 		}
 	}
 }
 
-// Guards against an organisation of which nothing is let in, since its limit is no number
-// that the messages hold exactly: a token was a little less than one.
-func TestLimitsThatAreRoundedLetIn(t *testing.T) {
+// Guards against an organisation that gets no requests admitted because its limit isn't
+// exactly representable in the messages, so that a token was slightly less than one.
+func TestRoundedLimitsAdmit(t *testing.T) {
 	for rate := 1.0; rate < 60; rate += 0.37 {
-		w := newWorld(t, 1, 3, Limit{Rate: rate + 0.1, Burst: rate})
+		w := newSimulation(t, 1, 3, Limit{Rate: rate + 0.1, Burst: rate})
 		w.nodes[0].rate, w.nodes[1].rate = 0.2, 0.3
 		w.RunUntil(5 * time.Second)
 		w.arrived, w.admitted = 0, 0
 		w.RunUntil(60 * time.Second)
 		if w.admitted*10 < w.arrived*9 {
-			t.Errorf("rate %v: %d of %d let in", w.limit.Rate, w.admitted, w.arrived)
+			t.Errorf("rate %v: %d of %d admitted", w.limit.Rate, w.admitted, w.arrived)
 		}
 	}
 }
 
-// One that presses at many times its limit gets the limit, and no more.
-func TestWhatPressesGetsItsLimit(t *testing.T) {
+// An organisation with many times its limit in demand gets the limit and no more.
+func TestExcessDemandGetsLimit(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 5, 71, Limit{Rate: 50, Burst: 50})
+	w := newSimulation(t, 5, 71, Limit{Rate: 50, Burst: 50})
 	for i := range 20 {
 		w.nodes[i].rate = 20
 	}
 	w.RunUntil(15 * time.Second)
 	w.taken = nil
 	w.RunUntil(75 * time.Second)
-	w.check("pressing")
+	w.checkBound("excess demand")
 	got := float64(len(w.taken)) / (60 * 50)
 	t.Logf("%.3f of the limit ran", got)
 	is.True(got > 0.85)
 }
 
-// Guards against more than the limit running while the fleet is cut, killed, frozen or
-// without its table, in series and overlapping.
-func TestLimitHoldsThroughFaults(t *testing.T) {
+// Guards against exceeding the limit during network partitions, crashes, process
+// freezes and table outages, one after another and overlapping.
+func TestLimitHoldsDuringFaults(t *testing.T) {
 	seeds := 20
 	if testing.Short() {
 		seeds = 5
@@ -76,18 +75,18 @@
 	for _, n := range []int{3, 18, 71} {
 		for seed := range uint64(seeds) {
 			rate := []float64{40, 400}[seed%2]
-			w := newWorld(t, seed, n, Limit{Rate: rate})
-			w.cfg.Terms.Slack, w.cfg.Terms.Excess = 0, 0.03 // little beyond the rate, so that little too much shows
-			w.faulty = seed%3 == 0
+			w := newSimulation(t, seed, n, Limit{Rate: rate})
+			w.cfg.Terms.Slack, w.cfg.Terms.Excess = 0, 0.03 // a small margin, to detect small violations
+			w.lossy = seed%3 == 0
 			for _, nd := range w.nodes {
 				nd.rate = 3 * rate / float64(n)
 			}
-			w.watch(fmt.Sprintf("%d nodes, seed %d", n, seed))
+			w.watchHoldings(fmt.Sprintf("%d nodes, seed %d", n, seed))
 			for range 12 {
 				w.After(time.Duration(w.rng.Int64N(int64(50*time.Second))), w.fault)
 			}
 			w.RunUntil(70 * time.Second)
-			w.check(fmt.Sprintf("%d nodes, seed %d", n, seed))
+			w.checkBound(fmt.Sprintf("%d nodes, seed %d", n, seed))
 			if len(w.taken) < 100 {
 				t.Errorf("%d nodes, seed %d: only %d requests ran", n, seed, len(w.taken))
 			}
@@ -95,8 +94,8 @@
 	}
 }
 
-// holder returns a node that divides; 0 if none does.
-func (w *world) holder() request.TargetID {
+// holder returns a node that holds the lease; 0 if none does.
+func (w *simulation) holder() request.TargetID {
 	for _, n := range w.nodes {
 		if n.up && n.lease.Held(n.clock()) {
 			return n.id
@@ -105,8 +104,8 @@
 	return 0
 }
 
-// fault brings about one of the faults, drawn.
-func (w *world) fault() {
+// fault injects a random fault.
+func (w *simulation) fault() {
 	part := w.rng.Float64()
 	some := func(f func(*simNode)) {
 		for _, n := range w.nodes {
@@ -124,23 +123,23 @@
 	case 1:
 		some(func(n *simNode) { n.kill(span / 3) })
 	case 2:
-		some(func(n *simNode) { n.cut = true; w.After(span, func() { n.cut = false }) })
+		some(func(n *simNode) { n.partitioned = true; w.After(span, func() { n.partitioned = false }) })
 	case 3:
-		some(func(n *simNode) { n.still = w.Now + span })
+		some(func(n *simNode) { n.frozenUntil = w.Now + span })
 	case 4:
 		w.down = true
 		w.After(span, func() { w.down = false })
-	case 5: // the node that divides
+	case 5: // freeze the lease holder
 		for _, n := range w.nodes {
 			if n.up && n.lease.Held(n.clock()) {
-				n.still = w.Now + span
+				n.frozenUntil = w.Now + span
 			}
 		}
-	case 7: // half of the fleet is cut off, and the other half loses the node that divides
+	case 7: // half of the fleet is partitioned, and the other half loses the lease holder
 		for i, n := range w.nodes {
 			if i%2 == 0 && !n.lease.Held(n.clock()) {
-				n.cut = true
-				w.After(8*time.Second, func() { n.cut = false })
+				n.partitioned = true
+				w.After(8*time.Second, func() { n.partitioned = false })
 			}
 		}
 		w.After(time.Second, func() {
@@ -150,11 +149,11 @@
 				}
 			}
 		})
-	case 8: // the table turns the node that divides away, and the others ask another
+	case 8: // the table rejects the lease holder, and the others ask another node
 		for _, n := range w.nodes {
 			if n.up && n.lease.Held(n.clock()) {
-				n.away = true
-				w.After(span, func() { n.away = false })
+				n.tableDown = true
+				w.After(span, func() { n.tableDown = false })
 			}
 		}
 		for i, n := range w.nodes {
@@ -165,8 +164,8 @@
 	case 6:
 		for _, n := range w.nodes {
 			if n.up && n.lease.Held(n.clock()) {
-				n.cut = true
-				w.After(span, func() { n.cut = false })
+				n.partitioned = true
+				w.After(span, func() { n.partitioned = false })
 			}
 		}
 	}
--- a/internal/core/ratelimit/world_test.go
+++ b/internal/core/ratelimit/simulation_test.go
@@ -11,8 +11,8 @@
 	"peardrift/internal/simtime"
 )
 
-// world plays nodes, their messages and the platform's table in virtual time.
-type world struct {
+// simulation runs nodes, their messages and the platform's table in virtual time.
+type simulation struct {
 	simtime.Queue
 	t     testing.TB
 	rng   *rand.Rand
@@ -23,39 +23,39 @@
 
 	row     Row
 	version int64
-	down    bool // the table doesn't answer
+	down    bool // the table is unreachable
 
 	taken    []time.Duration // of requests that ran
 	arrived  int
 	admitted int
-	faulty   bool // messages are lost and held up
+	lossy    bool // messages are lost and delayed
 }
 
 type simNode struct {
-	w     *world
-	id    request.TargetID
-	life  uint64
-	up    bool
-	cut   bool
-	away  bool          // from the table alone
-	still time.Duration // frozen until then
-	speed float64       // of its clock
-	base  time.Duration // of its clock
-	lease *Lease
-	local *Local
+	w           *simulation
+	id          request.TargetID
+	life        uint64
+	up          bool
+	partitioned bool
+	tableDown   bool          // can't reach the table
+	frozenUntil time.Duration // frozen until this time
+	speed       float64       // of its clock
+	base        time.Duration // of its clock
+	lease       *Lease
+	local       *Local
 
-	seq    uint64
-	busy   bool // a question is under way
-	all    bool
-	target request.TargetID // who divides, as far as known; 0: by order
-	avoid  map[request.TargetID]time.Duration
-	rate   float64 // requests per second
+	seq       uint64
+	busy      bool // a question is in flight
+	reportAll bool
+	target    request.TargetID // the lease holder if known; 0: choose by Order
+	avoid     map[request.TargetID]time.Duration
+	rate      float64 // requests per second
 }
 
-func newWorld(t testing.TB, seed uint64, n int, limit Limit) *world {
+func newSimulation(t testing.TB, seed uint64, n int, limit Limit) *simulation {
 	cfg := DefaultConfig()
 	cfg.Terms.Slack = 20
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, limit: limit, org: "acme"}
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, limit: limit, org: "acme"}
 	for i := range n {
 		nd := &simNode{w: w, id: request.TargetIDOf(fmt.Sprint("node", i)), speed: 1 + 0.002*(w.rng.Float64()-0.5)}
 		w.nodes = append(w.nodes, nd)
@@ -64,7 +64,7 @@
 	return w
 }
 
-func (w *world) node(id request.TargetID) *simNode {
+func (w *simulation) node(id request.TargetID) *simNode {
 	for _, n := range w.nodes {
 		if n.id == id {
 			return n
@@ -73,16 +73,16 @@
 	return nil
 }
 
-func (w *world) limits(request.Organisation) (Limit, bool) { return w.limit, true }
+func (w *simulation) limits(request.Organisation) (Limit, bool) { return w.limit, true }
 
-// clock is the node's own time.
+// clock returns the node's local time.
 func (n *simNode) clock() time.Duration {
 	return n.base + time.Duration(float64(n.w.Now)*n.speed)
 }
 
 func (n *simNode) start(first bool) {
 	n.life = n.w.rng.Uint64()
-	n.up, n.busy, n.all, n.target = true, false, true, 0
+	n.up, n.busy, n.reportAll, n.target = true, false, true, 0
 	n.base = time.Duration(n.w.rng.Int64N(int64(time.Hour)))
 	n.lease = NewLease(n.w.cfg, n.id, n.life, first)
 	n.local = NewLocal(n.w.cfg)
@@ -103,44 +103,45 @@
 	}
 }
 
-// when runs f for a life of the node, after its freeze if it is frozen.
-func (n *simNode) when(life uint64, f func()) {
+// whenAwake runs f if the node still has the same incarnation, after its freeze if
+// frozen.
+func (n *simNode) whenAwake(life uint64, f func()) {
 	if !n.up || n.life != life {
 		return
 	}
-	if n.w.Now < n.still {
-		n.w.After(n.still-n.w.Now, func() { n.when(life, f) })
+	if n.w.Now < n.frozenUntil {
+		n.w.After(n.frozenUntil-n.w.Now, func() { n.whenAwake(life, f) })
 		return
 	}
 	f()
 }
 
 func (n *simNode) later(life uint64, d time.Duration, f func()) {
-	n.w.After(d, func() { n.when(life, f) })
+	n.w.After(d, func() { n.whenAwake(life, f) })
 }
 
 const simTick = 200 * time.Millisecond
 
 func (n *simNode) tick(life uint64) {
-	if n.w.rng.IntN(5) == 0 || n.all {
+	if n.w.rng.IntN(5) == 0 || n.reportAll {
 		n.ask(life, nil)
 	}
-	n.call(life)
+	n.callTable(life)
 	n.later(life, simTick, func() { n.tick(life) })
 }
 
-// call makes the lease's next call of the table.
-func (n *simNode) call(life uint64) {
+// callTable makes the lease's next call to the table.
+func (n *simNode) callTable(life uint64) {
 	step, row, version := n.lease.Next(n.clock())
 	if step == Idle {
 		return
 	}
 	w := n.w
-	lost := w.down || n.cut || n.away || w.loses()
+	lost := w.down || n.partitioned || n.tableDown || w.loses()
 	there, back := w.delay(), w.delay()
 	if step == Write {
-		// A write whose answer is lost may have been done, at once or seconds later.
-		if !lost || w.rng.IntN(2) == 0 && !n.cut {
+		// A write whose answer is lost may take effect, at once or seconds later.
+		if !lost || w.rng.IntN(2) == 0 && !n.partitioned {
 			if lost && w.rng.IntN(2) == 0 {
 				there += time.Duration(w.rng.Int64N(int64(5 * time.Second)))
 			}
@@ -150,7 +151,7 @@
 				}
 			})
 		}
-		n.later(life, w.delay()+back, func() { n.lease.HandleWrite(n.clock(), true); n.call(life) })
+		n.later(life, w.delay()+back, func() { n.lease.HandleWrite(n.clock(), true); n.callTable(life) })
 		return
 	}
 	if lost {
@@ -159,22 +160,22 @@
 	}
 	w.After(there, func() {
 		row, version := w.row, w.version
-		n.later(life, back, func() { n.lease.HandleRow(n.clock(), row, version); n.call(life) })
+		n.later(life, back, func() { n.lease.HandleRow(n.clock(), row, version); n.callTable(life) })
 	})
 }
 
-func (w *world) loses() bool { return w.faulty && w.rng.IntN(50) == 0 }
+func (w *simulation) loses() bool { return w.lossy && w.rng.IntN(50) == 0 }
 
-func (w *world) delay() time.Duration {
+func (w *simulation) delay() time.Duration {
 	d := time.Duration(w.rng.Int64N(int64(4 * time.Millisecond)))
-	if w.faulty && w.rng.IntN(100) == 0 {
-		d += time.Duration(w.rng.Int64N(int64(2 * time.Second))) // held up
+	if w.lossy && w.rng.IntN(100) == 0 {
+		d += time.Duration(w.rng.Int64N(int64(2 * time.Second))) // delayed
 	}
 	return d
 }
 
-// dividing returns the node that is asked.
-func (n *simNode) dividing() *simNode {
+// askedNode returns the node to ask.
+func (n *simNode) askedNode() *simNode {
 	var best *simNode
 	for _, m := range n.w.nodes {
 		if until, ok := n.avoid[m.id]; ok && n.clock() < until {
@@ -190,23 +191,23 @@
 	return best
 }
 
-// ask asks the dividing node; then is called with the answer taken in.
+// ask asks the lease holder and calls then after it has processed the answer.
 func (n *simNode) ask(life uint64, then func()) {
 	if n.busy {
 		return
 	}
-	w, m := n.w, n.dividing()
+	w, m := n.w, n.askedNode()
 	if m == nil {
 		return
 	}
 	now := n.clock()
-	a := &Ask{Node: n.id, Life: life, Starts: n.all}
-	if then == nil || n.all {
-		a.Needs = n.local.Needs(now, func(request.Organisation) bool { return true }, n.all, w.limits)
+	a := &Ask{Node: n.id, Life: life, Starts: n.reportAll}
+	if then == nil || n.reportAll {
+		a.Needs = n.local.Needs(now, func(request.Organisation) bool { return true }, n.reportAll, w.limits)
 	} else if need, ok := n.local.NeedOf(now, w.org, w.limit); ok {
 		a.Needs = []Need{need}
 	}
-	if len(a.Needs) == 0 && !n.all {
+	if len(a.Needs) == 0 && !n.reportAll {
 		return
 	}
 	n.seq++
@@ -221,17 +222,17 @@
 		n.avoid[m.id], n.target = n.clock()+2*time.Second, 0
 	}
 	n.later(life, 700*time.Millisecond, fail)
-	if n.cut || m.cut || w.loses() {
+	if n.partitioned || m.partitioned || w.loses() {
 		return
 	}
 	w.After(w.delay(), func() {
-		m.when(m.life, func() {
+		m.whenAwake(m.life, func() {
 			r := m.lease.Ask(m.clock(), a, w.limits)
 			if h := w.node(r.Holder); !r.Divides && h != nil && !h.up {
-				m.lease.HolderGone(m.clock(), h.id) // nobody listens at its address
+				m.lease.HolderGone(m.clock(), h.id) // nothing listens at its address
 			}
-			m.call(m.life)
-			if n.cut || m.cut || w.loses() {
+			m.callTable(m.life)
+			if n.partitioned || m.partitioned || w.loses() {
 				return
 			}
 			n.later(life, w.delay(), func() {
@@ -239,7 +240,7 @@
 					return
 				}
 				answered, n.busy = true, false
-				n.answer(life, now, m, r)
+				n.handleReply(life, now, m, r)
 				if then != nil {
 					then()
 				}
@@ -248,7 +249,7 @@
 	})
 }
 
-func (n *simNode) answer(life uint64, asked time.Duration, m *simNode, r Reply) {
+func (n *simNode) handleReply(life uint64, asked time.Duration, m *simNode, r Reply) {
 	if !r.Divides {
 		n.target = r.Holder
 		if r.Holder == 0 || r.Holder == m.id {
@@ -258,11 +259,11 @@
 		return
 	}
 	n.target = m.id
-	n.all = false
+	n.reportAll = false
 	n.local.Apply(n.clock(), asked, r.Grants, n.w.limits)
 }
 
-// arrive plays requests of the organisation at the node.
+// arrive simulates requests of the organisation at the node.
 func (n *simNode) arrive(life uint64) {
 	if n.rate <= 0 {
 		n.later(life, 100*time.Millisecond, func() { n.arrive(life) })
@@ -281,7 +282,7 @@
 	now := n.clock()
 	switch n.local.Take(now, n.w.org, n.w.limit) {
 	case Admit:
-		if n.w.rng.IntN(10) == 0 { // refused elsewhere: it ran nowhere
+		if n.w.rng.IntN(10) == 0 { // refused elsewhere, so it ran nowhere
 			n.later(life, time.Duration(n.w.rng.Int64N(int64(100*time.Millisecond))), func() {
 				n.local.Return(n.clock(), now, n.w.org, n.w.limit)
 			})
@@ -300,8 +301,8 @@
 	}
 }
 
-// most returns how many requests ran at most in a span of the window.
-func (w *world) most() (most int, at time.Duration) {
+// maxInWindow returns the maximum number of requests that ran in one window.
+func (w *simulation) maxInWindow() (most int, at time.Duration) {
 	slices.Sort(w.taken)
 	from := 0
 	for i, t := range w.taken {
@@ -315,34 +316,34 @@
 	return most, at
 }
 
-func (w *world) bound() float64 {
+func (w *simulation) bound() float64 {
 	t := w.cfg.Terms
 	return (w.limit.Rate*t.Window.Seconds()+w.limit.Burst)*(1+t.Excess) + t.Slack
 }
 
-// watch looks all the time whether nodes hold more than there is.
-func (w *world) watch(what string) {
+// watchHoldings checks every 20 ms that nodes hold no more than the limit.
+func (w *simulation) watchHoldings(what string) {
 	rate, capacity := 0.0, 0.0
 	for _, n := range w.nodes {
 		if !n.up {
 			continue
 		}
-		if b := n.local.buckets[w.org]; b != nil && n.clock() < b.until {
+		if b := n.local.buckets[w.org]; b != nil && n.clock() < b.expiresAt {
 			rate += float64(b.part.Rate)
 			capacity += float64(b.part.Capacity)
 		}
 	}
 	const rounding = 1e-4
 	if rate > w.limit.Rate*(1+rounding) || capacity > w.cfg.Terms.capacity(w.limit)*(1+rounding) {
-		w.t.Fatalf("%s: at %v nodes hold parts of %.2f a second and of %.2f tokens", what, w.Now, rate, capacity)
+		w.t.Fatalf("%s: at %v nodes hold a rate of %.2f per second and a capacity of %.2f tokens", what, w.Now, rate, capacity)
 	}
-	w.After(20*time.Millisecond, func() { w.watch(what) })
+	w.After(20*time.Millisecond, func() { w.watchHoldings(what) })
 }
 
-// check fails if more ran in some window than the terms allow.
-func (w *world) check(what string) {
+// checkBound fails if more requests ran in some window than the terms allow.
+func (w *simulation) checkBound(what string) {
 	w.t.Helper()
-	if most, at := w.most(); float64(most) > w.bound() {
-		w.t.Fatalf("%s: %d requests ran in the window up to %v, at most %v may", what, most, at, w.bound())
+	if most, at := w.maxInWindow(); float64(most) > w.bound() {
+		w.t.Fatalf("%s: %d requests ran in the window up to %v; the bound is %v", what, most, at, w.bound())
 	}
 }
