--- a/internal/core/suspect/fingerprint.go
+++ b/internal/core/suspect/fingerprint.go
@@ -8,23 +8,22 @@
 	"peardrift/internal/core/request"
 )
 
-// Fingerprint identifies what a request asks for, not the request: a caller
-// that sends the same again draws a new request id, but gets the same
-// fingerprint.
+// Fingerprint identifies the content of a request. A caller that resends a request gets
+// a new request ID but the same fingerprint.
 type Fingerprint uint64
 
-// Content is what a fingerprint is made of.
+// Content is what a fingerprint is computed from.
 type Content struct {
 	Tenant  request.Tenant
 	Service request.Service
 	Method  string
 	URI     string // path and query as sent
-	Body    []byte // its start, as far as the node has it
-	Size    int64  // declared length of the body; -1 if not known
+	Body    []byte // its start, as far as the node has read it
+	Size    int64  // declared length of the body; -1 if unknown
 }
 
-// MaxBody is how many bytes of a body go into the fingerprint: the part that a
-// node has at hand before it streams the rest.
+// MaxBody is the number of body bytes in the fingerprint: the part that a node has read
+// before it streams the rest.
 const MaxBody = 4 << 10
 
 // Of returns the fingerprint of a request.
@@ -40,8 +39,8 @@
 	return Fingerprint(d.Sum64())
 }
 
-// writeField writes the length first, so that moving a byte from one field to
-// the next gives another fingerprint.
+// writeField writes the length first, so that moving a byte between adjacent fields
+// changes the fingerprint.
 func writeField(d *xxhash.Digest, s string) {
 	writeNumber(d, uint64(len(s)))
 	_, _ = d.WriteString(s)
--- a/internal/core/suspect/merge.go
+++ b/internal/core/suspect/merge.go
@@ -6,32 +6,30 @@
 	"time"
 )
 
-// crash is what is remembered of one crash.
+// crash is the state of one crash.
 type crash struct {
 	at       time.Duration
 	inFlight int
-	// counted holds each fingerprint that this crash was counted for once, so
-	// that a report that comes again doesn't blame one that was cleared since:
-	// true while it is held against it.
+	// counted contains each fingerprint that this crash was counted for, so that a
+	// repeated report doesn't blame one that was cleared since. The value is true while
+	// the crash counts against the fingerprint.
 	counted map[Fingerprint]bool
-	// explained: a refused fingerprint was in flight, so the others are not to
-	// blame.
+	// explained: a refused fingerprint was in flight, so the others aren't to blame.
 	explained bool
 }
 
-// maxCounted bounds the fingerprints that all remembered crashes hold, as a
-// multiple of Config.MaxEntries.
+// maxCounted bounds the fingerprints of all remembered crashes, as a multiple of
+// Config.MaxEntries.
 const maxCounted = 2
 
-// Merge takes in a report of this or another node, in any order and any number
-// of times. It returns whether something in it was new, which is when a node
-// passes it on.
+// Merge applies a report of this or another node, in any order and any number of times.
+// It returns whether the report contained anything new; a node forwards only those.
 func (t *Tracker) Merge(now time.Duration, r Report) bool {
 	if len(r.Fingerprints) == 0 {
 		return false
 	}
 	t.sweep(now)
-	c := t.crash(now, r)
+	c := t.crashState(now, r)
 	var fresh []Fingerprint
 	for _, fp := range r.Fingerprints[:min(len(r.Fingerprints), t.cfg.MaxReport)] {
 		if _, ok := c.counted[fp]; !ok {
@@ -41,7 +39,7 @@
 	}
 	if len(fresh) > 0 {
 		for _, fp := range r.Cleared {
-			t.acquit(fp)
+			t.clearEntry(fp)
 		}
 	}
 	for _, fp := range fresh {
@@ -53,11 +51,11 @@
 		return len(fresh) > 0
 	}
 	t.count(now, r.Crash, c, fresh)
-	t.convict(now, fresh)
+	t.refuse(now, fresh)
 	return len(fresh) > 0
 }
 
-func (t *Tracker) crash(now time.Duration, r Report) *crash {
+func (t *Tracker) crashState(now time.Duration, r Report) *crash {
 	c := t.crashes[r.Crash]
 	if c == nil {
 		c = &crash{counted: map[Fingerprint]bool{}}
@@ -77,62 +75,60 @@
 			t.entries[fp] = e
 		}
 		e.add(id, c.weight())
-		e.last = now
+		e.lastUpdate = now
 	}
 	t.evict()
 }
 
-// weight is the suspicion that one crash adds to each that was in flight.
+// weight is what one crash adds to the weight of each fingerprint in flight.
 func (c *crash) weight() float64 { return 1 / float64(max(c.inFlight, 1)) }
 
-// convict refuses the fingerprints that reached the limit. All are judged before
-// any is marked, and marked before any crash is explained, so that the order in a report doesn't decide
-// between two that were in flight at the same crashes.
-func (t *Tracker) convict(now time.Duration, fps []Fingerprint) {
-	var guilty []*entry
+// refuse marks the fingerprints that reached the limit as refused. It evaluates all of
+// them before it marks any, and marks all before it explains any crash, so that the
+// order in a report doesn't decide between two that were in flight at the same crashes.
+func (t *Tracker) refuse(now time.Duration, fps []Fingerprint) {
+	var culprits []*entry
 	for _, fp := range fps {
 		e := t.entries[fp]
 		if e == nil || e.refused {
 			continue
 		}
-		enough := e.n >= t.cfg.MaxCrashes || (e.n > 1 && e.weight >= t.cfg.AloneWeight)
-		if enough && !t.covered(fp, e) {
-			guilty = append(guilty, e)
+		reached := e.numCrashes >= t.cfg.MaxCrashes || (e.numCrashes > 1 && e.weight >= t.cfg.AloneWeight)
+		if reached && !t.indistinguishable(fp, e) {
+			culprits = append(culprits, e)
 		}
 	}
-	for _, e := range guilty {
+	for _, e := range culprits {
 		e.refused = true
 	}
-	for _, e := range guilty {
-		for _, id := range e.crashes[:e.n] {
+	for _, e := range culprits {
+		for _, id := range e.crashes[:e.numCrashes] {
 			t.explain(id)
 		}
 	}
 }
 
-// covered reports whether another suspect was in flight at each crash that the
-// fingerprint was in flight at. Then nothing tells them apart, and both run alone
-// until one of them is answered whole, or takes a target by itself.
-//
-// Symptom otherwise: a page that all read is refused everywhere. Events: copies of
-// a request that crashes targets come to many targets at the same moment; the page
-// is in flight at each. Cause: crashes at the same moment leave no time to isolate.
-func (t *Tracker) covered(fp Fingerprint, e *entry) bool {
+// indistinguishable reports whether another suspect was in flight at every crash of the
+// fingerprint. Both then run in isolation until one gets a complete answer or crashes a
+// target by itself. Otherwise, when copies of a crashing request reach many targets at
+// the same moment, a popular request in flight at each would be refused everywhere:
+// simultaneous crashes leave no time to isolate.
+func (t *Tracker) indistinguishable(fp Fingerprint, e *entry) bool {
 	first := t.crashes[e.crashes[0]]
 	if first == nil {
 		return false
 	}
 	for other := range first.counted {
 		o := t.entries[other]
-		if other != fp && o != nil && !o.refused && t.sawAll(other, e.crashes[:e.n]) {
+		if other != fp && o != nil && !o.refused && t.inFlightAtAll(other, e.crashes[:e.numCrashes]) {
 			return true
 		}
 	}
 	return false
 }
 
-// sawAll reports whether a fingerprint was in flight at all the crashes.
-func (t *Tracker) sawAll(fp Fingerprint, ids []CrashID) bool {
+// inFlightAtAll reports whether a fingerprint was in flight at all the crashes.
+func (t *Tracker) inFlightAtAll(fp Fingerprint, ids []CrashID) bool {
 	for _, id := range ids {
 		c := t.crashes[id]
 		if c == nil {
@@ -145,8 +141,8 @@
 	return true
 }
 
-// acquit forgets a fingerprint that a target answered whole.
-func (t *Tracker) acquit(fp Fingerprint) {
+// clearEntry drops a fingerprint that a target answered completely.
+func (t *Tracker) clearEntry(fp Fingerprint) {
 	delete(t.entries, fp)
 	for _, c := range t.crashes {
 		if c.counted[fp] {
@@ -155,7 +151,7 @@
 	}
 }
 
-// explain takes a crash off all that were beside the culprit.
+// explain removes a crash from all fingerprints that were in flight beside the culprit.
 func (t *Tracker) explain(id CrashID) {
 	c := t.crashes[id]
 	if c == nil || c.explained {
@@ -167,19 +163,19 @@
 		if e == nil || e.refused {
 			continue
 		}
-		if e.drop(id, c.weight()); e.n == 0 {
+		if e.drop(id, c.weight()); e.numCrashes == 0 {
 			delete(t.entries, fp)
 		}
 	}
 }
 
-// Known returns all that is remembered as reports, for a node that joins.
+// Known returns the remembered crashes as reports, for a node that joins.
 func (t *Tracker) Known() []Report {
 	rs := make([]Report, 0, len(t.crashes))
 	for id, c := range t.crashes {
 		r := Report{Crash: id, InFlight: c.inFlight}
 		for fp := range c.counted {
-			if e := t.entries[fp]; e != nil && slices.Contains(e.crashes[:e.n], id) {
+			if e := t.entries[fp]; e != nil && slices.Contains(e.crashes[:e.numCrashes], id) {
 				r.Fingerprints = append(r.Fingerprints, fp)
 			}
 		}
@@ -194,8 +190,8 @@
 	return rs
 }
 
-// order sorts fingerprints by how much they are suspected, most first.
-func (t *Tracker) order(fps []Fingerprint) {
+// sortBySuspicion sorts fingerprints by their number of crashes, highest first.
+func (t *Tracker) sortBySuspicion(fps []Fingerprint) {
 	slices.SortFunc(fps, func(a, b Fingerprint) int {
 		return cmp.Or(cmp.Compare(t.crashesOf(b), t.crashesOf(a)), cmp.Compare(a, b))
 	})
@@ -203,12 +199,12 @@
 
 func (t *Tracker) crashesOf(fp Fingerprint) int {
 	if e := t.entries[fp]; e != nil {
-		return e.n
+		return e.numCrashes
 	}
 	return 0
 }
 
-// sweep drops what has expired.
+// sweep drops expired entries.
 func (t *Tracker) sweep(now time.Duration) {
 	for fp, e := range t.entries {
 		if t.expired(now, e) {
@@ -227,8 +223,8 @@
 	}
 }
 
-// evict keeps the memory bounded: first go the fingerprints with the fewest and
-// oldest crashes, then the oldest crashes.
+// evict bounds the memory: first it drops the fingerprints with the fewest and oldest
+// crashes, then the oldest crashes.
 func (t *Tracker) evict() {
 	if over := len(t.entries) - t.cfg.MaxEntries; over > 0 {
 		fps := make([]Fingerprint, 0, len(t.entries))
@@ -237,7 +233,7 @@
 		}
 		slices.SortFunc(fps, func(a, b Fingerprint) int {
 			x, y := t.entries[a], t.entries[b]
-			return cmp.Or(cmp.Compare(x.n, y.n), cmp.Compare(x.last, y.last), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(x.numCrashes, y.numCrashes), cmp.Compare(x.lastUpdate, y.lastUpdate), cmp.Compare(a, b))
 		})
 		for _, fp := range fps[:over] {
 			delete(t.entries, fp)
--- a/internal/core/suspect/tracker.go
+++ b/internal/core/suspect/tracker.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Verdict is what to do with a request.
+// Verdict is the decision about a request.
 type Verdict uint8
 
 const (
-	// Run it as any other.
+	// Run: no restriction.
 	Run Verdict = iota
-	// Isolate: run it, but it is suspected; no other suspect is in flight here.
+	// Isolate: run it as a suspect; no other suspect is in flight here.
 	Isolate
-	// Busy: another suspect is in flight here. Refuse it as not run for now, with
-	// status.CodeIsolationBusy and Config.RetryAfter. Sent on to another target,
-	// each of many copies that come at once would be run somewhere.
+	// Busy: another suspect is in flight here. Refuse the request as not run, with
+	// status.CodeIsolationBusy and Config.RetryAfter. It must not be sent to another
+	// target: of many simultaneous copies, each would then run somewhere.
 	Busy
-	// Refuse it with status.CodeSuspect.
+	// Refuse: refuse it with status.CodeSuspect.
 	Refuse
 )
 
-// String returns the verdict as it stands in metrics and logs.
+// String returns the verdict as it appears in metrics and logs.
 func (v Verdict) String() string {
 	switch v {
 	case Isolate:
@@ -35,46 +35,46 @@
 	}
 }
 
-// entry is what is known of one fingerprint.
+// entry is the state of one fingerprint.
 type entry struct {
-	crashes [MaxCrashLimit]CrashID
-	n       int     // of crashes
-	weight  float64 // sum of 1/n in flight
-	refused bool
-	last    time.Duration // of the last crash; of a refused one when last seen
+	crashes    [MaxCrashLimit]CrashID
+	numCrashes int
+	weight     float64 // sum of 1/n for crashes with n in flight
+	refused    bool
+	lastUpdate time.Duration // time of the last crash; if refused, when last seen
 }
 
 func (e *entry) add(id CrashID, weight float64) {
-	if e.n == len(e.crashes) || slices.Contains(e.crashes[:e.n], id) {
+	if e.numCrashes == len(e.crashes) || slices.Contains(e.crashes[:e.numCrashes], id) {
 		return
 	}
-	e.crashes[e.n] = id
-	e.n++
+	e.crashes[e.numCrashes] = id
+	e.numCrashes++
 	e.weight += weight
 }
 
 func (e *entry) drop(id CrashID, weight float64) {
-	i := slices.Index(e.crashes[:e.n], id)
+	i := slices.Index(e.crashes[:e.numCrashes], id)
 	if i < 0 {
 		return
 	}
-	copy(e.crashes[i:e.n], e.crashes[i+1:e.n])
-	e.n--
+	copy(e.crashes[i:e.numCrashes], e.crashes[i+1:e.numCrashes])
+	e.numCrashes--
 	e.weight -= weight
 }
 
-// Tracker is one node's knowledge of the suspects of its service.
+// Tracker tracks the suspects of one service at one node.
 type Tracker struct {
 	cfg      *Config
 	entries  map[Fingerprint]*entry
 	crashes  map[CrashID]*crash
 	inFlight map[Fingerprint]int
-	cleared  map[Fingerprint]time.Duration // when
-	epoch    uint64                        // rises with each crash of the own target
-	down     bool                          // from a crash until the own target is seen to work
+	cleared  map[Fingerprint]time.Duration // when cleared
+	epoch    uint64                        // increases with each crash of the local target
+	down     bool                          // from a crash until the local target works again
 }
 
-// New returns a tracker that suspects nothing.
+// New returns an empty tracker.
 func New(cfg *Config) *Tracker {
 	return &Tracker{
 		cfg:      cfg,
@@ -85,8 +85,8 @@
 	}
 }
 
-// Check says what to do with a request. It may be called at an entry node too,
-// which has no target of the service; it then never returns Busy.
+// Check decides about a request. An entry node without a target of the service may call
+// it too; it never returns Busy there.
 func (t *Tracker) Check(now time.Duration, fp Fingerprint) Verdict {
 	e := t.entries[fp]
 	if e == nil {
@@ -98,9 +98,9 @@
 	}
 	switch {
 	case e.refused:
-		e.last = now
+		e.lastUpdate = now
 		return Refuse
-	case e.n < t.cfg.IsolateAfter:
+	case e.numCrashes < t.cfg.IsolateAfter:
 		return Run
 	case t.suspectInFlight():
 		return Busy
@@ -108,49 +108,49 @@
 	return Isolate
 }
 
-// suspectInFlight looks through what is in flight rather than keep a count:
-// a request may become a suspect by a report that comes while it runs.
+// suspectInFlight searches the requests in flight instead of keeping a count, because a
+// report may turn a running request into a suspect.
 func (t *Tracker) suspectInFlight() bool {
 	for fp := range t.inFlight {
-		if e := t.entries[fp]; e != nil && e.n >= t.cfg.IsolateAfter {
+		if e := t.entries[fp]; e != nil && e.numCrashes >= t.cfg.IsolateAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// Ticket is a request in flight at the own target.
+// Ticket is a request in flight at the local target.
 type Ticket struct {
-	fp     Fingerprint
-	epoch  uint64
-	booked bool
+	fp      Fingerprint
+	epoch   uint64
+	counted bool
 }
 
-// Started books a request that is sent to the own target. While the target is
-// down nothing is in flight there.
+// Started records a request that is sent to the local target. While the target is down
+// nothing counts as in flight.
 func (t *Tracker) Started(fp Fingerprint) Ticket {
 	if t.down {
 		return Ticket{fp: fp, epoch: t.epoch}
 	}
 	t.inFlight[fp]++
-	return Ticket{fp: fp, epoch: t.epoch, booked: true}
+	return Ticket{fp: fp, epoch: t.epoch, counted: true}
 }
 
-// Ended books its end. whole says that the target gave a whole answer, of
-// whatever status: the request does not crash targets, and is cleared.
+// Ended records the end of a request. whole reports that the target gave a complete
+// answer of any status: the request doesn't crash targets and is cleared.
 func (t *Tracker) Ended(now time.Duration, k Ticket, whole bool) {
 	if whole && t.entries[k.fp] != nil {
 		t.Clear(now, k.fp)
 	}
-	// Of a target that crashed the requests end late, beside those of its next
-	// incarnation; they are not in flight there.
+	// Requests of a crashed target may end late, when those of its next incarnation are
+	// in flight.
 	if k.epoch != t.epoch {
 		return
 	}
 	if whole {
 		t.down = false
 	}
-	if !k.booked {
+	if !k.counted {
 		return
 	}
 	if t.inFlight[k.fp]--; t.inFlight[k.fp] <= 0 {
@@ -158,20 +158,20 @@
 	}
 }
 
-// Down reports whether the own target crashed and wasn't seen to work since.
+// Down reports whether the local target crashed and hasn't been seen to work since.
 func (t *Tracker) Down() bool { return t.down }
 
-// Up books that the own target takes connections again. A whole answer says so
-// too, but a target that dies of its first request gives none.
+// Up records that the local target accepts connections again. A complete answer does so
+// too, but a target that crashes on its first request gives none.
 func (t *Tracker) Up() { t.down = false }
 
-// Crashed books that the own target died without being asked to, and returns
-// the report for the other nodes; ok is false if nothing was in flight.
+// Crashed records an unplanned crash of the local target and returns the report for the
+// other nodes; ok is false if nothing was in flight.
 //
-// While the target is down it books nothing. Symptom otherwise: an innocent
-// request that many send is refused on all nodes. Events: a target dies, some
-// connections to it are still pooled; requests sent on these break one by one
-// while it restarts, each looks like a crash with nothing else in flight.
+// It ignores crashes while the target is down. After a crash, requests sent on pooled
+// connections fail one by one while the target restarts; if each counted as a crash
+// with nothing else in flight, an innocent popular request would be refused on all
+// nodes.
 func (t *Tracker) Crashed(now time.Duration, id CrashID) (r Report, ok bool) {
 	if t.down {
 		return Report{}, false
@@ -186,15 +186,15 @@
 	t.epoch++
 	t.down = true
 	clear(t.inFlight)
-	t.order(r.Fingerprints)
+	t.sortBySuspicion(r.Fingerprints)
 	r.Fingerprints = r.Fingerprints[:min(len(r.Fingerprints), t.cfg.MaxReport)]
-	t.order(r.Cleared)
+	t.sortBySuspicion(r.Cleared)
 	t.Merge(now, r)
 	return r, r.InFlight > 0
 }
 
-// Suspects returns how many fingerprints are remembered and how many of these
-// are refused, for metrics.
+// Suspects returns the number of remembered fingerprints and of refused ones among
+// them, for metrics.
 func (t *Tracker) Suspects() (known, refused int) {
 	for _, e := range t.entries {
 		if e.refused {
@@ -204,10 +204,9 @@
 	return len(t.entries), refused
 }
 
-// Clear forgets a fingerprint: a target answered it whole, or on an operator's
-// word.
+// Clear drops a fingerprint, after a complete answer or at an operator's request.
 func (t *Tracker) Clear(now time.Duration, fp Fingerprint) {
-	t.acquit(fp)
+	t.clearEntry(fp)
 	if len(t.cleared) < t.cfg.MaxEntries {
 		t.cleared[fp] = now
 	}
@@ -215,7 +214,7 @@
 
 func (t *Tracker) expired(now time.Duration, e *entry) bool {
 	if e.refused {
-		return now-e.last >= t.cfg.Remember
+		return now-e.lastUpdate >= t.cfg.Remember
 	}
-	return now-e.last >= t.cfg.Forget
+	return now-e.lastUpdate >= t.cfg.Forget
 }
--- a/internal/core/suspect/tracker_test.go
+++ b/internal/core/suspect/tracker_test.go
@@ -20,17 +20,17 @@
 	is.Equal(tr.Check(0, culprit), Run)
 	tr.Merge(0, Report{Crash: crashID(1), InFlight: 2, Fingerprints: []Fingerprint{culprit, 10}})
 	is.Equal(tr.Check(0, culprit), Run)
-	for range 3 { // the same crash again doesn't count
+	for range 3 { // a repeated report doesn't count
 		tr.Merge(0, Report{Crash: crashID(1), InFlight: 2, Fingerprints: []Fingerprint{10, culprit}})
 	}
 	is.Equal(tr.Check(0, culprit), Run)
 	tr.Merge(0, Report{Crash: crashID(2), InFlight: 2, Fingerprints: []Fingerprint{culprit, 10}})
 	is.Equal(tr.Check(0, culprit), Isolate)
-	k := tr.Started(10) // equally suspected until it ends
+	k := tr.Started(10) // equally suspected until it is answered
 	is.Equal(tr.Check(0, culprit), Busy)
 	tr.Ended(0, k, true)
-	is.Equal(tr.Check(0, Fingerprint(10)), Run) // cleared by one whole answer
-	for i := range 2 {                          // and stays so if the reports come again
+	is.Equal(tr.Check(0, Fingerprint(10)), Run) // cleared by one complete answer
+	for i := range 2 {                          // repeated reports don't change that
 		tr.Merge(0, Report{Crash: crashID(i + 1), InFlight: 2, Fingerprints: []Fingerprint{10}})
 	}
 	is.Equal(tr.Check(0, Fingerprint(10)), Run)
@@ -39,14 +39,14 @@
 	is.Equal(tr.Check(0, culprit), Refuse)
 	is.Equal(tr.Check(0, Fingerprint(11)), Run)
 	known, refused := tr.Suspects()
-	is.Equal(known, 1) // the one beside it was explained away
+	is.Equal(known, 1) // the other one's crashes are explained
 	is.Equal(refused, 1)
 	is.Equal(tr.Check(59*time.Minute, culprit), Refuse)
 	is.Equal(tr.Check(118*time.Minute, culprit), Refuse) // seen again within Remember
 	is.Equal(tr.Check(178*time.Minute, culprit), Run)
 }
 
-func TestAloneAtTwoCrashes(t *testing.T) {
+func TestRefusedAfterTwoCrashesAlone(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	tr := New(&cfg)
@@ -63,10 +63,9 @@
 	is.True(!ok) // nothing was in flight
 }
 
-// Symptom: all nodes refuse a request that many callers send.
-// Events: a target dies; until it has restarted, requests break on connections
-// that were pooled. Cause: each break was counted as a crash of its own.
-func TestBreaksWhileDownBlameNobody(t *testing.T) {
+// Guards against refusing a popular request because its failures on pooled connections,
+// while a crashed target restarts, are counted as separate crashes.
+func TestFailuresWhileDownAreNotCrashes(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	tr := New(&cfg)
@@ -84,13 +83,13 @@
 	k := tr.Started(popular)
 	is.True(tr.Down())
 	tr.Ended(0, k, true)
-	is.True(!tr.Down()) // a whole answer shows that it works
+	is.True(!tr.Down()) // a complete answer shows that the target works
 	tr.Started(culprit)
 	_, ok = tr.Crashed(0, crashID(9))
 	is.True(ok)
 }
 
-func TestForgets(t *testing.T) {
+func TestForgetExpires(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	tr := New(&cfg)
@@ -122,22 +121,22 @@
 		counted += len(c.counted)
 	}
 	is.True(counted <= maxCounted*100)
-	is.Equal(tr.Check(0, culprit), Refuse) // what matters most is kept
+	is.Equal(tr.Check(0, culprit), Refuse) // refused entries are kept
 }
 
-// cluster is several nodes of a service whose reports arrive late, in any order
-// and more than once.
+// cluster is several nodes of a service whose reports arrive late, reordered and
+// duplicated.
 type cluster struct {
-	t       *rapid.T
-	now     time.Duration
-	delay   time.Duration // the most that a report takes
-	nodes   []*Tracker
-	mail    []letter
-	crashes int
-	guilty  time.Duration // when the third crash happened
+	t          *rapid.T
+	now        time.Duration
+	delay      time.Duration // the most that a report takes
+	nodes      []*Tracker
+	pending    []delivery
+	crashes    int
+	thirdCrash time.Duration // when the third crash happened
 }
 
-type letter struct {
+type delivery struct {
 	at time.Duration
 	to int
 	r  Report
@@ -146,31 +145,31 @@
 func (c *cluster) crash(node int) {
 	c.crashes++
 	if c.crashes == 3 {
-		c.guilty = c.now
+		c.thirdCrash = c.now
 	}
 	r, _ := c.nodes[node].Crashed(c.now, CrashID{Target: 1, Incarnation: uint64(c.crashes)})
 	c.nodes[node].Up() // restarted at once
 	for to := range c.nodes {
 		for range rapid.IntRange(1, 2).Draw(c.t, "copies") {
 			late := time.Duration(rapid.Int64Range(0, int64(c.delay)).Draw(c.t, "delay"))
-			c.mail = append(c.mail, letter{at: c.now + late, to: to, r: r})
+			c.pending = append(c.pending, delivery{at: c.now + late, to: to, r: r})
 		}
 	}
 }
 
 func (c *cluster) deliver() {
-	rest := c.mail[:0]
-	for _, m := range c.mail {
+	rest := c.pending[:0]
+	for _, m := range c.pending {
 		if m.at <= c.now {
 			c.nodes[m.to].Merge(c.now, m.r)
 		} else {
 			rest = append(rest, m)
 		}
 	}
-	c.mail = rest
+	c.pending = rest
 }
 
-// send has the caller send the request to a node; it takes the target with it.
+// send sends the crashing request through a node and crashes its target if it runs.
 func (c *cluster) send(node int) Verdict {
 	v := c.nodes[node].Check(c.now, culprit)
 	if v == Run || v == Isolate {
@@ -189,10 +188,9 @@
 	return c
 }
 
-// Symptom: target after target dies, whatever is restarted.
-// Events: a caller sends the request that crashes targets again and again, as
-// fast as it likes and through any node; reports are late and doubled.
-// Cause: each node alone counts only its own target's crashes.
+// Guards against an unbounded number of crashes when a caller resends a crashing
+// request at any rate through any node, while reports are late and duplicated. A node
+// alone sees only the crashes of its own target.
 func TestCrashesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
@@ -201,18 +199,17 @@
 			c.deliver()
 			before := c.crashes
 			c.send(rapid.IntRange(0, len(c.nodes)-1).Draw(t, "node"))
-			if c.crashes > before && c.crashes > 3 && c.now > c.guilty+c.delay {
-				t.Fatalf("crash %d at %v, third was at %v", c.crashes, c.now, c.guilty)
+			if c.crashes > before && c.crashes > 3 && c.now > c.thirdCrash+c.delay {
+				t.Fatalf("crash %d at %v; the third was at %v", c.crashes, c.now, c.thirdCrash)
 			}
 		}
 	})
 }
 
-// Symptom: requests that were in flight beside the culprit are refused.
-// Events: as above, but the caller waits for the failure and the reports; other
-// requests run beside it, are lost with the target and sent again, some of them
-// long ones. Cause: all in flight at a crash look alike.
-func TestInnocentsAreNotRefused(t *testing.T) {
+// Guards against refusing requests that were in flight beside the culprit. The caller
+// waits for the failure and the reports; other requests, some of them long, are lost
+// with the target and resent.
+func TestInnocentRequestsNotRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -273,7 +270,7 @@
 	}
 }
 
-func usual(tr *Tracker, c *Content) {
+func runRequest(tr *Tracker, c *Content) {
 	fp := Of(c)
 	tr.Check(0, fp)
 	tr.Ended(0, tr.Started(fp), true)
@@ -283,7 +280,7 @@
 	cfg := DefaultConfig()
 	tr := New(&cfg)
 	c := Content{Tenant: "a", Service: "s", Method: "GET", URI: "/x?y"}
-	if n := testing.AllocsPerRun(100, func() { usual(tr, &c) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { runRequest(tr, &c) }); n != 0 {
 		t.Fatalf("%v allocations", n)
 	}
 }
@@ -294,7 +291,7 @@
 	c := Content{Tenant: "a", Service: "s", Method: "GET", URI: "/headlines?since=1"}
 	b.ReportAllocs()
 	for b.Loop() {
-		usual(tr, &c)
+		runRequest(tr, &c)
 	}
 }
 
