--- a/internal/core/share/divide.go
+++ b/internal/core/share/divide.go
@@ -1,9 +1,8 @@
 package share
 
-// Divide splits capacity among demands by weight and writes each part to out:
-// weighted max-min fairness. Nobody gets more than it asks for, and what one
-// leaves goes to the others by their weights. The slices have the same length;
-// weights are positive.
+// Divide splits capacity among demands by weighted max-min fairness and writes the
+// parts to out. No part exceeds its demand, and unused capacity goes to the others by
+// weight. The slices have the same length; weights are positive.
 func Divide(capacity float64, weights, demands, out []float64) {
 	clear(out)
 	for range demands {
@@ -23,8 +22,8 @@
 	}
 }
 
-// fill raises each unmet part by its weight times unit, up to its demand, and
-// reports whether some demand was met and so left something over.
+// fill adds weight times unit to each unsatisfied part, up to its demand, and reports
+// whether it satisfied a demand and so left capacity over.
 func fill(unit float64, weights, demands, out []float64) bool {
 	met := false
 	for i, d := range demands {
--- a/internal/core/share/doc.go
+++ b/internal/core/share/doc.go
@@ -1,14 +1,13 @@
 // Package share divides a target's slots among tenants.
 //
-// Shares bind only under contention. A tenant without demand lends its part by
-// not asking for it; it gets it back as slots fall free, because a free slot
-// goes to the tenant that holds the fewest for its weight. There is no credit
-// for what was lent and no debt for what was borrowed.
+// Shares apply only under contention. A tenant without demand lends its share implicitly
+// and gets it back as slots become free, because a free slot goes to the tenant with the
+// fewest slots relative to its weight. Lending gives no credit and borrowing no debt.
 //
-// Share comes first, importance second: a share decides whose work is next, the
-// order of importance which of that tenant's. Otherwise a tenant that declares
-// all its work most important would starve the other.
+// The share is decided first, then the importance: the share selects the tenant, and the
+// importance selects which of its requests is next. Otherwise a tenant that declares all
+// its requests most important would starve the others.
 //
-// Ledger counts; Divide computes. Package admission calls both under its
-// caller's lock; nothing here is safe for concurrent use.
+// Ledger counts; Divide computes. Package admission calls both under its caller's lock;
+// nothing here is safe for concurrent use.
 package share
--- a/internal/core/share/share_test.go
+++ b/internal/core/share/share_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestDivideIsMaxMinFair: all capacity is used or all demand met, and who gets
-// less than it asks for gets no less for its weight than any other.
+// Either all capacity is used or all demand is satisfied, and a part below its demand
+// is, by weight, no smaller than any other.
 func TestDivideIsMaxMinFair(t *testing.T) {
 	const epsilon = 1e-6
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,12 +48,12 @@
 			asked += demands[i]
 			for j := range out {
 				if out[i] < demands[i]-epsilon && out[i]/weights[i] < out[j]/weights[j]-epsilon {
-					t.Fatalf("%d gets %v, %d gets %v", i, out[i], j, out[j])
+					t.Fatalf("tenant %d gets %v, tenant %d gets %v", i, out[i], j, out[j])
 				}
 			}
 		}
 		if math.Abs(used-min(capacity, asked)) > epsilon {
-			t.Fatalf("%v of %v used, %v asked", used, capacity, asked)
+			t.Fatalf("%v of %v used, demand %v", used, capacity, asked)
 		}
 	})
 }
@@ -69,7 +69,7 @@
 		l.Wait(1)
 	}
 	var held [2]int
-	for range 40 { // 40 slots, all asked for by both
+	for range 40 { // 40 slots, both tenants want all of them
 		t, ok := l.Next()
 		is.True(ok)
 		l.Leave(t)
@@ -78,8 +78,8 @@
 	}
 	is.Equal(held, [2]int{10, 30})
 	is.Equal(l.Guaranteed(0, 40), 10.0)
-	is.Equal(l.Most(0), 0) // its share is smaller and its queue longer
-	for range 30 {         // tenant 0 stops asking; tenant 1 goes over its share
+	is.Equal(l.Most(0), 0) // its share is smaller and its queue is longer
+	for range 30 {         // tenant 0 has no more demand; tenant 1 exceeds its share
 		l.Leave(0)
 	}
 	for range 10 {
@@ -91,5 +91,5 @@
 	}
 	l.Wait(0)
 	t0, _ := l.Next()
-	is.Equal(t0, 0) // the next free slot goes back
+	is.Equal(t0, 0) // the next free slot goes to tenant 0 again
 }
