--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -1,11 +1,11 @@
-// Package request is the vocabulary that the decision packages share: who a
-// request is, how important it is, how much work may still be spent on it.
+// Package request defines the types shared by the decision packages: the identity of a
+// request, its importance, and its outcome.
 //
-// Everything in internal/core is pure: an event and the time go in, typed
-// actions come out. Nothing here does I/O, starts goroutines, reads a clock or
-// draws from global randomness. Time is a time.Duration since an epoch of the
-// caller's choice (a node uses its start on the monotonic clock, a replay its
-// virtual clock); only differences matter.
+// All of internal/core is pure: events and the current time go in, typed actions come
+// out. Nothing here does I/O, starts goroutines, reads a clock or uses global
+// randomness. Time is a time.Duration since an epoch chosen by the caller (a node uses
+// its start on the monotonic clock, a replay its virtual clock); only differences
+// matter.
 package request
 
 import (
@@ -15,24 +15,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// IDSize is the size of a request identity in bytes: a W3C trace id.
+// IDSize is the size of a request ID in bytes, that of a W3C trace ID.
 const IDSize = 16
 
-// ID identifies one whole request over its chain of calls. It is the W3C trace
-// id that the entry node draws, so a target passes it on with traceparent.
+// ID identifies one request over its whole call chain. It is the W3C trace ID generated
+// by the entry node, so a target passes it on with traceparent.
 type ID [IDSize]byte
 
-// String returns the identity as 32 lower-case hexadecimal digits.
+// String returns the ID as 32 lower-case hexadecimal digits.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// IsZero reports whether the identity was never set.
+// IsZero reports whether the ID is unset.
 func (id ID) IsZero() bool { return id == ID{} }
 
-// Importance orders request classes: a class with a higher value is refused
-// later. It is declared by operators, 0 (least) to MaxImportance.
+// Importance orders request classes: classes with a higher value are refused later.
+// Operators declare it, from 0 (lowest) to MaxImportance.
 type Importance uint8
 
-// MaxImportance is the highest importance an operator may declare.
+// MaxImportance is the highest importance that an operator may declare.
 const MaxImportance Importance = 100
 
 const (
@@ -40,11 +40,10 @@
 	hashMask = 1<<hashBits - 1
 )
 
-// Priority is the one order in which all nodes refuse requests: importance
-// first, then a value hashed from the request's identity. Because every hop
-// derives the same Priority for the same request, an overloaded chain refuses
-// the same requests at each of its services, and the others complete.
-// A higher Priority is refused later.
+// Priority is the order in which all nodes refuse requests: by importance, then by a
+// hash of the request ID. Since every hop derives the same Priority for a request, an
+// overloaded chain refuses the same requests at each of its services, and the others
+// complete. A higher Priority is refused later.
 type Priority uint32
 
 // MaxPriority is above every priority that PriorityOf returns.
@@ -56,8 +55,8 @@
 	return Priority(imp)<<hashBits | Priority(h&hashMask)
 }
 
-// Assured reports whether a request is one of the given part of all that are refused
-// last, whatever their class. All nodes would choose the same ones, by the identity and
+// Assured reports whether a request belongs to the given fraction of requests that are
+// refused last, regardless of class. All nodes select the same requests, by ID and
 // independently of the order within an importance.
 func Assured(id ID, part float64) bool {
 	const bits = 16
@@ -67,34 +66,33 @@
 // Importance returns the importance that the priority was derived from.
 func (p Priority) Importance() Importance { return Importance(p >> hashBits) }
 
-// AsImportance returns the priority on the scale of importances. Of a level, the
-// whole part is the importance at the margin, and the fraction the part of it
-// that is refused.
+// AsImportance returns the priority on the scale of importances. For a level, the
+// integer part is the importance at the admission threshold, and the fraction is the
+// part of that importance that is refused.
 func (p Priority) AsImportance() float64 { return float64(p) / (1 << hashBits) }
 
-// Level is an admission level: requests with a Priority below it are refused.
-// Level 0 admits all.
+// Level is an admission threshold: requests with a lower Priority are refused. Level 0
+// admits all.
 type Level = Priority
 
-// Service names a service as "service.tenant"; the form that callers put in
-// the Host header.
+// Service is a service name, "service.tenant", as callers put it in the Host header.
 type Service string
 
-// Tenant names a tenant.
+// Tenant is the name of a tenant.
 type Tenant string
 
-// Organisation names one that calls, the holder of API keys.
+// Organisation is the name of a calling organisation, the holder of API keys.
 type Organisation string
 
-// Class names a request class, unique in its service.
+// Class is the name of a request class, unique within its service.
 type Class string
 
-// TargetID identifies one incarnation-independent target instance, hashed from
-// its announced name.
+// TargetID identifies a target instance across its incarnations. It is a hash of the
+// announced name.
 type TargetID uint64
 
-// Order places the target in an order that is the same at all nodes and spread evenly
-// over all 64-bit numbers; each salt gives another one.
+// Order returns a sort key of the target that is the same at all nodes and evenly
+// distributed over 64-bit numbers; each salt gives a different order.
 func (t TargetID) Order(salt ...uint64) uint64 {
 	var room [4 * 8]byte
 	b := binary.LittleEndian.AppendUint64(room[:0], uint64(t))
@@ -104,32 +102,32 @@
 	return xxhash.Sum64(b)
 }
 
-// TargetIDOf hashes an instance's announced name.
+// TargetIDOf returns the TargetID of an instance's announced name.
 func TargetIDOf(name string) TargetID { return TargetID(xxhash.Sum64String(name)) }
 
-// String returns the identity as 16 hexadecimal digits.
+// String returns the ID as 16 hexadecimal digits.
 func (t TargetID) String() string {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(t))
 	return hex.EncodeToString(b[:])
 }
 
-// Outcome is what a caller is told about a request, never more than is known.
+// Outcome is what a caller is told about a request; it never claims more than is known.
 type Outcome uint8
 
 const (
-	// Unknown: some attempt may have run, and its result is not known.
-	// It is the zero value, so that a forgotten assignment claims nothing.
+	// Unknown: an attempt may have run, and its result is not known. It is the zero
+	// value, so that a missing assignment claims nothing.
 	Unknown Outcome = iota
-	// Completed: the request ran and its whole answer follows.
+	// Completed: the request ran and its complete answer follows.
 	Completed
-	// Refused: the request ran nowhere, not even in part.
+	// Refused: the request did not run anywhere, not even in part.
 	Refused
 	// Failed: the request ran and is known to have failed.
 	Failed
 )
 
-// String returns the outcome in the form it has in headers, logs and metrics.
+// String returns the outcome as it appears in headers, logs and metrics.
 func (o Outcome) String() string {
 	switch o {
 	case Completed:
