--- a/internal/core/lifetime/tracker.go
+++ b/internal/core/lifetime/tracker.go
@@ -6,19 +6,19 @@
 	"peardrift/internal/port"
 )
 
-// State is what is known of the target.
+// State is the known state of the target.
 type State struct {
-	Instance string // empty: none is known
-	Born     int64  // when it started, in Unix milliseconds; 0: it doesn't say
+	Instance string // empty if unknown
+	Born     int64  // start time in Unix milliseconds; 0 if not reported
 	Slots    int
-	Takes    bool // calls may be sent to it
+	Takes    bool // whether calls may be sent to it
 	Cold     time.Duration
 }
 
-// Tracker follows the lifetimes at one address.
+// Tracker tracks the lifetimes at one address.
 type Tracker struct {
 	lifetimes map[string]*lifetime
-	order     []string // by first report
+	order     []string // in the order of first reports
 	current   string
 }
 
@@ -30,14 +30,14 @@
 	cold    time.Duration
 }
 
-// maxLifetimes bounds the names that are remembered. More starts than this while an
-// old report is under way don't happen to a target that works.
+// maxLifetimes bounds the remembered names. A working target doesn't start more often
+// than this while an old report is in flight.
 const maxLifetimes = 64
 
-// New returns a tracker that knows of no lifetime.
+// New returns a tracker without lifetimes.
 func New() *Tracker { return &Tracker{lifetimes: make(map[string]*lifetime)} }
 
-// State returns what is known now.
+// State returns the current state.
 func (t *Tracker) State() State {
 	l := t.lifetimes[t.current]
 	if l == nil {
@@ -46,15 +46,15 @@
 	return State{Instance: t.current, Born: l.born, Slots: l.slots, Takes: !l.leaving, Cold: l.cold}
 }
 
-// Report takes in what a target says.
+// Report applies a report of a target.
 func (t *Tracker) Report(r port.Report) State {
 	l, known := t.lifetimes[r.Instance]
 	switch {
 	case !known:
-		l = t.begin(r.Instance)
+		l = t.add(r.Instance)
 	case l.born == 0 || r.Born == 0 || r.Born == l.born:
 	case r.Born < l.born:
-		return t.State() // of an earlier start, held up on the way
+		return t.State() // a delayed report of an earlier start
 	default:
 		*l = lifetime{}
 		t.current, known = r.Instance, false
@@ -75,10 +75,10 @@
 	return t.State()
 }
 
-// begin adds a lifetime that has not reported before. It is taken for the one that
-// serves; should it be an old one whose report was held up, the target's first answer
-// says so, see Answered.
-func (t *Tracker) begin(instance string) *lifetime {
+// add adds a lifetime that has not reported before and makes it the current one. If it
+// is an old one whose report was delayed, the target's next answer corrects that, see
+// Answered.
+func (t *Tracker) add(instance string) *lifetime {
 	if len(t.order) == maxLifetimes {
 		delete(t.lifetimes, t.order[0])
 		t.order = t.order[1:]
@@ -90,9 +90,9 @@
 	return l
 }
 
-// Answered takes in that a lifetime other than the current one answers at the
-// address. One that has reported is the current one from now on; of another one
-// nothing is known until it does.
+// Answered records that a lifetime other than the current one answers at the address
+// and makes it the current one. Nothing is known of a lifetime that hasn't reported
+// yet.
 func (t *Tracker) Answered(instance string) State {
 	if instance != "" {
 		t.current = instance
--- a/internal/core/lifetime/tracker_test.go
+++ b/internal/core/lifetime/tracker_test.go
@@ -14,7 +14,7 @@
 	return port.Report{Instance: instance, Seq: seq, Slots: 10}
 }
 
-// Guards against a leave undone by a report from before it.
+// Guards against a leave that an earlier report reverts.
 func TestLeaveIsFinal(t *testing.T) {
 	is := is.New(t)
 	tr := New()
@@ -23,19 +23,19 @@
 	leave.Leaving = true
 	is.True(!tr.Report(leave).Takes)
 	is.True(!tr.Report(report("a", 2)).Takes) // late
-	is.True(!tr.Report(report("a", 4)).Takes) // even a newer one
+	is.True(!tr.Report(report("a", 4)).Takes) // a newer one doesn't either
 }
 
-// Guards against a last word that is not taken for a leave.
-func TestLastWordIsALeave(t *testing.T) {
+// Guards against a last report that isn't handled as a leave.
+func TestLastReportIsLeave(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	tr.Report(report("a", 1))
 	is.True(!tr.Report(port.Report{Instance: "a", Last: true}).Takes)
 }
 
-// Guards against a restarted node that forgets the leave which it had acknowledged.
-func TestNothingRunsBeforeAReport(t *testing.T) {
+// Guards against a restarted node that forgets a leave it acknowledged.
+func TestNothingRunsBeforeReport(t *testing.T) {
 	is := is.New(t)
 	is.True(!New().State().Takes)
 	leave := report("a", 9)
@@ -43,21 +43,22 @@
 	is.True(!New().Report(leave).Takes)
 }
 
-// Guards against a late report of a crashed target being taken for proof of life.
-func TestAnswersSettleWhichLifetimeServes(t *testing.T) {
+// Guards against a delayed report of a crashed target that is taken for the current
+// lifetime.
+func TestAnswersSelectCurrentLifetime(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	tr.Report(report("new", 1))
-	tr.Report(report("old", 7)) // unknown here, so taken for a newer one
+	tr.Report(report("old", 7)) // not seen before, so taken for the newer one
 	is.Equal(tr.State().Instance, "old")
 	is.Equal(tr.Answered("new"), State{Instance: "new", Slots: 10, Takes: true})
-	is.Equal(tr.Report(report("old", 8)).Instance, "new") // known: not taken again
-	is.True(!tr.Answered("third").Takes)                  // which has not reported
+	is.Equal(tr.Report(report("old", 8)).Instance, "new") // already known, so not made current
+	is.True(!tr.Answered("third").Takes)                  // has not reported yet
 	is.True(tr.Report(report("third", 1)).Takes)
 }
 
-// Guards against memory that grows with each start of a target that crashes in a loop.
-func TestLifetimesAreBounded(t *testing.T) {
+// Guards against memory growth with each start of a crash-looping target.
+func TestLifetimesBounded(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	for i := range 10 * maxLifetimes {
@@ -67,7 +68,7 @@
 	is.Equal(len(tr.order), maxLifetimes)
 }
 
-func TestOldReportsChangeNothing(t *testing.T) {
+func TestOldReportsIgnored(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	r := report("a", 5)
@@ -82,63 +83,63 @@
 	return r
 }
 
-func leaving(r port.Report) port.Report {
+func withLeaving(r port.Report) port.Report {
 	r.Leaving = true
 	return r
 }
 
-// Guards against a target that has started again under its name and is never served:
-// its reports count anew, and the leave was that of the start before.
-func TestAStartUnderTheSameNameIsAnotherLifetime(t *testing.T) {
+// Guards against a restarted target that is never served because it keeps its name: its
+// sequence numbers start again, and the leave belonged to the previous start.
+func TestRestartUnderSameNameIsNewLifetime(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	tr.Report(start(1000, 50))
-	is.True(!tr.Report(leaving(start(1000, 51))).Takes)
+	is.True(!tr.Report(withLeaving(start(1000, 51))).Takes)
 	is.Equal(tr.Report(start(2000, 1)), State{Instance: "a", Born: 2000, Slots: 10, Takes: true})
 	r := start(2000, 2)
 	r.Slots = 20
 	is.Equal(tr.Report(r).Slots, 20)
 }
 
-// Guards against reports of an earlier start that are held up on the way, its last
-// word among them.
-func TestReportsOfAnEarlierStartChangeNothing(t *testing.T) {
+// Guards against delayed reports of an earlier start, including its last one.
+func TestReportsOfEarlierStartIgnored(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	tr.Report(start(1000, 50))
 	now := tr.Report(start(2000, 1))
-	for _, late := range []port.Report{start(1000, 60), leaving(start(1000, 61)), {Instance: "a", Born: 1000, Leaving: true, Last: true}} {
+	for _, late := range []port.Report{start(1000, 60), withLeaving(start(1000, 61)), {Instance: "a", Born: 1000, Leaving: true, Last: true}} {
 		is.Equal(tr.Report(late), now)
 	}
-	is.True(!tr.Report(leaving(start(2000, 2))).Takes) // its own binds
+	is.True(!tr.Report(withLeaving(start(2000, 2))).Takes) // its own leave applies
 	is.True(!tr.Report(start(1000, 62)).Takes)
 	is.True(!tr.Report(start(2000, 3)).Takes)
 }
 
-// Guards against a leave undone by a report that tells a start when the leave did not.
-func TestAStartThatIsToldLateIsNoOther(t *testing.T) {
+// Guards against reverting a leave that named no start time when a later report names
+// one.
+func TestLateStartTimeIsSameLifetime(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	tr.Report(port.Report{Instance: "a", Leaving: true, Last: true})
 	is.True(!tr.Report(start(1000, 5)).Takes)
 	is.True(tr.Report(start(2000, 1)).Takes)
-	is.True(!tr.Report(port.Report{Instance: "a", Leaving: true, Last: true}).Takes) // of the latest
+	is.True(!tr.Report(port.Report{Instance: "a", Leaving: true, Last: true}).Takes) // applies to the latest start
 }
 
-// Guards against a report that can't be the own target's being taken for it, and against
-// a start in the future that makes all later ones look like earlier ones.
-func TestReportsThatCantBeAreRefused(t *testing.T) {
+// Guards against accepting a report that can't come from the local target, and a start
+// time in the future that makes all later ones look earlier.
+func TestCheckRejectsInvalidReports(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_767_225_600_000)
 	ok := port.Report{Instance: "a", Service: "s.t", Born: now.UnixMilli()}
 	is.NoErr(Check(ok, "s.t", now))
-	is.NoErr(Check(port.Report{Instance: "a", Last: true}, "s.t", now)) // names no service
+	is.NoErr(Check(port.Report{Instance: "a", Last: true}, "s.t", now)) // a last report names no service
 	for _, change := range []func(r *port.Report){
 		func(r *port.Report) { r.Instance = "" },
 		func(r *port.Report) { r.Service = "" },
 		func(r *port.Report) { r.Service = "other.t" },
 		func(r *port.Report) { r.Born = -1 },
-		func(r *port.Report) { r.Born = now.Add(2 * maxAhead).UnixMilli() },
+		func(r *port.Report) { r.Born = now.Add(2 * maxClockSkew).UnixMilli() },
 		func(r *port.Report) { r.Last, r.Born = true, -1 },
 	} {
 		r := ok
