--- a/internal/core/retry/allowance.go
+++ b/internal/core/retry/allowance.go
@@ -35,9 +35,9 @@
 // Call counts the attempts of one sub-call of a request. The zero value is a call
 // without attempts.
 type Call struct {
-	attempts int
-	runs     int
-	ran      bool
+	attempts   int
+	runs       int
+	mayHaveRun bool
 }
 
 // Attempts returns the attempts started so far.
@@ -47,7 +47,7 @@
 func (c *Call) Runs() int { return c.runs }
 
 // MayHaveRun reports whether any attempt wasn't refused.
-func (c *Call) MayHaveRun() bool { return c.ran }
+func (c *Call) MayHaveRun() bool { return c.mayHaveRun }
 
 // Grant is what one attempt carries to the callee. It is settled once.
 type Grant struct {
@@ -56,8 +56,8 @@
 	// Repeat tells the callee that an earlier attempt may have run.
 	Repeat bool
 
-	open bool
-	paid bool // cost one extra attempt
+	unsettled bool
+	charged   bool // cost one extra attempt
 }
 
 // Answer is what the answer to an attempt reports about the allowance.
@@ -90,7 +90,7 @@
 		}
 		p.left--
 	}
-	g := Grant{Repeat: p.repeat || c.ran, open: true, paid: paid}
+	g := Grant{Repeat: p.repeat || c.mayHaveRun, unsettled: true, charged: paid}
 	g.Allowance = p.take(p.grantSize(g.Repeat, below))
 	c.attempts++
 	p.made++
@@ -121,19 +121,19 @@
 // create allowance. After Close nothing is returned, because the grant was already
 // reported upstream as spent.
 func (p *RequestAllowance) Settle(c *Call, g *Grant, a Answer) {
-	if !g.open {
+	if !g.unsettled {
 		return
 	}
-	g.open = false
+	g.unsettled = false
 	if a.Outcome != request.Refused {
-		c.ran = true
+		c.mayHaveRun = true
 		c.runs++
 	}
 	if p.closed {
 		return
 	}
 	p.left += min(max(a.Unspent, 0), g.Allowance)
-	if a.Free && g.paid {
+	if a.Free && g.charged {
 		p.left++ // Config.PerCall still bounds the attempts of the call
 	}
 	p.made += max(a.Made, 0)
@@ -156,14 +156,14 @@
 // Cost is the moving average of the number of calls that an attempt at a callee makes
 // below it, for one service and class at one node.
 type Cost struct {
-	mean float64
-	seen bool
+	mean     float64
+	observed bool
 }
 
 // Observe records Answer.Made of a completed attempt.
 func (c *Cost) Observe(cfg *Config, made int) {
-	if !c.seen {
-		c.mean, c.seen = float64(made), true
+	if !c.observed {
+		c.mean, c.observed = float64(made), true
 		return
 	}
 	c.mean += cfg.CostWeight * (float64(made) - c.mean)
@@ -175,7 +175,7 @@
 // Below returns the expected number of calls below an attempt, rounded up, or -1
 // without observations.
 func (c *Cost) Below() int {
-	if !c.seen {
+	if !c.observed {
 		return -1
 	}
 	n := int(c.mean)
