--- a/internal/core/route/eject.go
+++ b/internal/core/route/eject.go
@@ -11,7 +11,7 @@
 		e := &t.entries[i]
 		switch {
 		case e.Leaving || e.avoid == avoidBroken:
-		case e.avoid == avoidNot:
+		case e.avoid == avoidNone:
 			return false
 		default:
 			found = true
--- a/internal/core/route/eject_test.go
+++ b/internal/core/route/eject_test.go
@@ -70,7 +70,7 @@
 // healthy reports whether there is a target that isn't draining or avoided.
 func (f *fleet) healthy() bool {
 	for _, i := range f.tab.all {
-		if e := &f.tab.entries[i]; !e.Leaving && e.avoid == avoidNot {
+		if e := &f.tab.entries[i]; !e.Leaving && e.avoid == avoidNone {
 			return true
 		}
 	}
--- a/internal/core/route/measure.go
+++ b/internal/core/route/measure.go
@@ -31,7 +31,7 @@
 func (t *Table) Started(now time.Duration, idx int) {
 	e := &t.entries[idx]
 	e.inFlight++
-	if e.avoid != avoidNot {
+	if e.avoid != avoidNone {
 		e.probing = true
 	}
 }
@@ -45,9 +45,9 @@
 	}
 	t.record(now, e, r)
 	if r.Limit > 0 {
-		t.report(now, e, r)
+		t.recordReport(now, e, r)
 	}
-	if !e.used {
+	if !e.inSubset {
 		t.release(int32(idx))
 	}
 }
@@ -60,7 +60,7 @@
 		t.recordFailure(now, e, r.Latency)
 	case Shed:
 		e.shedRate += shedWeight * (1 - e.shedRate)
-		e.changed = now
+		e.updatedAt = now
 		e.connected()
 	case Leaves:
 		e.Leaving = true
@@ -75,11 +75,11 @@
 	e.sample(t.cfg.LatencyWeight, latency.Seconds())
 	e.errorRate -= errorWeight * e.errorRate
 	e.shedRate -= shedWeight * e.shedRate
-	e.changed = now
+	e.updatedAt = now
 	e.failures, e.ejections = 0, 0
 	e.connected()
 	if e.avoid == avoidErrors && now >= e.avoidUntil {
-		e.avoid = avoidNot
+		e.avoid = avoidNone
 	}
 }
 
@@ -91,7 +91,7 @@
 		e.sample(t.cfg.LatencyWeight, s)
 	}
 	e.errorRate += errorWeight * (1 - e.errorRate)
-	e.changed = now
+	e.updatedAt = now
 	e.failures++
 	e.connected()
 	if e.failures >= t.cfg.EjectAfter || e.errorRate >= t.cfg.EjectErrors {
@@ -104,7 +104,7 @@
 	e.probing = false
 	e.breaks = 0
 	if e.avoid == avoidBroken {
-		e.avoid = avoidNot
+		e.avoid = avoidNone
 	}
 }
 
@@ -116,10 +116,10 @@
 	e.latency += weight * (s - e.latency)
 }
 
-// report records the load that the target reports and compares it with the
+// recordReport records the load that the target reports and compares it with the
 // measurements. A target that reports low load while it refuses or is slow, or high
 // load while it is fast, loses trust.
-func (t *Table) report(now time.Duration, e *entry, r *Result) {
+func (t *Table) recordReport(now time.Duration, e *entry, r *Result) {
 	e.reportedLoad = float64(r.InFlight) / float64(r.Limit)
 	e.reported, e.reportedAt, e.inFlightAtReport = true, now, e.inFlight
 	slow := t.meanLatency > 0 && e.latency > slowFactor*t.meanLatency
@@ -134,11 +134,11 @@
 
 // eject avoids a failing target, unless too many are ejected already.
 func (t *Table) eject(now time.Duration, e *entry) {
-	if e.avoid != avoidNot && now < e.avoidUntil {
+	if e.avoid != avoidNone && now < e.avoidUntil {
 		return
 	}
 	if t.countEjected(now) >= t.maxEjected() {
-		e.avoid = avoidNot
+		e.avoid = avoidNone
 		return
 	}
 	e.avoid = avoidErrors
@@ -218,7 +218,7 @@
 	} else {
 		t.recordBreak(now, e)
 	}
-	if !e.used {
+	if !e.inSubset {
 		t.release(int32(idx))
 	}
 }
--- a/internal/core/route/pick.go
+++ b/internal/core/route/pick.go
@@ -157,5 +157,5 @@
 	if e.Leaving || e.inFlight >= e.cap {
 		return false
 	}
-	return e.avoid == avoidNot || (now >= e.avoidUntil && !e.probing)
+	return e.avoid == avoidNone || (now >= e.avoidUntil && !e.probing)
 }
--- a/internal/core/route/refresh.go
+++ b/internal/core/route/refresh.go
@@ -20,11 +20,11 @@
 
 // refresh recomputes what Pick compares, at most once per Config.Refresh.
 func (t *Table) refresh(now time.Duration) {
-	if t.fresh && now-t.refreshed < t.cfg.Refresh {
+	if t.derivedValid && now-t.refreshedAt < t.cfg.Refresh {
 		return
 	}
-	dt := now - t.refreshed
-	t.refreshed, t.fresh = now, true
+	dt := now - t.refreshedAt
+	t.refreshedAt, t.derivedValid = now, true
 	t.updateMeans(now, dt)
 	topWeight := t.updateWeights(now)
 	for _, i := range t.all {
@@ -47,7 +47,7 @@
 	for _, i := range t.all {
 		e := &t.entries[i]
 		t.decayEntry(now, e, f)
-		if e.measured && e.avoid == avoidNot {
+		if e.measured && e.avoid == avoidNone {
 			sum += e.latency
 			n++
 		}
@@ -94,7 +94,7 @@
 // that it recovered.
 func (t *Table) decayEntry(now time.Duration, e *entry, f decay) {
 	e.shedRate *= f.shed
-	if now-e.changed < decayDelay {
+	if now-e.updatedAt < decayDelay {
 		return
 	}
 	e.errorRate *= f.rest
@@ -111,7 +111,7 @@
 		return max(suspectLoad, e.reportedLoad)
 	}
 	own := float64(e.inFlight) / float64(max(e.Slots, 1))
-	recent := now-e.changed < t.cfg.ReportAge
+	recent := now-e.updatedAt < t.cfg.ReportAge
 	switch {
 	case e.reported && now-e.reportedAt < t.cfg.ReportAge:
 		load := max(e.reportedLoad+own-float64(e.inFlightAtReport)/float64(max(e.Slots, 1)), 0)
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -10,7 +10,7 @@
 // entry is one target of the subset and its measurements.
 type entry struct {
 	Target
-	used     bool // in the current subset
+	inSubset bool // in the current subset
 	local    bool // in the caller's zone
 	cap      int32
 	inFlight int32
@@ -19,7 +19,7 @@
 	latency   float64 // seconds, mean of successes
 	errorRate float64 // fraction of failures, 0 to 1
 	shedRate  float64 // fraction of refusals for load, 0 to 1
-	changed   time.Duration
+	updatedAt time.Duration
 	failures  int // consecutive
 
 	reported         bool
@@ -47,7 +47,7 @@
 type avoidance uint8
 
 const (
-	avoidNot avoidance = iota
+	avoidNone avoidance = iota
 	avoidErrors
 	avoidBroken
 )
@@ -55,7 +55,7 @@
 // Table holds the targets of one callee service as seen by one caller.
 type Table struct {
 	cfg     *Config
-	at      Place
+	place   Place
 	rng     *rand.Rand
 	entries []entry
 	free    []int32
@@ -64,30 +64,30 @@
 	local   []int32 // subslices of all
 	remote  []int32
 
-	refreshed   time.Duration
-	fresh       bool
-	meanLoad    float64
-	meanLatency float64
+	refreshedAt  time.Duration
+	derivedValid bool
+	meanLoad     float64
+	meanLatency  float64
 }
 
 // NewTable returns an empty table for a caller at the given place. rng samples the
 // targets to compare; it must not be shared with another goroutine.
 func NewTable(cfg *Config, at Place, rng *rand.Rand) *Table {
-	return &Table{cfg: cfg, at: at, rng: rng, index: map[request.TargetID]int32{}}
+	return &Table{cfg: cfg, place: at, rng: rng, index: map[request.TargetID]int32{}}
 }
 
 // Update applies a new snapshot of the service's targets; it doesn't retain ts. callers
 // is the number of nodes that call the service, 0 if unknown. Targets that stay in the
 // subset keep their measurements.
 func (t *Table) Update(now time.Duration, ts []Target, callers int) {
-	local, remote := subset(t.cfg, t.at, ts, callers)
+	local, remote := subset(t.cfg, t.place, ts, callers)
 	for i := range t.entries {
-		t.entries[i].used = false
+		t.entries[i].inSubset = false
 	}
 	// The expected number of callers per target, from the size of the subsets.
 	expected := float64(callers*(len(local)+len(remote))) / float64(max(len(ts), 1))
-	t.all = t.place(t.all[:0], now, ts, local, expected)
-	t.all = t.place(t.all, now, ts, remote, expected)
+	t.all = t.addTargets(t.all[:0], now, ts, local, expected)
+	t.all = t.addTargets(t.all, now, ts, remote, expected)
 	t.local, t.remote = t.all[:len(local)], t.all[len(local):]
 	for _, i := range t.local {
 		t.entries[i].local = true
@@ -95,18 +95,18 @@
 	for i := range t.entries {
 		t.release(int32(i))
 	}
-	t.fresh = false
+	t.derivedValid = false
 }
 
-// place adds the listed targets to the table and returns their indices.
-func (t *Table) place(to []int32, now time.Duration, ts []Target, list []int, expected float64) []int32 {
+// addTargets adds the listed targets to the table and returns their indices.
+func (t *Table) addTargets(to []int32, now time.Duration, ts []Target, list []int, expected float64) []int32 {
 	for _, j := range list {
 		tg := ts[j]
 		i, ok := t.index[tg.ID]
 		if !ok || t.entries[i].Incarnation < tg.Incarnation {
 			i = t.allocate()
 			t.index[tg.ID] = i
-			t.entries[i] = entry{Target: tg, trust: 1, changed: now}
+			t.entries[i] = entry{Target: tg, trust: 1, updatedAt: now}
 		}
 		e := &t.entries[i]
 		if tg.Incarnation == e.Incarnation {
@@ -115,7 +115,7 @@
 			tg.Leaving = tg.Leaving || e.Leaving
 			e.Target = tg
 		}
-		e.used, e.local = true, false
+		e.inSubset, e.local = true, false
 		e.cap = connCap(t.cfg, tg.Conns, expected)
 		to = append(to, i)
 	}
@@ -137,7 +137,7 @@
 // Update can't be attributed to another target.
 func (t *Table) release(i int32) {
 	e := &t.entries[i]
-	if e.used || e.inFlight > 0 || e.ID == 0 {
+	if e.inSubset || e.inFlight > 0 || e.ID == 0 {
 		return
 	}
 	if t.index[e.ID] == i {
