--- a/internal/core/ratelimit/config.go
+++ b/internal/core/ratelimit/config.go
@@ -7,14 +7,14 @@
 	// Terms bound what the whole fleet runs.
 	Terms Terms
 	// Validity is how long a grant may be used after it was asked for. Default 9 s.
-	// Higher bridges longer failures of the dividing node and of the table, but a part
+	// Higher bridges longer failures of the lease holder and of the table, but a part
 	// granted to a lost node stays unused for longer.
 	Validity time.Duration
 	// Renew is the age at which a grant is renewed. Default 3 s. Lower follows demand
 	// sooner at the price of more messages.
 	Renew time.Duration
 	// Term is how long a lease is held after its last renewal. Default 5 s. Higher
-	// needs fewer calls to the platform, but a lost dividing node is replaced later. It
+	// needs fewer calls to the platform, but a lost holder is replaced later. It
 	// must be less than Validity.
 	Term time.Duration
 	// Renewal is the time between renewals of a lease. Default 2 s.
--- a/internal/core/ratelimit/ledger.go
+++ b/internal/core/ratelimit/ledger.go
@@ -24,7 +24,7 @@
 	rowPartial bool
 }
 
-// asker identifies the last question of a node that asks for grants.
+// asker identifies the last question of a node.
 type asker struct {
 	life uint64
 	seq  uint64
