--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -2,115 +2,124 @@
 
 import "time"
 
-// Config holds the parameters of a State. All members should run with the same.
+// Config holds the parameters of a State. All members should use the same
+// values.
 type Config struct {
-	// Rings is the number of rings, so of subjects and of observers of each
-	// member. Default 4. Raising it makes detection and spreading sturdier and
-	// costs bytes in proportion; below 3 one loss can leave a member unwatched.
+	// Rings is the number of rings, and so the number of subjects and of
+	// observers of each member. Default 4. A higher value makes failure
+	// detection and gossip more robust and costs bytes in proportion; below 3,
+	// a single loss can leave a member without observers.
 	Rings int
-	// Period is the time between two exchanges with a subject. Default 2 s.
-	// Raising it saves bytes and slows detection and spreading.
+	// Period is the interval between exchanges with a subject. Default 2 s. A
+	// higher value saves bytes and slows detection and gossip.
 	Period time.Duration
-	// RemotePeriod is the same for members of other regions. Default 4 s.
+	// RemotePeriod is Period for members of other regions. Default 4 s.
 	RemotePeriod time.Duration
-	// EagerGap is the least time between two exchanges on one link when an
-	// urgent change (a drain, a fact) waits. Default 400 ms. Lowering it
-	// spreads urgent changes faster and costs bytes in busy minutes.
+	// EagerGap is the minimum interval between two exchanges on one link while
+	// an urgent change (a drain, a fact) is pending. Default 400 ms. A lower
+	// value spreads urgent changes faster and costs bytes while there are many.
 	EagerGap time.Duration
-	// TickEvery is how often the caller means to call Tick. Default 200 ms. A
-	// gap of more than PauseAfter between two ticks counts as a pause of this
-	// very process.
+	// TickEvery is the interval at which the caller intends to call Tick.
+	// Default 200 ms. A gap of more than PauseAfter between two ticks counts as
+	// a pause of this process.
 	TickEvery time.Duration
-	// PauseAfter is the gap between ticks from which on the node distrusts its
-	// own observations. Default 1 s. Lowering it delays detection on nodes
-	// with little processor time.
+	// PauseAfter is the gap between ticks above which the node distrusts its
+	// own observations. Default 1 s. A lower value delays detection on nodes
+	// with little CPU time.
 	PauseAfter time.Duration
-	// CallTimeout bounds one exchange. Default 1.5 s. Raising it slows the
-	// detection of silent connections.
+	// CallTimeout bounds one exchange. Default 1.5 s. A higher value slows the
+	// detection of unresponsive connections.
 	CallTimeout time.Duration
-	// RetryAfter is the time between attempts while a subject doesn't answer.
-	// Default 1 s.
+	// RetryAfter is the interval between attempts while a subject does not
+	// respond. Default 1 s.
 	RetryAfter time.Duration
 	// SuspectAfter is how long a subject may be silent before its observer
-	// suspects it and asks the other observers. Default 6 s.
+	// suspects it and queries the other observers. Default 6 s.
 	SuspectAfter time.Duration
 	// DeadAfter is how long a subject must have been silent to all of its
-	// observers that answer. Default 12 s. Lowering it finds deaths sooner; it
-	// must stay well above the freezes that members are meant to survive.
+	// responding observers. Default 12 s. A lower value detects deaths sooner;
+	// it must stay well above the freezes that members are meant to survive.
 	DeadAfter time.Duration
 	// Votes is the number of observers that must agree on a death. Default 2.
-	// With 1, a single overloaded node can condemn healthy ones.
+	// With 1, a single overloaded node can declare healthy members unreachable.
 	Votes int
 	// CutOffFactor multiplies DeadAfter while more than half of a node's
-	// subjects are silent, since then it is likelier cut off itself. Default 5.
+	// subjects are silent, because then the node itself is more likely to be
+	// isolated. Default 5.
 	CutOffFactor int
 	// Fanout is the number of links on which a node that is short of budget
-	// tells deaths and joins, the one that it heard them on included. Default
-	// 6. Raising it leaves less to the comparison of digests, and costs bytes
-	// when a zone is lost.
+	// gossips deaths and joins, including the link it received them on. Default
+	// 6. A higher value leaves less to anti-entropy, and costs bytes when a
+	// zone is lost.
 	Fanout int
-	// SmallRegion is the number of members below which a region isn't watched
-	// by itself; the members of all such regions form one group. Default 8.
+	// SmallRegion is the number of members below which a region does not
+	// observe itself; the members of all such regions form one group. Default
+	// 8.
 	SmallRegion int
 	// MaxRemoteIn bounds the links that a node accepts from other regions.
 	// Default 4.
 	MaxRemoteIn int
 	// RegionTries is the number of different members of a region that must fail
-	// to answer in a row before the region counts as unreachable. Default 3.
+	// to respond in a row before the region counts as unreachable. Default 3.
 	RegionTries int
-	// ReprobeEvery is the time between probes of unreachable members. Default
-	// 30 s. Raising it saves bytes and delays the return of members.
+	// ReprobeEvery is the interval between probes of unreachable members.
+	// Default 30 s. A higher value saves bytes and delays the recovery of
+	// members.
 	ReprobeEvery time.Duration
 	// KeepUnreachable is how long an unreachable member is kept and probed.
-	// Default 6 h. It must exceed the cuts that the fleet is meant to survive.
+	// Default 6 h. It must exceed the partitions that the fleet is meant to
+	// survive.
 	KeepUnreachable time.Duration
-	// KeepDead is how long the tombstone of a departed member is kept. Default
-	// 12 h; it must exceed KeepUnreachable.
+	// KeepDead is how long the tombstone of a dead member is kept. Default 12
+	// h; it must exceed KeepUnreachable.
 	KeepDead time.Duration
 	// MaxDead bounds the number of tombstones. Default 8192.
 	MaxDead int
-	// MaxMembers bounds the number of members of all states. Default 40000.
+	// MaxMembers bounds the number of members in any status. Default 40000.
 	MaxMembers int
 	// MaxFacts bounds the facts of each kind; those with the lowest versions
-	// go first. Default 1024.
+	// are evicted first. Default 1024.
 	MaxFacts int
-	// Budget is the bytes per second, sent plus received, that the node aims to
-	// spend. Default 2600. Raising it speeds up storms of changes; the limit of
+	// Budget is the target rate, in bytes per second sent plus received.
+	// Default 2600. A higher value speeds up bursts of changes; the limit of
 	// the fleet is 3072.
 	Budget int
-	// Burst is the unspent budget that may be saved up, in time. Default 2 s.
-	// Raising it lets more through at once, and exceeds the budget for longer.
+	// Burst is how much unspent budget accumulates, as a duration at the rate
+	// of Budget. Default 2 s. A higher value permits larger bursts, and exceeds
+	// the budget for longer.
 	Burst time.Duration
 	// StartBudget is what a new process may spend at once, in bytes. Default
-	// 40000, a quarter of a minute's budget. It lets a small fleet that starts at
-	// once get to know itself in seconds. Raising it makes a zone that returns
-	// cost the others more.
+	// 40000, a quarter of a minute's budget. It lets the members of a small
+	// fleet that start together discover each other within seconds. With a
+	// higher value, a returning zone costs the other members more.
 	StartBudget int
-	// ExchangeCost is what an empty exchange costs on the wire in bytes, headers
-	// included; it sizes messages before Spend reports the true cost. Default
-	// 300.
+	// ExchangeCost is the cost of an empty exchange on the wire in bytes,
+	// headers included; it sizes messages before Spend reports the actual cost.
+	// Default 300.
 	ExchangeCost int
 	// MaxItems bounds the bytes of changes, facts and records in one message.
 	// Default 1100, so that a message fits one packet.
 	MaxItems int
-	// JoinRate is the bytes per second at which a new member fetches the whole
-	// state, beyond its Budget. Default 24000. Raising it makes a member complete
-	// sooner; those that it fetches from keep to their own budgets.
+	// JoinRate is the rate, in bytes per second, at which a new member fetches
+	// the whole state, in addition to its Budget. Default 24000. A higher value
+	// completes the join sooner; the members that it fetches from keep to their
+	// own budgets.
 	JoinRate int
-	// CatchUp is how long after its start a member fetches the whole state again
-	// while it differs from its neighbours, and gives it to others beyond its
-	// Budget. Default 15 s. Raising it costs bytes when many members start.
+	// CatchUp is how long after its start a member fetches the whole state
+	// again while it differs from its neighbours, and serves it to others in
+	// excess of its Budget. Default 15 s. A higher value costs bytes when many
+	// members start.
 	CatchUp time.Duration
-	// AloneAfter is how long a member with seeds waits for the first answer of
-	// any before it takes itself for the first one. Default 20 s. Without it a
-	// fleet whose seeds are all gone would never start; lowering it lets members
-	// start apart that only reach each other late.
+	// AloneAfter is how long a member with seeds waits for the first response
+	// of any seed before it starts as the first member. Default 20 s. Without
+	// it, a fleet whose seeds are all gone would never start; a lower value
+	// lets members that only reach each other late start as separate fleets.
 	AloneAfter time.Duration
-	// JoinRetry is the time between attempts to join. Default 1 s.
+	// JoinRetry is the interval between attempts to join. Default 1 s.
 	JoinRetry time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		Rings:           4,
--- a/internal/core/member/exchange.go
+++ b/internal/core/member/exchange.go
@@ -8,101 +8,102 @@
 	"peardrift/internal/core/request"
 )
 
-// tickLinks begins the exchanges that are due and ends links that fell silent.
-// While much of the budget is saved up, nothing waits for the next heartbeat.
-// After that only the urgent classes don't, until so much is left as keeps up the
-// heartbeats; a busy minute of configuration would otherwise take all of it.
+// tickLinks starts the exchanges that are due and closes links that became
+// idle. While much of the budget is unspent, pending items are sent without
+// waiting for the next heartbeat. Below that level only the urgent classes are,
+// until the rest is just enough for the heartbeats; otherwise a minute with
+// many configuration changes would use up the whole budget.
 func (s *State) tickLinks(now time.Duration) {
-	rich := s.rich()
-	s.queue.rich = rich
-	s.queue.riding = s.rider != nil && !s.budget.Allows(budget.Conn)
-	var hasten uint32
+	ample := s.hasAmpleBudget()
+	s.queue.ampleBudget = ample
+	s.queue.piggybacking = s.rider != nil && !s.budget.Allows(budget.Conn)
+	var urgent uint32
 	switch {
-	case rich:
-		hasten = s.queue.waiting(numClasses - 1)
+	case ample:
+		urgent = s.queue.pendingLinks(numClasses - 1)
 	case s.budget.Allows(budget.Head):
-		hasten = s.queue.pressing(classFact)
+		urgent = s.queue.urgentLinks(classFact)
 	case s.budget.Allows(budget.Drain):
-		hasten = s.queue.pressing(classDrain)
+		urgent = s.queue.urgentLinks(classDrain)
 	}
-	drains := s.queue.pressing(classDrain)
-	for _, l := range append([]*link(nil), s.order...) {
-		mask := hasten
-		if l.poor {
+	drains := s.queue.urgentLinks(classDrain)
+	for _, l := range append([]*link(nil), s.linkOrder...) {
+		mask := urgent
+		if l.lowBudget {
 			mask &= drains
 		}
-		soon := mask&l.bit() != 0 || rich && !l.poor && (s.owes(l) || s.wants(now, l))
-		s.tickLink(now, l, soon)
+		expedite := mask&l.bit() != 0 || ample && !l.lowBudget && (s.hasRequestedRecord(l) || s.canRequestRecord(now, l))
+		s.tickLink(now, l, expedite)
 	}
 }
 
-func (s *State) tickLink(now time.Duration, l *link, soon bool) {
-	const guestPeriods = 3
-	if l.roles&roleGuest != 0 && now-l.lastIn > guestPeriods*s.cfg.RemotePeriod {
-		s.dropRole(l, roleGuest)
+func (s *State) tickLink(now time.Duration, l *link, expedite bool) {
+	const inboundPeriods = 3
+	if l.roles&roleInbound != 0 && now-l.lastIn > inboundPeriods*s.cfg.RemotePeriod {
+		s.dropRole(l, roleInbound)
 	}
-	if l.roles&roleExtra != 0 && now > l.until {
+	if l.roles&roleExtra != 0 && now > l.extraUntil {
 		s.dropRole(l, roleExtra)
 	}
-	if !l.outgoing() {
+	if !l.isOutgoing() {
 		return
 	}
-	if l.busy {
-		s.guardLost(now, l)
+	if l.inFlight {
+		s.failUnreported(now, l)
 		return
 	}
-	due := l.due
-	if soon && !l.failing {
+	due := l.nextDue
+	if expedite && !l.failing {
 		due = min(due, l.lastOut+s.cfg.EagerGap)
 	}
 	if now >= due {
-		s.begin(now, l)
+		s.startExchange(now, l)
 	}
 }
 
-// guardLost fails an exchange whose outcome was never reported; otherwise a
-// fault of the caller would silence the link for good.
-func (s *State) guardLost(now time.Duration, l *link) {
+// failUnreported fails an exchange whose outcome the caller never reported;
+// otherwise the link would stay blocked for good.
+func (s *State) failUnreported(now time.Duration, l *link) {
 	if now-l.lastOut > 4*s.cfg.CallTimeout {
-		s.fail(now, l)
+		s.failExchange(now, l)
 	}
 }
 
-func (s *State) begin(now time.Duration, l *link) {
+func (s *State) startExchange(now time.Duration, l *link) {
 	period := s.cfg.Period
-	if !l.watched() {
+	if !l.isObserved() {
 		period = s.cfg.RemotePeriod
 	}
 	l.seq++
-	l.busy = true
+	l.inFlight = true
 	l.lastOut = now
-	l.due = now + period - period/10 + s.jitter(period/5)
-	room := s.room()
-	m := s.message(Heartbeat)
-	m.Seq, m.Got = l.seq, l.got
+	l.nextDue = now + period - period/10 + s.jitter(period/5)
+	room := s.itemBudget()
+	m := s.newMessage(Heartbeat)
+	m.Seq, m.Got = l.seq, l.ackedSeq
 	half := min(room/2, s.cfg.MaxItems)
-	if l.poor {
-		half = minRoom
+	if l.lowBudget {
+		half = minItemBudget
 	}
-	l.sent = s.fill(now, m, l, half, s.rideAsk())
+	l.sent = s.fillMessage(now, m, l, half, s.piggybackRequest())
 	m.Room = uint32(min(room-(m.Size()-headerSize), s.cfg.MaxItems))
-	s.exchange(s.peer(l.peer), m, false)
+	s.queueExchange(s.peer(l.peer), m, false)
 }
 
-func (s *State) exchange(to Peer, m *Message, once bool) {
+func (s *State) queueExchange(to Peer, m *Message, once bool) {
 	s.stats.Exchanges++
 	s.actions = append(s.actions, Exchange{To: to, Msg: m, Timeout: s.cfg.CallTimeout, Once: once})
 }
 
-func (s *State) message(k Kind) *Message {
+func (s *State) newMessage(k Kind) *Message {
 	return &Message{
-		Kind: k, From: s.self.ID, Incarnation: s.inc, Status: s.stat, Body: s.body,
-		Root: s.tab.root, Partial: s.join.partial(),
+		Kind: k, From: s.self.ID, Incarnation: s.inc, Status: s.status, Body: s.body,
+		Root: s.tab.root, Partial: s.join.isPartial(),
 	}
 }
 
-// HandleRequest answers a message of another member. now must not lie before
-// the last Tick. It returns nil for a message that makes no sense.
+// HandleRequest handles a message of another member and returns the reply. now
+// must not be before the last Tick. It returns nil for an invalid message.
 func (s *State) HandleRequest(now time.Duration, m *Message) *Message {
 	if m == nil || m.From == 0 || m.From == s.self.ID {
 		return nil
@@ -111,22 +112,22 @@
 	s.budget.Refill(now)
 	var l *link
 	if m.Kind == Heartbeat {
-		l = s.guest(now, m)
+		l = s.inboundLink(now, m)
 	} else {
 		l = s.links[m.From]
 	}
 	if l != nil && m.Kind == Heartbeat {
-		if m.Got != 0 && m.Got == l.inSeq {
-			s.queue.confirm(l.bit(), l.replied)
+		if m.Got != 0 && m.Got == l.peerSeq {
+			s.queue.ack(l.bit(), l.sentInReply)
 		} else {
-			s.queue.void(l.replied)
+			s.queue.releaseInFlight(l.sentInReply)
 		}
-		l.replied = nil
+		l.sentInReply = nil
 	}
 	s.receive(now, m, l)
-	r := s.message(m.Kind)
+	r := s.newMessage(m.Kind)
 	r.Seq = m.Seq
-	s.correct(m, r)
+	s.correctSender(m, r)
 	switch m.Kind {
 	case Join:
 		s.answerJoin(m, r)
@@ -149,27 +150,27 @@
 		r.Full = true
 		return
 	}
-	l.inSeq, l.lastIn = m.Seq, now
-	room := minRoom
+	l.peerSeq, l.lastIn = m.Seq, now
+	room := minItemBudget
 	if s.budget.Tokens() >= s.cfg.ExchangeCost {
 		room = s.cfg.MaxItems
 	}
 	r.Room = uint32(room)
-	l.replied = s.fill(now, r, l, min(room, int(min(m.Room, uint32(s.cfg.MaxItems)))), s.rideAnswer(m.Load))
+	l.sentInReply = s.fillMessage(now, r, l, min(room, int(min(m.Room, uint32(s.cfg.MaxItems)))), s.piggybackReply(m.Load))
 }
 
-// guest returns the link to a peer that sends heartbeats, opening one unless
-// there are too many.
-func (s *State) guest(now time.Duration, m *Message) *link {
+// inboundLink returns the link to a peer that sends heartbeats. It opens one
+// unless there are too many.
+func (s *State) inboundLink(now time.Duration, m *Message) *link {
 	if l := s.links[m.From]; l != nil {
-		l.roles |= roleGuest
+		l.roles |= roleInbound
 		return l
 	}
 	e := s.tab.get(m.From)
 	if e != nil && e.rec != nil && e.rec.Region != s.self.Region {
 		n := 0
-		for _, l := range s.order {
-			if l.roles&roleGuest != 0 && s.regionOf(l.peer) != s.self.Region {
+		for _, l := range s.linkOrder {
+			if l.roles&roleInbound != 0 && s.regionOf(l.peer) != s.self.Region {
 				n++
 			}
 		}
@@ -177,7 +178,7 @@
 			return nil
 		}
 	}
-	l := s.openLink(now, m.From, roleGuest)
+	l := s.openLink(now, m.From, roleInbound)
 	if l != nil {
 		l.lastIn = now
 	}
@@ -191,16 +192,16 @@
 	return s.self.Region
 }
 
-// correct tells the sender first what it can't know otherwise: that it is held
-// to be unreachable or gone.
-func (s *State) correct(m, r *Message) {
+// correctSender tells the sender first that this node holds it to be
+// unreachable or dead, which the sender cannot learn otherwise.
+func (s *State) correctSender(m, r *Message) {
 	e := s.tab.get(m.From)
-	if e != nil && e.status != Leaving && e.change().newer(m.Incarnation, Alive) {
+	if e != nil && e.status != Leaving && e.change().supersedes(m.Incarnation, Alive) {
 		r.Changes = append(r.Changes, e.change())
 	}
 }
 
-// HandleReply takes the reply to an Exchange.
+// HandleReply processes the reply to an Exchange.
 func (s *State) HandleReply(now time.Duration, to Peer, m *Message) {
 	if m == nil || m.From == 0 || m.From == s.self.ID {
 		s.HandleFailure(now, to)
@@ -208,88 +209,88 @@
 	}
 	s.budget.Refill(now)
 	l := s.links[m.From]
-	if l != nil && m.Kind == Heartbeat && l.busy && m.Seq == l.seq {
-		l.busy = false
-		l.got = m.Seq
-		s.queue.confirm(l.bit(), l.sent)
+	if l != nil && m.Kind == Heartbeat && l.inFlight && m.Seq == l.seq {
+		l.inFlight = false
+		l.ackedSeq = m.Seq
+		s.queue.ack(l.bit(), l.sent)
 		l.sent = nil
-		l.hear(now)
-		l.poor = m.Room <= minRoom
+		l.markHeard(now)
+		l.lowBudget = m.Room <= minItemBudget
 		if m.Full {
-			s.refused(now, l)
+			s.handleLinkRejected(now, l)
 		}
-		s.rideTake(now, m.Load)
+		s.handlePiggybackReply(now, m.Load)
 	}
-	s.quiet = m.Kind == Join || m.Kind == Pull
+	s.suppressRelay = m.Kind == Join || m.Kind == Pull
 	s.receive(now, m, l)
-	s.quiet = false
+	s.suppressRelay = false
 	switch m.Kind {
 	case Join:
-		s.joined(now, to, m)
+		s.handleJoinReply(now, to, m)
 	case Pull:
-		s.pulled(now, to, m)
+		s.handlePullReply(now, to, m)
 	}
 }
 
-// HandleFailure notes that an Exchange got no answer in time.
+// HandleFailure reports that an Exchange had no reply in time.
 func (s *State) HandleFailure(now time.Duration, to Peer) {
 	s.stats.Failures++
-	s.joinFailed(now, to)
-	if l := s.links[to.ID]; l != nil && l.busy {
-		s.fail(now, l)
+	s.handleJoinFailure(now, to)
+	if l := s.links[to.ID]; l != nil && l.inFlight {
+		s.failExchange(now, l)
 	}
 }
 
-func (s *State) fail(now time.Duration, l *link) {
-	l.busy = false
+func (s *State) failExchange(now time.Duration, l *link) {
+	l.inFlight = false
 	l.failing = true
-	s.queue.void(l.sent)
+	s.queue.releaseInFlight(l.sent)
 	l.sent = nil
-	l.due = min(l.due, max(now, l.lastOut+s.cfg.RetryAfter))
+	l.nextDue = min(l.nextDue, max(now, l.lastOut+s.cfg.RetryAfter))
 }
 
-// fill puts what waits for the link into a message, most urgent first, until
-// room bytes are used, and returns the items that need an acknowledgement. What
-// rides along comes after facts and before deaths and joins.
-func (s *State) fill(now time.Duration, m *Message, l *link, room int, ride func(room int) []byte) []sentItem {
+// fillMessage adds the items pending for the link to a message, most urgent
+// first, up to room bytes, and returns the items that need an acknowledgement.
+// The piggybacked payload comes after facts and before deaths and joins.
+func (s *State) fillMessage(now time.Duration, m *Message, l *link, room int, piggyback func(room int) []byte) []sentItem {
 	var sent []sentItem
 	room -= m.Size() - headerSize
 	add := func(it *item) bool {
-		n, ok := s.put(m, it, room)
+		n, ok := s.addItem(m, it, room)
 		if ok {
-			sent = append(sent, s.queue.send(it))
+			sent = append(sent, s.queue.markSent(it))
 		}
 		room -= n
 		return n >= 0
 	}
 	more := s.queue.each(classDrain, classFact, l.bit(), add)
-	m.Load = ride(max(room, minRide) - loadSize)
-	room -= m.loadBytes()
+	m.Load = piggyback(max(room, minPiggyback) - piggybackHeaderSize)
+	room -= m.piggybackBytes()
 	if more && room > 0 {
 		s.queue.each(classDeath, numClasses-1, l.bit(), add)
 	}
 	s.stats.ItemsSent += uint64(len(sent))
-	room = s.fillOwed(m, l, room)
+	room = s.fillRequested(m, l, room)
 	room = s.fillWants(now, m, l, room)
 	s.fillSync(m, l, room)
 	return sent
 }
 
-// put adds an item to a message. It returns the bytes used and whether the item
-// was added or is out of date; the bytes are negative if it doesn't fit.
-func (s *State) put(m *Message, it *item, room int) (bytes int, ok bool) {
+// addItem adds an item to a message. It returns the bytes used and whether the
+// item was added or is obsolete; bytes is negative if the item does not fit.
+func (s *State) addItem(m *Message, it *item, room int) (bytes int, ok bool) {
 	if it.key.fact {
-		return s.putFact(m, it.key.id, room)
+		return s.addFact(m, it.key.id, room)
 	}
 	e := s.tab.get(request.TargetID(it.key.id))
 	if e == nil {
 		return 0, true
 	}
-	if it.class == classJoin && s.sendRecord(e) && e.rec.size() <= room {
+	if it.class == classJoin && s.shouldSendRecord(e) && e.rec.size() <= room {
 		m.Records = append(m.Records, e.rec)
 		return e.rec.size(), true
 	}
-	if n, done := s.putShort(m, it, e, room); done {
+	if n, done := s.addShort(m, it, e, room); done {
 		return n, n >= 0
 	}
 	if changeSize > room {
@@ -299,7 +300,7 @@
 	return changeSize, true
 }
 
-func (s *State) putFact(m *Message, id uint64, room int) (bytes int, ok bool) {
+func (s *State) addFact(m *Message, id uint64, room int) (bytes int, ok bool) {
 	f := s.tab.fact(id)
 	if f == nil {
 		return 0, true
@@ -312,40 +313,42 @@
 	return n, true
 }
 
-// sendRecord reports whether the record of a new member is sent at once, which
-// saves the receiver the asking. In a storm only the change is, since a record
-// that the receiver has already got costs much.
-func (s *State) sendRecord(e *entry) bool {
-	return e.status == Alive && !e.lacks() && e.rec.Incarnation == e.inc && s.rich()
+// shouldSendRecord reports whether the record of a new member is sent with the
+// change, which saves the receiver a request. When the budget is short only the
+// change is sent, because a record that the receiver already has is expensive.
+func (s *State) shouldSendRecord(e *entry) bool {
+	return e.status == Alive && !e.needsRecord() && e.rec.Incarnation == e.inc && s.hasAmpleBudget()
 }
 
-// rich reports whether much of the budget is saved up.
-func (s *State) rich() bool { return s.budget.Allows(budget.Change) }
+// hasAmpleBudget reports whether much of the budget is unspent.
+func (s *State) hasAmpleBudget() bool { return s.budget.Allows(budget.Change) }
 
-// fillOwed adds records that the peer asked for; those that aren't known yet
-// stay owed, so that a record follows the news of it. One record goes into a
-// message that is empty otherwise, or a node in debt would never send any.
-func (s *State) fillOwed(m *Message, l *link, room int) int {
+// fillRequested adds the records that the peer requested. Those not known yet
+// stay requested, so that a record follows its change. An otherwise empty
+// message takes one record of any size; otherwise a node that has overspent its
+// budget would never send any.
+func (s *State) fillRequested(m *Message, l *link, room int) int {
 	var rest []request.TargetID
-	for _, id := range l.owed {
+	for _, id := range l.requested {
 		e := s.tab.get(id)
 		switch {
 		case e == nil || e.status == Dead:
-		case e.lacks() || e.rec.size() > room && m.Size() > headerSize:
+		case e.needsRecord() || e.rec.size() > room && m.Size() > headerSize:
 			rest = append(rest, id)
 		default:
 			m.Records = append(m.Records, e.rec)
 			room -= e.rec.size()
 		}
 	}
-	l.owed = rest
+	l.requested = rest
 	return room
 }
 
-// owes reports whether a record that the peer asked for can be sent.
-func (s *State) owes(l *link) bool {
-	return slices.ContainsFunc(l.owed, func(id request.TargetID) bool {
+// hasRequestedRecord reports whether a record that the peer requested can be
+// sent.
+func (s *State) hasRequestedRecord(l *link) bool {
+	return slices.ContainsFunc(l.requested, func(id request.TargetID) bool {
 		e := s.tab.get(id)
-		return e != nil && !e.lacks()
+		return e != nil && !e.needsRecord()
 	})
 }
--- a/internal/core/member/net_test.go
+++ b/internal/core/member/net_test.go
@@ -12,21 +12,21 @@
 // testNet delivers the messages of several states under a virtual clock.
 type testNet struct {
 	simtime.Queue
-	rng    *rand.Rand
-	cfg    Config
-	nodes  []*testNode
-	byAddr map[string]*testNode
-	loss   float64                       // chance that a request or a reply is lost
-	dup    float64                       // chance that a request arrives twice
-	cut    func(from, to *testNode) bool // nil: no cuts
+	rng         *rand.Rand
+	cfg         Config
+	nodes       []*testNode
+	byAddr      map[string]*testNode
+	loss        float64                       // probability that a request or a reply is lost
+	dup         float64                       // probability that a request arrives twice
+	partitioned func(from, to *testNode) bool // nil: no partition
 }
 
 type testNode struct {
-	s      *State
-	rec    Record
-	down   bool
-	frozen time.Duration // until then
-	next   time.Duration
+	s           *State
+	rec         Record
+	down        bool
+	frozenUntil time.Duration
+	nextTick    time.Duration
 }
 
 const testDelay = 10 * time.Millisecond
@@ -47,9 +47,9 @@
 	}
 }
 
-// start adds a node that joins through the given ones.
+// start adds a node that joins through the given seeds.
 func (t *testNet) start(rec Record, seeds ...*testNode) *testNode {
-	n := &testNode{rec: rec, next: t.Now + time.Duration(t.rng.Int64N(int64(t.cfg.TickEvery)))}
+	n := &testNode{rec: rec, nextTick: t.Now + time.Duration(t.rng.Int64N(int64(t.cfg.TickEvery)))}
 	n.s = New(t.cfg, rec, rand.New(rand.NewPCG(uint64(rec.ID), uint64(rec.Incarnation))))
 	var peers []Peer
 	for _, p := range seeds {
@@ -61,7 +61,7 @@
 	return n
 }
 
-func (t *testNet) cluster(n int, region func(i int) string) {
+func (t *testNet) startCluster(n int, region func(i int) string) {
 	for i := range n {
 		rec := testRecord(i, region(i), fmt.Sprintf("z%d", i%3))
 		if i == 0 {
@@ -88,15 +88,15 @@
 	for t.Now < end {
 		t.RunUntil(t.Now + testDelay)
 		for _, n := range t.nodes {
-			if !n.down && n.frozen <= t.Now && n.next <= t.Now {
-				n.next = t.Now + t.cfg.TickEvery
-				t.do(n, n.s.Tick(t.Now))
+			if !n.down && n.frozenUntil <= t.Now && n.nextTick <= t.Now {
+				n.nextTick = t.Now + t.cfg.TickEvery
+				t.runActions(n, n.s.Tick(t.Now))
 			}
 		}
 	}
 }
 
-func (t *testNet) do(n *testNode, actions []Action) {
+func (t *testNet) runActions(n *testNode, actions []Action) {
 	for _, a := range actions {
 		if x, ok := a.(Exchange); ok {
 			t.exchange(n, x)
@@ -104,8 +104,8 @@
 	}
 }
 
-func (t *testNet) lost(from, to *testNode) bool {
-	return to == nil || to.down || t.rng.Float64() < t.loss || t.cut != nil && t.cut(from, to)
+func (t *testNet) isDropped(from, to *testNode) bool {
+	return to == nil || to.down || t.rng.Float64() < t.loss || t.partitioned != nil && t.partitioned(from, to)
 }
 
 func (t *testNet) exchange(n *testNode, x Exchange) {
@@ -113,25 +113,25 @@
 	finish := func(f func()) {
 		if !done {
 			done = true
-			whenThawed(t, n, f)
+			runWhenThawed(t, n, f)
 		}
 	}
 	t.After(x.Timeout, func() { finish(func() { n.s.HandleFailure(t.Now, x.To) }) })
 	to := t.byAddr[x.To.Control]
-	if t.lost(n, to) {
+	if t.isDropped(n, to) {
 		return
 	}
 	n.s.Spend(x.Msg.Size() + 150)
-	times := 1
+	copies := 1
 	if t.rng.Float64() < t.dup {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		t.After(testDelay, func() {
-			whenThawed(t, to, func() {
+			runWhenThawed(t, to, func() {
 				to.s.Spend(x.Msg.Size() + 150)
 				r := to.s.HandleRequest(t.Now, x.Msg)
-				if r == nil || t.lost(to, n) {
+				if r == nil || t.isDropped(to, n) {
 					return
 				}
 				to.s.Spend(r.Size() + 150)
@@ -143,19 +143,21 @@
 	}
 }
 
-// whenThawed runs f as soon as the node isn't frozen, unless it is down then.
-func whenThawed(t *testNet, n *testNode, f func()) {
+// runWhenThawed runs f as soon as the node is not frozen, unless it is down
+// then.
+func runWhenThawed(t *testNet, n *testNode, f func()) {
 	switch {
 	case n.down:
-	case n.frozen > t.Now:
-		t.After(n.frozen-t.Now, func() { whenThawed(t, n, f) })
+	case n.frozenUntil > t.Now:
+		t.After(n.frozenUntil-t.Now, func() { runWhenThawed(t, n, f) })
 	default:
 		f()
 	}
 }
 
-// disagree returns the first difference between what up nodes know, or "".
-func (t *testNet) disagree() string {
+// difference returns the first difference between the states of nodes that are
+// up, or "".
+func (t *testNet) difference() string {
 	var first *testNode
 	for _, n := range t.nodes {
 		if n.down {
@@ -167,14 +169,14 @@
 		if n.s.tab.root != first.s.tab.root {
 			return fmt.Sprintf("%s and %s differ", first.rec.Name, n.rec.Name)
 		}
-		if len(n.s.lacks.list) > 0 {
+		if len(n.s.missing.list) > 0 {
 			return n.rec.Name + " lacks records"
 		}
 	}
 	return ""
 }
 
-// status returns what node a holds of b.
+// status returns the status of b in the state of node a.
 func (t *testNet) status(a, b *testNode) string {
 	e := a.s.tab.get(b.rec.ID)
 	if e == nil {
--- a/internal/core/member/overlay.go
+++ b/internal/core/member/overlay.go
@@ -10,47 +10,47 @@
 	"peardrift/internal/core/request"
 )
 
-// remoteRing is the seed of the rings that link regions; it differs from those
+// remoteRing is the seed of the ring that links regions; it differs from those
 // of the rings within a region, which count from 0.
 const remoteRing = 1 << 16
 
-// place is a member's position on a ring.
-func place(ring int, id request.TargetID) uint64 {
+// ringPosition returns a member's position on a ring.
+func ringPosition(ring int, id request.TargetID) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(ring))
 	binary.LittleEndian.PutUint64(b[8:], uint64(id))
 	return xxhash.Sum64(b[:])
 }
 
-// smallGroup is the group of all small regions; no region has this name, since
-// Record.Region is checked to be free of it.
-const smallGroup = "\x00small"
+// smallRegionsGroup is the group of all small regions. No region has this name,
+// since Record.Region is checked not to contain it.
+const smallRegionsGroup = "\x00small"
 
-// overlay is what a node remembers about its place among the others.
+// overlay holds a node's position in the overlay and the groups it knows of.
 type overlay struct {
-	dirty  bool
-	sizes  map[string]int // members that are present, by region
-	group  string         // the node's own group
-	reach  []uint64       // distance to the subject on each ring
-	groups map[string]*groupTries
+	dirty            bool
+	sizes            map[string]int // number of present members by region
+	group            string         // the node's own group
+	subjectDistances []uint64       // distance to the subject on each ring
+	groups           map[string]*groupReachability
 }
 
 func newOverlay() overlay {
-	return overlay{dirty: true, sizes: make(map[string]int), groups: make(map[string]*groupTries)}
+	return overlay{dirty: true, sizes: make(map[string]int), groups: make(map[string]*groupReachability)}
 }
 
-// groupOf returns the group of members that watch each other: those of one
-// region, or of all the regions that are too small to watch themselves.
+// groupOf returns the group of members that observe each other: those of one
+// region, or of all the regions that are too small to observe themselves.
 func (s *State) groupOf(region string) string {
 	if s.overlay.sizes[region] < s.cfg.SmallRegion {
-		return smallGroup
+		return smallRegionsGroup
 	}
 	return region
 }
 
-// overlayRegion returns the region that an entry counts in.
-func (s *State) overlayRegion(e *entry) (r regionRef) {
-	if e != nil && e.present() {
+// presentRegion returns the region that counts an entry as present.
+func (s *State) presentRegion(e *entry) (r regionRef) {
+	if e != nil && e.isPresent() {
 		r = regionRef{e.rec.Region, true}
 	}
 	return r
@@ -62,34 +62,34 @@
 	present bool
 }
 
-// overlayChanged keeps the sizes of regions and finds out whether the node's own
-// neighbours may have changed.
-func (s *State) overlayChanged(e *entry, was regionRef) {
-	is := s.overlayRegion(e)
-	if is == was {
+// updateOverlay maintains the sizes of regions and marks the overlay dirty if
+// the node's own neighbours may have changed.
+func (s *State) updateOverlay(e *entry, before regionRef) {
+	after := s.presentRegion(e)
+	if after == before {
 		return
 	}
-	if was.present {
-		s.resize(was.name, -1)
+	if before.present {
+		s.adjustRegionSize(before.name, -1)
 	}
-	if is.present {
-		s.resize(is.name, +1)
+	if after.present {
+		s.adjustRegionSize(after.name, +1)
 	}
 	o := &s.overlay
 	if l := s.links[e.id]; l != nil && l.roles&(roleSubject|roleRemote) != 0 {
 		o.dirty = true
 	}
-	if !is.present || s.groupOf(is.name) != o.group {
+	if !after.present || s.groupOf(after.name) != o.group {
 		return
 	}
-	for r, reach := range o.reach {
-		if place(r, e.id)-place(r, s.self.ID) < reach {
+	for r, reach := range o.subjectDistances {
+		if ringPosition(r, e.id)-ringPosition(r, s.self.ID) < reach {
 			o.dirty = true
 		}
 	}
 }
 
-func (s *State) resize(region string, by int) {
+func (s *State) adjustRegionSize(region string, by int) {
 	before := s.groupOf(region)
 	s.overlay.sizes[region] += by
 	if s.overlay.sizes[region] == 0 {
@@ -100,25 +100,25 @@
 	}
 }
 
-// tickOverlay opens and ends links so that they match the members known.
+// tickOverlay opens and closes links to match the known members.
 func (s *State) tickOverlay(now time.Duration) {
 	o := &s.overlay
 	if o.dirty {
 		o.dirty = false
 		o.group = s.groupOf(s.self.Region)
-		s.tickSubjects(now)
-		s.findGroups()
+		s.updateSubjects(now)
+		s.updateGroups()
 	}
 	s.tickRemotes(now)
 }
 
-func (s *State) tickSubjects(now time.Duration) {
-	if s.stat == Dead {
-		return // the links carry the news of it
+func (s *State) updateSubjects(now time.Duration) {
+	if s.status == Dead {
+		return // the open links still carry the departure
 	}
 	subjects := s.neighbours(s.self.ID, s.self.Region, false)
-	s.noteReach(subjects)
-	for _, l := range append([]*link(nil), s.order...) {
+	s.updateSubjectDistances(subjects)
+	for _, l := range append([]*link(nil), s.linkOrder...) {
 		if l.roles&roleSubject != 0 && !slices.Contains(subjects, l.peer) {
 			s.dropRole(l, roleSubject)
 		}
@@ -126,18 +126,19 @@
 	for _, id := range subjects {
 		l := s.openLink(now, id, roleSubject)
 		if l != nil && l.lastOut == 0 {
-			l.due = now + s.jitter(s.cfg.RetryAfter)
+			l.nextDue = now + s.jitter(s.cfg.RetryAfter)
 		}
 	}
 }
 
-// noteReach remembers how close a new member must be to become a subject.
-func (s *State) noteReach(subjects []request.TargetID) {
+// updateSubjectDistances records how close a new member must be to become a
+// subject.
+func (s *State) updateSubjectDistances(subjects []request.TargetID) {
 	reach := make([]uint64, s.cfg.Rings)
 	for r := range reach {
-		own := place(r, s.self.ID)
+		own := ringPosition(r, s.self.ID)
 		for _, id := range subjects {
-			reach[r] = max(reach[r], place(r, id)-own)
+			reach[r] = max(reach[r], ringPosition(r, id)-own)
 		}
 		if len(subjects) < s.cfg.Rings {
 			reach[r] = ^uint64(0)
@@ -145,21 +146,21 @@
 	}
 	if len(subjects) == s.cfg.Rings {
 		for r, id := range subjects {
-			reach[r] = place(r, id) - place(r, s.self.ID)
+			reach[r] = ringPosition(r, id) - ringPosition(r, s.self.ID)
 		}
 	}
-	s.overlay.reach = reach
+	s.overlay.subjectDistances = reach
 }
 
-// nearest keeps the members that follow (or, reversed, precede) a place on a
-// ring most closely: as many as there are rings, since the first ones may
-// already be taken by other rings.
+// nearest holds the members that follow (or, reversed, precede) a ring position
+// most closely: as many as there are rings, since other rings may already use
+// the first ones.
 type nearest struct {
 	dist []uint64
 	ids  []request.TargetID
 }
 
-func (n *nearest) offer(dist uint64, id request.TargetID, limit int) {
+func (n *nearest) insert(dist uint64, id request.TargetID, limit int) {
 	i := len(n.dist)
 	for i > 0 && n.dist[i-1] > dist {
 		i--
@@ -177,27 +178,27 @@
 	}
 }
 
-// neighbours returns the members next to id on each ring of its group, all
-// different: its subjects or, reversed, its observers.
+// neighbours returns the members next to id on each ring of its group, without
+// duplicates: its subjects or, reversed, its observers.
 func (s *State) neighbours(id request.TargetID, region string, reversed bool) []request.TargetID {
 	group := s.groupOf(region)
 	k := s.cfg.Rings
 	near := make([]nearest, k)
 	own := make([]uint64, k)
 	for r := range own {
-		own[r] = place(r, id)
+		own[r] = ringPosition(r, id)
 	}
 	for i := range s.tab.members {
 		e := &s.tab.members[i]
-		if e.id == id || !e.present() || s.groupOf(e.rec.Region) != group {
+		if e.id == id || !e.isPresent() || s.groupOf(e.rec.Region) != group {
 			continue
 		}
 		for r := range near {
-			dist := place(r, e.id) - own[r]
+			dist := ringPosition(r, e.id) - own[r]
 			if reversed {
 				dist = -dist
 			}
-			near[r].offer(dist, e.id, k)
+			near[r].insert(dist, e.id, k)
 		}
 	}
 	var out []request.TargetID
@@ -220,18 +221,19 @@
 	return out
 }
 
-// remote returns the member of another group that follows id on the ring
-// between regions, past those that skip rejects; 0 if there is none.
-func (s *State) remote(id request.TargetID, group string, skip func(request.TargetID) bool) request.TargetID {
+// remoteNeighbour returns the member of another group that follows id on the
+// ring between regions, ignoring those for which skip returns true; 0 if there
+// is none.
+func (s *State) remoteNeighbour(id request.TargetID, group string, skip func(request.TargetID) bool) request.TargetID {
 	var best request.TargetID
 	var bestDist uint64
-	own := place(remoteRing, id)
+	own := ringPosition(remoteRing, id)
 	for i := range s.tab.members {
 		e := &s.tab.members[i]
-		if e.id == id || !e.present() || s.groupOf(e.rec.Region) != group || skip(e.id) {
+		if e.id == id || !e.isPresent() || s.groupOf(e.rec.Region) != group || skip(e.id) {
 			continue
 		}
-		if dist := place(remoteRing, e.id) - own; best == 0 || dist < bestDist {
+		if dist := ringPosition(remoteRing, e.id) - own; best == 0 || dist < bestDist {
 			best, bestDist = e.id, dist
 		}
 	}
--- a/internal/core/member/pack.go
+++ b/internal/core/member/pack.go
@@ -11,22 +11,22 @@
 	"peardrift/internal/status"
 )
 
-// Records of one fleet are much alike: compressed together they take a quarter.
-// A member that joins fetches all of them, and after the loss of a zone hundreds
-// do so at once, at the cost of those that are there.
+// Records of one fleet are similar: compressed together they take a quarter of
+// the size. A joining member fetches all of them, and after the loss of a zone
+// hundreds join at once, at the cost of the members that stayed up.
 
-// packedRecord is a record without what follows from its name.
+// packedRecord is a record without the ID, which is derived from its name.
 type packedRecord struct {
 	Name, Service, Tenant, Zone, Region, Data, Control string
 	Incarnation, Slots, Connections                    uint32
 }
 
 const (
-	// maxUnpacked bounds the bytes that a packed part of the state expands to; a
+	// maxUnpacked bounds the decompressed size of a packed part of the state; a
 	// few bytes may expand to gigabytes.
 	maxUnpacked = 256 << 10
-	// packRatio is how much smaller records are taken to become. What turns out
-	// larger is packed again, in a smaller part.
+	// packRatio is the assumed compression ratio. If the result is too large, a
+	// smaller part is packed.
 	packRatio = 4
 )
 
@@ -55,7 +55,8 @@
 	return buf.Bytes()
 }
 
-// unpack is the inverse of pack. What comes before a fault is returned with it.
+// unpack is the inverse of pack. With an error it returns the records decoded
+// before it.
 func unpack(body []byte) ([]*Record, error) {
 	if len(body) == 0 {
 		return nil, nil
@@ -70,7 +71,7 @@
 			return out, nil
 		}
 		if err != nil {
-			return out, status.Wrap(status.CodeProtocol, err, "packed records can't be read")
+			return out, status.Wrap(status.CodeProtocol, err, "cannot decode the packed records")
 		}
 		out = append(out, &Record{
 			ID: request.TargetIDOf(p.Name), Name: p.Name, Service: request.Service(p.Service),
@@ -81,10 +82,10 @@
 }
 
 // packPart fills a reply to Pull with the members from the i-th on, and returns
-// the first that didn't fit.
+// the index of the first that did not fit.
 func (s *State) packPart(m, r *Message, i, room int) int {
 	for limit := packRatio * room; limit >= room/packRatio; limit /= 2 {
-		next, records, changes := s.part(m, i, min(limit, maxUnpacked/2), room/2)
+		next, records, changes := s.selectPart(m, i, min(limit, maxUnpacked/2), room/2)
 		body := pack(records)
 		if len(body)+changeSize*len(changes) <= room {
 			r.Packed, r.Changes = body, append(r.Changes, changes...)
@@ -94,9 +95,9 @@
 	return i
 }
 
-// part gathers members from the i-th on, with records of at most limit bytes and
-// changes of at most room.
-func (s *State) part(m *Message, i, limit, room int) (next int, records []*Record, changes []Change) {
+// selectPart collects members from the i-th on, with records of at most limit
+// bytes and changes of at most room bytes.
+func (s *State) selectPart(m *Message, i, limit, room int) (next int, records []*Record, changes []Change) {
 	for ; i < len(s.tab.members); i++ {
 		e := &s.tab.members[i]
 		if !m.wantsEntry(e) {
--- a/internal/core/member/prop_test.go
+++ b/internal/core/member/prop_test.go
@@ -10,10 +10,10 @@
 	"peardrift/internal/core/request"
 )
 
-// left remembers which incarnations each process saw leaving. A process that
-// restarted may hear old news from a member that is behind; it has nothing that
-// could contradict it yet.
-type left map[*testNode]map[incarnation]bool
+// leftIncarnations records which incarnations each process saw leaving. A
+// restarted process may receive an outdated announcement from a member that is
+// behind, and has nothing yet that contradicts it.
+type leftIncarnations map[*testNode]map[incarnation]bool
 
 type incarnation struct {
 	id  request.TargetID
@@ -22,7 +22,7 @@
 
 // check fails if a member takes an incarnation for alive that it once saw
 // leaving.
-func (l left) check(t *rapid.T, net *testNet) {
+func (l leftIncarnations) check(t *rapid.T, net *testNet) {
 	for _, n := range net.nodes {
 		seen := l[n]
 		if seen == nil {
@@ -45,13 +45,13 @@
 func checkBounds(t *rapid.T, net *testNet) {
 	for _, n := range net.nodes {
 		s := n.s
-		if len(s.order) > maxLinks || len(s.links) != len(s.order) ||
+		if len(s.linkOrder) > maxLinks || len(s.links) != len(s.linkOrder) ||
 			len(s.queue.items) > len(s.tab.members)+len(s.tab.facts)+8 ||
-			len(s.lacks.list) > len(s.tab.members) || s.tab.dead > s.cfg.MaxDead+1 {
+			len(s.missing.list) > len(s.tab.members) || s.tab.dead > s.cfg.MaxDead+1 {
 			t.Fatalf("%s: state is out of bounds", n.rec.Name)
 		}
 		var root uint64
-		for _, sum := range s.tab.sums {
+		for _, sum := range s.tab.bucketSums {
 			root += sum
 		}
 		if root != s.tab.root {
@@ -60,19 +60,19 @@
 	}
 }
 
-// upOther returns an up and joined node other than the i-th.
-func (t *testNet) upOther(i int) *testNode {
+// otherUpNode returns a node other than the i-th that is up and has joined.
+func (t *testNet) otherUpNode(i int) *testNode {
 	for j := range t.nodes {
 		n := t.nodes[(i+1+j)%len(t.nodes)]
-		if !n.down && n != t.nodes[i] && n.s.Joined() && n.frozen <= t.Now {
+		if !n.down && n != t.nodes[i] && n.s.Joined() && n.frozenUntil <= t.Now {
 			return n
 		}
 	}
 	return nil
 }
 
-// disturb does one random thing to the net.
-func disturb(t *rapid.T, net *testNet, version *uint64) {
+// injectFault injects one random fault or event.
+func injectFault(t *rapid.T, net *testNet, version *uint64) {
 	i := rapid.IntRange(0, len(net.nodes)-1).Draw(t, "node")
 	n := net.nodes[i]
 	switch rapid.SampledFrom([]string{"leave", "depart", "kill", "restart", "freeze", "fact", "update", "cut", "split", "heal", "loss"}).Draw(t, "what") {
@@ -85,11 +85,11 @@
 	case "kill":
 		n.down = true
 	case "restart":
-		if seed := net.upOther(i); seed != nil {
+		if seed := net.otherUpNode(i); seed != nil {
 			net.restart(i, seed)
 		}
 	case "freeze":
-		n.frozen = net.Now + time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds"))*time.Second
+		n.frozenUntil = net.Now + time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds"))*time.Second
 	case "fact":
 		*version++
 		n.s.PutFact(net.Now, Fact{Kind: ConfigHead, Key: 1, Version: *version})
@@ -98,64 +98,64 @@
 		rec.Slots = uint32(net.Now / time.Second)
 		n.s.Update(net.Now, rec)
 	case "cut":
-		net.cut = func(a, b *testNode) bool { return a.rec.Region != b.rec.Region }
+		net.partitioned = func(a, b *testNode) bool { return a.rec.Region != b.rec.Region }
 	case "split":
-		net.cut = func(a, b *testNode) bool { return (a.rec.Zone == "z0") != (b.rec.Zone == "z0") }
+		net.partitioned = func(a, b *testNode) bool { return (a.rec.Zone == "z0") != (b.rec.Zone == "z0") }
 	case "heal":
-		net.cut = nil
+		net.partitioned = nil
 	case "loss":
 		net.loss = float64(rapid.IntRange(0, 20).Draw(t, "percent")) / 100
 		net.dup = float64(rapid.IntRange(0, 20).Draw(t, "duplicates")) / 100
 	}
 }
 
-// TestRandomFaults: whatever fails in whatever order, a leave is never undone in
-// its incarnation, the state stays bounded, and once the faults end the members
-// that are up agree, on the newest fact as well.
+// Under any sequence of faults, a leave is never undone in its incarnation and
+// the state stays bounded. Once the faults end, the members that are up agree,
+// including on the newest fact.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		net := newTestNet(DefaultConfig(), rapid.Uint64().Draw(t, "seed"))
 		region := rapid.SampledFrom([]func(int) string{oneRegion, twoRegions}).Draw(t, "regions")
-		net.cluster(rapid.IntRange(2, 20).Draw(t, "members"), region)
+		net.startCluster(rapid.IntRange(2, 20).Draw(t, "members"), region)
 		net.run(20 * time.Second)
-		seen := make(left)
+		seen := make(leftIncarnations)
 		var version uint64
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
-			disturb(t, net, &version)
+			injectFault(t, net, &version)
 			for range rapid.IntRange(1, 10).Draw(t, "wait") {
 				net.run(2 * time.Second)
 				seen.check(t, net)
 				checkBounds(t, net)
 			}
 		}
-		net.cut, net.loss, net.dup = nil, 0, 0
+		net.partitioned, net.loss, net.dup = nil, 0, 0
 		for _, n := range net.nodes {
-			n.frozen = min(n.frozen, net.Now)
+			n.frozenUntil = min(n.frozenUntil, net.Now)
 		}
 		for range 30 {
-			if net.run(10 * time.Second); net.disagree() == "" {
+			if net.run(10 * time.Second); net.difference() == "" {
 				break
 			}
 			seen.check(t, net)
 		}
-		if why := net.disagree(); why != "" {
+		if why := net.difference(); why != "" {
 			t.Fatal(why)
 		}
-		checkHeld(t, net, version)
+		checkConverged(t, net, version)
 	})
 }
 
-// checkHeld fails unless all up members hold each other alive or leaving, and
-// the newest fact if any survived.
-func checkHeld(t *rapid.T, net *testNet, version uint64) {
+// checkConverged fails unless all members that are up agree on each other's
+// status, and no fact version is newer than those put.
+func checkConverged(t *rapid.T, net *testNet, version uint64) {
 	for _, a := range net.nodes {
 		if a.down {
 			continue
 		}
 		for _, b := range net.nodes {
-			want := b.s.stat.String()
+			want := b.s.status.String()
 			if got := net.status(a, b); !b.down && got != want {
-				t.Fatalf("%s holds %s to be %s, not %s", a.rec.Name, b.rec.Name, got, want)
+				t.Fatalf("%s has %s as %s, want %s", a.rec.Name, b.rec.Name, got, want)
 			}
 		}
 	}
@@ -170,14 +170,13 @@
 	}
 }
 
-// TestNoFalseDeaths: symptom: healthy members are dropped by all callers at once.
-// Events: messages are lost, members freeze for up to 5 s, some really die.
-// Cause: one observer's word, or a short silence, is taken for a death. With up
-// to a tenth of the messages lost no live member may be declared dead.
+// With up to a tenth of the messages lost, freezes of up to 5 s and real
+// deaths, no live member may be declared dead on the report of one observer or
+// after a short silence.
 func TestNoFalseDeaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		net := newTestNet(DefaultConfig(), rapid.Uint64().Draw(t, "seed"))
-		net.cluster(rapid.IntRange(4, 20).Draw(t, "members"), twoRegions)
+		net.startCluster(rapid.IntRange(4, 20).Draw(t, "members"), twoRegions)
 		net.run(20 * time.Second)
 		net.loss = float64(rapid.IntRange(0, 10).Draw(t, "percent")) / 100
 		for range rapid.IntRange(1, 10).Draw(t, "faults") {
@@ -185,13 +184,13 @@
 			if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 				n.down = true
 			} else {
-				n.frozen = net.Now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond
+				n.frozenUntil = net.Now + time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond
 			}
 			net.run(time.Duration(rapid.IntRange(1, 15).Draw(t, "wait")) * time.Second)
 			for _, a := range net.nodes {
 				for _, b := range net.nodes {
 					if st := net.status(a, b); !a.down && !b.down && st != "alive" {
-						t.Fatal(fmt.Sprintf("%s holds %s to be %s", a.rec.Name, b.rec.Name, st))
+						t.Fatal(fmt.Sprintf("%s has %s as %s, want alive", a.rec.Name, b.rec.Name, st))
 					}
 				}
 			}
--- a/internal/core/member/queue.go
+++ b/internal/core/member/queue.go
@@ -2,27 +2,28 @@
 
 import "peardrift/internal/core/request"
 
-// class orders what waits to be sent; a lower one goes first.
+// class is the priority of an item to be sent; lower values go first.
 type class uint8
 
 const (
 	classDrain  class = iota // members that leave or have left
-	classHead                // heads of the configuration
+	classHead                // configuration heads
 	classFact                // other facts
-	classDeath               // unreachable members, and those that refute it
+	classDeath               // unreachable members, and those that recovered
 	classJoin                // new members and restarts
-	classResend              // what a comparison of digests found
+	classResend              // differences found by comparing digests
 	numClasses
 )
 
-// bulk classes may come in thousands at once. While the budget is short they are
-// told to a few links only; the few members that miss some find out by comparing
-// digests. Heads of the configuration are told to all: in the midst of a lost
-// zone, when digests differ anyway, one of 4,000 nodes missed one for 28 s.
-func (c class) bulk() bool { return c == classDeath || c == classJoin }
+// isBulk reports whether thousands of items of a class may arrive at once.
+// While the budget is short, bulk items are sent on a few links only; the few
+// members that miss some recover them by anti-entropy. Configuration heads are
+// sent to all peers: during the loss of a zone, when digests differ anyway, one
+// of 4,000 nodes missed a head for 28 s.
+func (c class) isBulk() bool { return c == classDeath || c == classJoin }
 
-// classOf returns the class of a change. known says that the member's contents
-// were known before, so that it is back rather than new.
+// classOf returns the class of a change. known means that the member's contents
+// were known before, so it has recovered rather than joined.
 func classOf(c Change, known bool) class {
 	switch {
 	case c.Status == Leaving || c.Status == Dead:
@@ -41,99 +42,100 @@
 	return classFact
 }
 
-// ridingFanout is the number of links on which heads are told while the
-// configuration rides along with heartbeats: any peer that has a newer version
-// then tells it, whether its head was heard of or not.
-const ridingFanout = 3
+// piggybackFanout is the number of links on which heads are sent while the
+// configuration is piggybacked on heartbeats: any peer with a newer version
+// then sends it, whether or not the head was received.
+const piggybackFanout = 3
 
-// itemKey names a member or a fact.
+// itemKey identifies a member or a fact.
 type itemKey struct {
 	id   uint64
 	fact bool
 }
 
-// item is something that some links haven't been told yet. What is sent is what
-// the table holds at that time.
+// item is an update not yet sent to all links. The content sent is that of the
+// table at the time of sending.
 type item struct {
-	key   itemKey
-	class class
-	links uint32 // one bit for each link that must still be told
-	told  uint8  // links known to know it
-	sent  uint8  // links on which it was sent and not yet acknowledged
-	turn  uint32 // rises with each change, so that an old acknowledgement is void
+	key      itemKey
+	class    class
+	pending  uint32 // one bit for each link that has not acknowledged it
+	acked    uint8  // number of links whose peer has it
+	inFlight uint8  // number of links on which it is sent but not yet acknowledged
+	revision uint32 // incremented with each change, which invalidates older acknowledgements
 }
 
-// queue holds the items that wait, by class and oldest first.
+// queue holds the pending items by class, oldest first.
 type queue struct {
-	items   map[itemKey]*item
-	fanout  uint8 // links that bulk news is told on
-	rich    bool  // there is budget to tell it to all
-	riding  bool  // heads also come with the configuration that rides along
-	classes [numClasses][]*item
+	items        map[itemKey]*item
+	fanout       uint8 // number of links for bulk items while the budget is short
+	ampleBudget  bool  // the budget suffices to send bulk items on all links
+	piggybacking bool  // heads also arrive with the piggybacked configuration
+	classes      [numClasses][]*item
 }
 
 func newQueue(fanout int) queue {
 	return queue{items: make(map[itemKey]*item), fanout: uint8(fanout)}
 }
 
-// limit returns how many links news of a class is told on.
-func (q *queue) limit(c class) uint8 {
+// linkLimit returns on how many links an item of a class is sent.
+func (q *queue) linkLimit(c class) uint8 {
 	switch {
-	case c.bulk() && !q.rich:
+	case c.isBulk() && !q.ampleBudget:
 		return q.fanout
-	case c == classHead && q.riding:
-		return ridingFanout
+	case c == classHead && q.piggybacking:
+		return piggybackFanout
 	default:
 		return maxLinks
 	}
 }
 
-// limited reports whether the item needn't be told to further links. What is sent
-// but not yet acknowledged counts: otherwise all links would get it before the
-// first acknowledgement comes.
-func (q *queue) limited(it *item) bool {
-	return it.told+it.sent >= q.limit(it.class)
+// reachedLimit reports whether the item need not be sent on further links.
+// Sends not yet acknowledged count: otherwise all links would send it before
+// the first acknowledgement arrives.
+func (q *queue) reachedLimit(it *item) bool {
+	return it.acked+it.inFlight >= q.linkLimit(it.class)
 }
 
-// send notes that the item is sent, and returns what confirm or void needs.
-func (q *queue) send(it *item) sentItem {
-	it.sent++
-	return sentItem{it, it.turn}
+// markSent records a send, and returns what ack and releaseInFlight need.
+func (q *queue) markSent(it *item) sentItem {
+	it.inFlight++
+	return sentItem{it, it.revision}
 }
 
-// void notes that what was sent on a link may not have arrived.
-func (q *queue) void(list []sentItem) {
+// releaseInFlight records that items sent on a link may not have arrived.
+func (q *queue) releaseInFlight(list []sentItem) {
 	for _, s := range list {
-		if s.it.turn == s.turn {
-			s.it.sent--
+		if s.it.revision == s.revision {
+			s.it.inFlight--
 		}
 	}
 }
 
-// confirm notes that a link's peer has what was sent, unless it changed since.
-func (q *queue) confirm(link uint32, list []sentItem) {
-	q.void(list)
+// ack records that a link's peer has the items sent, unless they changed since.
+func (q *queue) ack(link uint32, list []sentItem) {
+	q.releaseInFlight(list)
 	for _, s := range list {
-		if s.it.turn == s.turn {
-			q.know(s.it, link)
+		if s.it.revision == s.revision {
+			q.acknowledge(s.it, link)
 		}
 	}
 }
 
-// know notes that the peer of one link knows the item.
-func (q *queue) know(it *item, link uint32) {
-	if it.links&link == 0 {
+// acknowledge records that the peer of one link has the item.
+func (q *queue) acknowledge(it *item, link uint32) {
+	if it.pending&link == 0 {
 		return
 	}
-	it.links &^= link
-	it.told++
-	if it.told >= q.limit(it.class) {
-		it.links = 0
+	it.pending &^= link
+	it.acked++
+	if it.acked >= q.linkLimit(it.class) {
+		it.pending = 0
 	}
 }
 
-// put makes an item wait for the given links. told is how many others know it.
-func (q *queue) put(key itemKey, c class, links uint32, told uint8) {
+// put makes an item pending for the given links. acked is how many other peers
+// have it.
+func (q *queue) put(key itemKey, c class, links uint32, acked uint8) {
 	it := q.items[key]
 	if it == nil {
 		it = &item{key: key, class: c}
@@ -141,64 +143,65 @@
 		q.classes[c] = append(q.classes[c], it)
 	} else if it.class != c {
 		moved := *it
-		it.links = 0 // the old place is skipped and removed later
+		it.pending = 0 // each skips the old position and removes it later
 		it = &moved
 		it.class = c
 		q.items[key] = it
 		q.classes[c] = append(q.classes[c], it)
 	}
-	it.links = links
-	it.told, it.sent = told, 0
-	it.turn++
+	it.pending = links
+	it.acked, it.inFlight = acked, 0
+	it.revision++
 }
 
-// add makes an item wait for further links and leaves the others as they are.
-func (q *queue) add(key itemKey, c class, links uint32) {
+// addPending makes an item pending for further links and leaves the others
+// unchanged.
+func (q *queue) addPending(key itemKey, c class, links uint32) {
 	it := q.items[key]
-	if it == nil || it.links == 0 {
+	if it == nil || it.pending == 0 {
 		q.put(key, c, links, 0)
 		return
 	}
-	it.links |= links
+	it.pending |= links
 }
 
-// told notes that a link's peer knows the item's present state.
-func (q *queue) told(key itemKey, link uint32) {
+// markKnown records that a link's peer has the item's present state.
+func (q *queue) markKnown(key itemKey, link uint32) {
 	if it := q.items[key]; it != nil {
-		q.know(it, link)
+		q.acknowledge(it, link)
 	}
 }
 
-// join makes all that waits for anyone wait for a new link too; leave undoes it.
-func (q *queue) join(link uint32) {
+// addLink makes all items pending for a new link; removeLink undoes it.
+func (q *queue) addLink(link uint32) {
 	for _, it := range q.items {
-		it.links |= link
+		it.pending |= link
 	}
 }
 
-func (q *queue) leave(link uint32) {
+func (q *queue) removeLink(link uint32) {
 	for _, it := range q.items {
-		it.links &^= link
+		it.pending &^= link
 	}
 }
 
-// each calls f for the items of some classes that wait for link, in order, until
-// it says stop, and reports whether it didn't. It drops those that nobody waits
-// for.
+// each calls f, in order, for the items of some classes that are pending for
+// link, until f returns false, and reports whether f never did. It removes
+// items that are pending for no link.
 func (q *queue) each(first, last class, link uint32, f func(*item) (more bool)) bool {
 	more := true
 	for c := first; c <= last; c++ {
 		list := q.classes[c]
 		kept := list[:0]
 		for _, it := range list {
-			if it.links == 0 {
+			if it.pending == 0 {
 				if q.items[it.key] == it {
 					delete(q.items, it.key)
 				}
 				continue
 			}
 			kept = append(kept, it)
-			if more && it.links&link != 0 && !q.limited(it) {
+			if more && it.pending&link != 0 && !q.reachedLimit(it) {
 				more = f(it)
 			}
 		}
@@ -211,23 +214,23 @@
 	return true
 }
 
-// waiting returns the links that items up to a class wait for.
-func (q *queue) waiting(last class) (links uint32) {
+// pendingLinks returns the links that have pending items of classes up to last.
+func (q *queue) pendingLinks(last class) (links uint32) {
 	for _, list := range q.classes[:last+1] {
 		for _, it := range list {
-			links |= it.links
+			links |= it.pending
 		}
 	}
 	return links
 }
 
-// pressing is waiting without the items that a few links were told already; the
-// others hear of them with their next heartbeat.
-func (q *queue) pressing(last class) (links uint32) {
+// urgentLinks is pendingLinks without the items that enough links have
+// acknowledged; the other links send them with their next heartbeat.
+func (q *queue) urgentLinks(last class) (links uint32) {
 	for _, list := range q.classes[:last+1] {
 		for _, it := range list {
-			if it.told < min(q.fanout, q.limit(it.class)) {
-				links |= it.links
+			if it.acked < min(q.fanout, q.linkLimit(it.class)) {
+				links |= it.pending
 			}
 		}
 	}
--- a/internal/core/member/queue_test.go
+++ b/internal/core/member/queue_test.go
@@ -25,26 +25,26 @@
 	is.Equal(q.order(0b10), []uint64{4, 2, 1})
 	q.put(itemKey{id: 1}, classDrain, 0b11, 0) // the joiner leaves again
 	is.Equal(q.order(0b01), []uint64{3, 1, 4, 2})
-	q.told(itemKey{id: 3}, 0b01)
+	q.markKnown(itemKey{id: 3}, 0b01)
 	is.Equal(q.order(0b01), []uint64{1, 4, 2})
 	is.Equal(len(q.items), 3)
 }
 
-// TestOldAcknowledgement: symptom: one peer keeps a member's old status. Events:
-// a change is sent, a newer one replaces it, then the first is acknowledged.
-// Cause: the acknowledgement is taken for the newer one, which is never sent.
-func TestOldAcknowledgement(t *testing.T) {
+// An acknowledgement of an older change must not count for the newer one that
+// replaced it; the newer one would never be sent, and one peer would keep the
+// old status.
+func TestStaleAckIsIgnored(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(5)
 	key := itemKey{id: 1}
 	q.put(key, classDeath, 0b1, 0)
-	sent := []sentItem{q.send(q.items[key])}
+	sent := []sentItem{q.markSent(q.items[key])}
 	q.put(key, classDeath, 0b1, 0)
-	q.confirm(0b1, sent)
+	q.ack(0b1, sent)
 	is.Equal(q.order(0b1), []uint64{1})
 }
 
-func TestBulkNewsIsLimited(t *testing.T) {
+func TestBulkFanoutIsLimited(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
 		class class
@@ -56,10 +56,10 @@
 		{classDrain, false, 2},
 	} {
 		q := newQueue(3)
-		q.rich = tt.rich
+		q.ampleBudget = tt.rich
 		q.put(itemKey{id: 1}, tt.class, 0b1111, 1)
-		q.told(itemKey{id: 1}, 0b0001)
-		q.told(itemKey{id: 1}, 0b0010)
+		q.markKnown(itemKey{id: 1}, 0b0001)
+		q.markKnown(itemKey{id: 1}, 0b0010)
 		left := len(q.order(0b0100)) + len(q.order(0b1000))
 		is.Equal(left, tt.left)
 	}
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -7,30 +7,31 @@
 	"peardrift/internal/core/request"
 )
 
-// Bounds on what is taken from outside.
+// Bounds on input from other members.
 const (
-	maxString = 255 // bytes of a record's strings
-	maxOwed   = 256
+	maxStringLen = 255 // bytes of each string in a record
+	maxRequested = 256
 )
 
-// receive applies the news in a message. l is the link that it came on, or nil.
+// receive applies the updates in a message. l is the link that it arrived on,
+// or nil.
 func (s *State) receive(now time.Duration, m *Message, l *link) {
 	var from uint32
 	if l != nil {
 		from = l.bit()
-		s.teller = l.peer
-		l.hear(now)
-		s.reached(l)
+		s.sender = l.peer
+		l.markHeard(now)
+		s.markGroupReachable(l)
 	}
-	defer func() { s.teller = 0 }()
+	defer func() { s.sender = 0 }()
 	for _, r := range m.Records {
 		s.applyRecord(now, r, from)
 	}
-	packed, _ := unpack(m.Packed) // what can't be read is found missing by comparing
+	packed, _ := unpack(m.Packed) // records that cannot be decoded are recovered by anti-entropy
 	for _, r := range packed {
 		s.applyRecord(now, r, from)
 	}
-	s.meet(now, m, from)
+	s.applySender(now, m, from)
 	for _, c := range m.Changes {
 		s.stats.ItemsReceived++
 		s.applyChange(now, c, from)
@@ -47,30 +48,30 @@
 		s.stats.ItemsReceived++
 		s.applyFact(f, s.allLinks()&^from)
 	}
-	s.takeDoubts(now, m)
-	if s.join.partial() && !m.Partial && m.Root == s.tab.root && len(s.tab.members) > 1 {
-		s.join.in, s.join.fetching = true, false // there is nothing left to fetch
+	s.recordVotes(now, m)
+	if s.join.isPartial() && !m.Partial && m.Root == s.tab.root && len(s.tab.members) > 1 {
+		s.join.admitted, s.join.fetching = true, false // nothing is left to fetch
 	}
 	if l == nil {
 		return
 	}
 	for _, id := range m.Wants {
-		if len(l.owed) < maxOwed && !slices.Contains(l.owed, id) {
-			l.owed = append(l.owed, id)
+		if len(l.requested) < maxRequested && !slices.Contains(l.requested, id) {
+			l.requested = append(l.requested, id)
 		}
 	}
-	s.compare(m, l)
+	s.compareDigests(m, l)
 }
 
-// meet learns of the sender itself.
-func (s *State) meet(now time.Duration, m *Message, from uint32) {
+// applySender applies the sender's own status.
+func (s *State) applySender(now time.Duration, m *Message, from uint32) {
 	e := s.tab.get(m.From)
 	if e == nil || e.inc < m.Incarnation {
 		s.applyChange(now, Change{ID: m.From, Incarnation: m.Incarnation, Status: m.Status, Body: m.Body}, from)
 	}
 }
 
-// applyChange merges one change and passes it on if it is news.
+// applyChange merges one change and relays it if it is new.
 func (s *State) applyChange(now time.Duration, c Change, from uint32) {
 	if c.ID == 0 || c.Status > Dead || c.Body > bodyMask {
 		return
@@ -86,25 +87,26 @@
 		if len(s.tab.members) >= s.cfg.MaxMembers {
 			return
 		}
-	case c.newer(e.inc, e.status):
+	case c.supersedes(e.inc, e.status):
 	case c.Incarnation == e.inc && c.Status == e.status:
-		s.queue.told(key, from)
+		s.queue.markKnown(key, from)
 		return
 	default:
-		// The peer is behind: tell it, or a late announcement would live on there.
-		s.queue.add(key, classOf(e.change(), true), from)
+		// The peer is behind: send it the current state, or a late announcement
+		// would persist there.
+		s.queue.addPending(key, classOf(e.change(), true), from)
 		return
 	}
-	known := e != nil && e.rec != nil && c.Body == e.bodySum()
+	known := e != nil && e.rec != nil && c.Body == e.bodyDigest()
 	s.stats.ItemsNew++
-	s.store(now, c, nil)
-	s.passOn(c.ID, from, known)
+	s.storeEntry(now, c, nil)
+	s.relay(c.ID, from, known)
 }
 
-// applyDeath merges a death in short form. One that fits no member is left to
-// the comparison of digests.
+// applyDeath merges a death in short form. One that matches no member is left
+// to anti-entropy.
 func (s *State) applyDeath(now time.Duration, d Death, from uint32) {
-	e := s.tab.byShort(d.ID)
+	e := s.tab.getByShortID(d.ID)
 	if e == nil {
 		return
 	}
@@ -112,56 +114,56 @@
 	if uint16(c.Incarnation) == d.Incarnation {
 		c.Status = Unreachable
 		s.applyChange(now, c, from)
-	} else if e.status.live() {
-		s.queue.add(memberKey(e.id), classOf(c, true), from)
+	} else if e.status.isLive() {
+		s.queue.addPending(memberKey(e.id), classOf(c, true), from)
 	}
 }
 
-// applyBack merges a return in short form. One that doesn't fit is left to the
-// comparison of digests.
+// applyBack merges a return in short form. One that does not match is left to
+// anti-entropy.
 func (s *State) applyBack(now time.Duration, b Back, from uint32) {
-	e := s.tab.byShort(b.ID)
-	if e == nil || e.rec == nil || e.stale || uint16(e.bodySum()&bodyLow) != b.Body {
+	e := s.tab.getByShortID(b.ID)
+	if e == nil || e.rec == nil || e.recordStale || uint16(e.bodyDigest()&shortBodyMask) != b.Body {
 		return
 	}
-	s.applyChange(now, Change{ID: e.id, Incarnation: b.Incarnation, Status: Alive, Body: e.bodySum()}, from)
+	s.applyChange(now, Change{ID: e.id, Incarnation: b.Incarnation, Status: Alive, Body: e.bodyDigest()}, from)
 }
 
-// passOn makes news about a member wait for all links but the one it came from.
-// A new member waits until its record is here, so that whoever hears of it can
-// get the record from whoever told it.
-func (s *State) passOn(id request.TargetID, from uint32, known bool) {
+// relay makes a member's change pending for all links but the one it arrived
+// on. A new member is relayed only once its record is here, so that each
+// receiver can get the record from its sender.
+func (s *State) relay(id request.TargetID, from uint32, known bool) {
 	e := s.tab.get(id)
-	if s.quiet || e.status == Alive && e.lacks() {
+	if s.suppressRelay || e.status == Alive && e.needsRecord() {
 		return
 	}
-	s.queue.put(memberKey(id), classOf(e.change(), known), s.allLinks()&^from, toldBy(from))
+	s.queue.put(memberKey(id), classOf(e.change(), known), s.allLinks()&^from, ackedCount(from))
 }
 
-func toldBy(from uint32) uint8 {
+func ackedCount(from uint32) uint8 {
 	if from == 0 {
 		return 0
 	}
 	return 1
 }
 
-// store sets a member's entry and keeps all that depends on it in step.
-func (s *State) store(now time.Duration, c Change, rec *Record) {
+// storeEntry sets a member's entry and updates all state derived from it.
+func (s *State) storeEntry(now time.Duration, c Change, rec *Record) {
 	e := s.tab.get(c.ID)
-	was := s.overlayRegion(e)
-	s.touch(e)
+	before := s.presentRegion(e)
+	s.markServiceChanged(e)
 	e = s.tab.set(c, rec)
-	s.touch(e)
-	if e.status.live() {
-		delete(s.lost, c.ID)
+	s.markServiceChanged(e)
+	if e.status.isLive() {
+		delete(s.notLiveSince, c.ID)
 	} else {
-		s.lost[c.ID] = now
+		s.notLiveSince[c.ID] = now
 	}
-	s.lacks.update(now, e, s.teller)
-	s.overlayChanged(e, was)
+	s.missing.update(now, e, s.sender)
+	s.updateOverlay(e, before)
 }
 
-// applyRecord takes the contents of a member's record.
+// applyRecord stores the contents of a member's record.
 func (s *State) applyRecord(now time.Duration, r *Record, from uint32) {
 	if !validRecord(r) || r.ID == s.self.ID {
 		return
@@ -172,17 +174,17 @@
 		s.applyChange(now, Change{ID: r.ID, Incarnation: r.Incarnation, Body: body}, from)
 		e = s.tab.get(r.ID)
 	}
-	if e == nil || e.status == Dead || body != e.bodySum() {
+	if e == nil || e.status == Dead || body != e.bodyDigest() {
 		return
 	}
-	if !e.lacks() {
+	if !e.needsRecord() {
 		if e.status == Alive && r.Incarnation == e.inc {
-			s.queue.told(memberKey(r.ID), from)
+			s.queue.markKnown(memberKey(r.ID), from)
 		}
 		return
 	}
-	s.store(now, e.change(), r)
-	s.passOn(r.ID, from, false)
+	s.storeEntry(now, e.change(), r)
+	s.relay(r.ID, from, false)
 }
 
 func validRecord(r *Record) bool {
@@ -193,7 +195,7 @@
 		len(r.Name), len(r.Service), len(r.Tenant), len(r.Zone), len(r.Region),
 		len(r.Data), len(r.Control),
 	} {
-		if n > maxString {
+		if n > maxStringLen {
 			return false
 		}
 	}
@@ -208,18 +210,18 @@
 	if old := s.tab.fact(id); old != nil && old.Version >= f.Version {
 		from := s.allLinks() &^ to
 		if old.Version == f.Version {
-			s.queue.told(factKey(id), from)
+			s.queue.markKnown(factKey(id), from)
 		} else if from != 0 {
-			s.queue.add(factKey(id), classOfFact(f.Kind), from)
+			s.queue.addPending(factKey(id), classOfFact(f.Kind), from)
 		}
 		return false
 	}
 	s.tab.putFact(f)
-	if !s.quiet {
+	if !s.suppressRelay {
 		s.queue.put(factKey(id), classOfFact(f.Kind), to, 0)
 	}
 	s.tab.trimFacts(f.Kind, s.cfg.MaxFacts)
 	s.stats.ItemsNew++
-	s.view.facts++
+	s.view.factsVersion++
 	return true
 }
--- a/internal/core/member/record.go
+++ b/internal/core/member/record.go
@@ -8,24 +8,24 @@
 	"peardrift/internal/core/request"
 )
 
-// Status is what is known about a member. Within one incarnation a member's
-// status only rises, whatever the order in which news arrives; so a leave wins
-// against a late or repeated announcement of the same incarnation.
+// Status is the state of a member. Within one incarnation a member's status
+// only increases, whatever the order in which updates arrive, so a leave wins
+// over a late or repeated announcement of the same incarnation.
 type Status uint8
 
 const (
-	// Alive members take work.
+	// Alive members accept calls.
 	Alive Status = iota
 	// Unreachable members were silent to their observers. They are kept and
 	// probed for Config.KeepUnreachable.
 	Unreachable
-	// Leaving members drain: they take no new work.
+	// Leaving members drain: they accept no new calls.
 	Leaving
 	// Dead members left, or were unreachable for too long. Only a tombstone is
 	// kept.
 	Dead
-	// Suspect is local to an observer: the member is silent, but not for long
-	// enough. It is never sent.
+	// Suspect is local to an observer: the member has been silent, but not for
+	// long enough to be declared unreachable. It is never sent.
 	Suspect
 )
 
@@ -39,13 +39,13 @@
 	return "invalid"
 }
 
-// live reports whether a member with this status takes part in the overlay.
-func (s Status) live() bool { return s == Alive || s == Leaving }
+// isLive reports whether a member with this status takes part in the overlay.
+func (s Status) isLive() bool { return s == Alive || s == Leaving }
 
 // Record describes one member. Records are immutable once passed to a State.
 type Record struct {
 	ID      request.TargetID
-	Name    string          // the announced name that ID is hashed from
+	Name    string          // the announced name; ID is its hash
 	Service request.Service // "service.tenant"
 	Tenant  request.Tenant
 	Zone    string
@@ -53,18 +53,19 @@
 	Data    string // address of the data path, ip:port
 	Control string // address of the control path, ip:port
 	// Incarnation is the one in which these contents were published. A new
-	// process takes a higher one than its predecessor, by convention the
-	// seconds since 2020 at its start; refuting raises it by one.
+	// process uses a higher one than its predecessor, by convention the seconds
+	// since 2020 at its start; a refutation increments it.
 	Incarnation uint32
 	Slots       uint32
 	Connections uint32
 }
 
-// bodyMask is the size of a digest of contents. With 24 bits, one in 17 million
-// changes of a member's contents would go unnoticed until its next incarnation.
+// bodyMask masks a digest of contents to 24 bits. One in 17 million changes of
+// a member's contents goes unnoticed until its next incarnation.
 const bodyMask = 1<<24 - 1
 
-// Body returns the digest of the contents, all but the incarnation.
+// Body returns the digest of the contents, that is all fields but the
+// incarnation.
 func (r *Record) Body() uint32 {
 	b := make([]byte, 0, 256)
 	for _, s := range [...]string{
@@ -77,25 +78,26 @@
 	return uint32(xxhash.Sum64(b) & bodyMask)
 }
 
-// Change is the news that a member has a status in an incarnation.
+// Change says that a member has a status in an incarnation.
 type Change struct {
 	ID          request.TargetID
 	Incarnation uint32
 	Status      Status
-	// Body is a digest of the record's contents (Record.Body), so that a receiver
-	// sees whether the record that it holds is current. A member that restarts
-	// unchanged needs no record to be sent again.
+	// Body is a digest of the record's contents (Record.Body), by which a
+	// receiver checks whether its record is current. A member that restarts
+	// unchanged need not send its record again.
 	Body uint32
 }
 
-// newer reports whether c supersedes a member's incarnation and status.
-func (c Change) newer(inc uint32, st Status) bool {
+// supersedes reports whether c is newer than the given incarnation and status.
+func (c Change) supersedes(inc uint32, st Status) bool {
 	return c.Incarnation > inc || c.Incarnation == inc && c.Status > st
 }
 
-// sum is the contribution of a live member to the digest.
+// sum is the contribution of a live member to the digest; other members
+// contribute 0.
 func (c Change) sum() uint64 {
-	if !c.Status.live() {
+	if !c.Status.isLive() {
 		return 0
 	}
 	var b [13]byte
@@ -105,12 +107,13 @@
 	return xxhash.Sum64(b[:])
 }
 
-// FactKind names the meaning of facts; State treats kinds alike, but for the
+// FactKind is the type of a fact; State handles all kinds alike, except for the
 // order in which they are sent.
 type FactKind uint8
 
 const (
-	// ConfigHead facts carry the head of the configuration; sent first.
+	// ConfigHead facts carry the head of the configuration; they are sent
+	// first.
 	ConfigHead FactKind = 1
 	// CrashSuspect facts carry requests suspected of crashing their targets.
 	CrashSuspect FactKind = 2
@@ -119,8 +122,8 @@
 // MaxFactValue bounds Fact.Value in bytes.
 const MaxFactValue = 64
 
-// Fact is a small versioned value that every member comes to know. Of two facts
-// with the same Kind and Key the one with the higher Version wins.
+// Fact is a small versioned value that is replicated to every member. Of two
+// facts with the same Kind and Key the one with the higher Version wins.
 type Fact struct {
 	Kind    FactKind
 	Key     uint64
@@ -128,7 +131,7 @@
 	Value   []byte
 }
 
-// factID places a fact in the key space of the digest.
+// factID returns the position of a fact in the key space of the digest.
 func factID(kind FactKind, key uint64) uint64 {
 	var b [9]byte
 	b[0] = byte(kind)
--- a/internal/core/member/remote.go
+++ b/internal/core/member/remote.go
@@ -7,40 +7,41 @@
 	"peardrift/internal/core/request"
 )
 
-// groupTries follows how another group answers. Groups don't observe each
-// other's members, so that two regions that lose each other forget nobody; all
-// a node notes is that it can't reach the group.
-type groupTries struct {
-	failed []request.TargetID // members not to be tried again for now
-	silent int                // members in a row that didn't answer
-	lost   bool
-	gone   bool // the group has no members any more
+// groupReachability tracks whether another group responds. Groups do not
+// observe each other's members, so no member is removed when two regions lose
+// contact; a node only records that it cannot reach the group.
+type groupReachability struct {
+	excluded    []request.TargetID // members not to be tried for now
+	failures    int                // consecutive members that did not respond
+	unreachable bool
+	removed     bool // the group has no members left
 }
 
-// maxTries bounds groupTries.failed; after that many the first is tried again.
-const maxTries = 16
+// maxExcluded bounds groupReachability.excluded; beyond it, all members are
+// tried again.
+const maxExcluded = 16
 
-// findGroups brings the list of the other groups up to date.
-func (s *State) findGroups() {
+// updateGroups updates the list of groups.
+func (s *State) updateGroups() {
 	o := &s.overlay
 	for _, t := range o.groups {
-		t.gone = true
+		t.removed = true
 	}
 	for region := range o.sizes {
 		g := s.groupOf(region)
 		if o.groups[g] == nil {
-			o.groups[g] = &groupTries{}
+			o.groups[g] = &groupReachability{}
 		}
-		o.groups[g].gone = false
+		o.groups[g].removed = false
 	}
 	for g, t := range o.groups {
-		if t.gone {
+		if t.removed {
 			delete(o.groups, g)
 		}
 	}
 }
 
-// otherGroups returns the names of the other groups in order.
+// otherGroups returns the sorted names of the other groups.
 func (s *State) otherGroups() []string {
 	var out []string
 	for g := range s.overlay.groups {
@@ -52,27 +53,27 @@
 	return out
 }
 
-// tickRemotes keeps one link to each other group.
+// tickRemotes maintains one link to each other group.
 func (s *State) tickRemotes(now time.Duration) {
-	if s.stat == Dead {
+	if s.status == Dead {
 		return
 	}
 	linked := make(map[string]bool, 4)
-	for _, l := range append([]*link(nil), s.order...) {
+	for _, l := range append([]*link(nil), s.linkOrder...) {
 		if l.roles&roleRemote == 0 {
 			continue
 		}
 		e := s.tab.get(l.peer)
-		if e == nil || !e.present() || s.groupOf(e.rec.Region) == s.overlay.group {
+		if e == nil || !e.isPresent() || s.groupOf(e.rec.Region) == s.overlay.group {
 			s.dropRole(l, roleRemote)
 			continue
 		}
 		g := s.groupOf(e.rec.Region)
-		if !linked[g] && now-l.heard < s.remotePatience() {
+		if !linked[g] && now-l.lastHeard < s.remoteTimeout() {
 			linked[g] = true
 			continue
 		}
-		s.giveUp(l, g)
+		s.closeSilentRemote(l, g)
 	}
 	for _, g := range s.otherGroups() {
 		if !linked[g] {
@@ -81,21 +82,22 @@
 	}
 }
 
-// remotePatience is how long a remote link may be silent. It leaves room for
-// several attempts after a heartbeat that failed: with less, a fifth of the
-// messages lost made some of 14,000 members take a region for lost at any time.
-func (s *State) remotePatience() time.Duration { return s.cfg.RemotePeriod + s.cfg.SuspectAfter }
+// remoteTimeout is how long a remote link may be silent. It leaves time for
+// several attempts after a failed heartbeat: with less, a loss of a fifth of
+// the messages made some of 14,000 members consider a region unreachable at any
+// time.
+func (s *State) remoteTimeout() time.Duration { return s.cfg.RemotePeriod + s.cfg.SuspectAfter }
 
-// giveUp ends a remote link whose peer doesn't answer. Several such peers in a
-// row mean that the group can't be reached.
-func (s *State) giveUp(l *link, group string) {
+// closeSilentRemote closes a remote link whose peer does not respond. After
+// Config.RegionTries such peers in a row the group counts as unreachable.
+func (s *State) closeSilentRemote(l *link, group string) {
 	t := s.overlay.groups[group]
-	if t != nil && !slices.Contains(t.failed, l.peer) {
-		t.failed = append(t.failed, l.peer)
-		t.silent++
-		if t.silent >= s.cfg.RegionTries && !t.lost {
-			t.lost = true
-			s.view.touchAll()
+	if t != nil && !slices.Contains(t.excluded, l.peer) {
+		t.excluded = append(t.excluded, l.peer)
+		t.failures++
+		if t.failures >= s.cfg.RegionTries && !t.unreachable {
+			t.unreachable = true
+			s.view.markAllChanged()
 		}
 	}
 	s.dropRole(l, roleRemote)
@@ -106,49 +108,49 @@
 	if t == nil {
 		return
 	}
-	skip := func(id request.TargetID) bool { return slices.Contains(t.failed, id) }
-	id := s.remote(s.self.ID, group, skip)
-	if id == 0 || len(t.failed) >= maxTries {
-		t.failed = nil
+	skip := func(id request.TargetID) bool { return slices.Contains(t.excluded, id) }
+	id := s.remoteNeighbour(s.self.ID, group, skip)
+	if id == 0 || len(t.excluded) >= maxExcluded {
+		t.excluded = nil
 		return
 	}
 	if l := s.openLink(now, id, roleRemote); l != nil {
-		l.heard = max(l.heard, now)
-		l.due = now + s.jitter(s.cfg.RetryAfter)
+		l.lastHeard = max(l.lastHeard, now)
+		l.nextDue = now + s.jitter(s.cfg.RetryAfter)
 	}
 }
 
-// refused handles a peer that takes no more links: the next one is tried, and
-// the region counts as reachable.
-func (s *State) refused(now time.Duration, l *link) {
+// handleLinkRejected handles a peer that accepts no more links: another one is
+// tried, and the region counts as reachable.
+func (s *State) handleLinkRejected(now time.Duration, l *link) {
 	if l.roles&roleRemote == 0 {
 		return
 	}
 	if t := s.overlay.groups[s.groupOf(s.regionOf(l.peer))]; t != nil {
-		t.failed = append(t.failed, l.peer)
+		t.excluded = append(t.excluded, l.peer)
 	}
 	s.dropRole(l, roleRemote)
 }
 
-// reached notes that a member of another group was heard.
-func (s *State) reached(l *link) {
+// markGroupReachable records that a member of another group was heard.
+func (s *State) markGroupReachable(l *link) {
 	g := s.groupOf(s.regionOf(l.peer))
 	t := s.overlay.groups[g]
 	if g == s.overlay.group || t == nil {
 		return
 	}
-	t.silent = 0
-	if t.lost {
-		t.lost = false
-		s.view.touchAll()
+	t.failures = 0
+	if t.unreachable {
+		t.unreachable = false
+		s.view.markAllChanged()
 	}
 	if l.roles&roleRemote != 0 {
-		t.failed = nil
+		t.excluded = nil
 	}
 }
 
-// unreachableGroup reports whether a region's group can't be reached.
-func (s *State) unreachableGroup(region string) bool {
+// isGroupUnreachable reports whether a region's group is unreachable.
+func (s *State) isGroupUnreachable(region string) bool {
 	t := s.overlay.groups[s.groupOf(region)]
-	return t != nil && t.lost
+	return t != nil && t.unreachable
 }
--- a/internal/core/member/short.go
+++ b/internal/core/member/shortform.go
@@ -8,33 +8,33 @@
 	"peardrift/internal/status"
 )
 
-// What members tell each other after the loss or the return of a zone is deaths
-// and returns in thousands, so it matters that they are small. They travel as
-// bytes in a fixed form, without a mark of type for each number.
+// After the loss or the return of a zone, members exchange deaths and returns
+// by the thousands, so their size matters. They are encoded as bytes of fixed
+// layout, without a type byte for each number.
 
-// Death is a Change to Unreachable in short form. A receiver takes it only for a
-// member that it knows and that fits uniquely.
+// Death is a Change to Unreachable in short form. A receiver applies it only to
+// a known member that it identifies uniquely.
 type Death struct {
-	ID          uint32 // upper half of the identity
+	ID          uint32 // upper half of the ID
 	Incarnation uint16 // lower half of the incarnation
 }
 
-// Back is a Change to Alive in short form, of a member whose contents haven't
-// changed. A receiver takes it only for a member that it knows with these
-// contents and that fits uniquely.
+// Back is a Change to Alive in short form, of a member whose contents have not
+// changed. A receiver applies it only to a known member with these contents
+// that it identifies uniquely.
 type Back struct {
-	ID          uint32 // upper half of the identity
+	ID          uint32 // upper half of the ID
 	Incarnation uint32
-	Body        uint16 // lower part of Change.Body
+	Body        uint16 // lower 16 bits of Change.Body
 }
 
-// Deaths and Backs are lists of them in a Message.
+// Deaths and Backs are the lists in a Message.
 type (
 	Deaths []Death
 	Backs  []Back
 )
 
-// Encoded sizes in bytes, and that of a list's head.
+// Encoded sizes in bytes; shortListSize is that of a list's header.
 const (
 	deathSize     = 6
 	backSize      = 10
@@ -53,7 +53,7 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (l *Deaths) DecodeMsgpack(d *msgpack.Decoder) error {
-	b, err := shortItems(d, deathSize)
+	b, err := readShortItems(d, deathSize)
 	for ; len(b) > 0; b = b[deathSize:] {
 		*l = append(*l, Death{binary.BigEndian.Uint32(b), binary.BigEndian.Uint16(b[4:])})
 	}
@@ -73,7 +73,7 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (l *Backs) DecodeMsgpack(d *msgpack.Decoder) error {
-	b, err := shortItems(d, backSize)
+	b, err := readShortItems(d, backSize)
 	for ; len(b) > 0; b = b[backSize:] {
 		*l = append(*l, Back{
 			binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), binary.BigEndian.Uint16(b[8:]),
@@ -82,25 +82,26 @@
 	return err
 }
 
-// shortItems reads a list's bytes, which are so many items of a size.
-func shortItems(d *msgpack.Decoder, size int) ([]byte, error) {
+// readShortItems reads the bytes of a list, a multiple of size.
+func readShortItems(d *msgpack.Decoder, size int) ([]byte, error) {
 	b, err := d.DecodeBytes()
 	if err != nil {
 		return nil, err
 	}
 	if len(b)%size != 0 {
-		return nil, status.New(status.CodeProtocol, "%d bytes of items of %d", len(b), size)
+		return nil, status.New(status.CodeProtocol, "a list of %d bytes is not a multiple of the item size %d", len(b), size)
 	}
 	return b, nil
 }
 
-// bodyLow is the part of a body's digest that a Back carries. The rest is what the
-// receiver holds: it is wrong only for a member whose contents changed while the
-// receiver missed it, and then in one of 65,536 cases.
-const bodyLow = 1<<16 - 1
+// shortBodyMask selects the part of a body's digest that a Back carries. The
+// rest is taken from the receiver's entry: it is wrong only for a member whose
+// contents changed while the receiver missed it, and then in one of 65,536
+// cases.
+const shortBodyMask = 1<<16 - 1
 
-// putShort adds a member's change to a message in short form if it has one.
-func (s *State) putShort(m *Message, it *item, e *entry, room int) (bytes int, done bool) {
+// addShort adds a member's change to a message in short form if it has one.
+func (s *State) addShort(m *Message, it *item, e *entry, room int) (bytes int, done bool) {
 	short, ok := s.tab.shortID(e.id)
 	switch {
 	case !ok:
@@ -110,11 +111,11 @@
 		}
 		m.Deaths = append(m.Deaths, Death{short, uint16(e.inc)})
 		return deathSize, true
-	case e.status == Alive && it.class == classDeath && !e.lacks():
+	case e.status == Alive && it.class == classDeath && !e.needsRecord():
 		if backSize+shortListSize > room {
 			return -1, true
 		}
-		m.Backs = append(m.Backs, Back{short, e.inc, uint16(e.bodySum() & bodyLow)})
+		m.Backs = append(m.Backs, Back{short, e.inc, uint16(e.bodyDigest() & shortBodyMask)})
 		return backSize, true
 	}
 	return 0, false
--- a/internal/core/member/short_test.go
+++ b/internal/core/member/shortform_test.go
@@ -14,8 +14,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// pairOf returns two states that know the same n other members.
-func pairOf(n int) (a, b *State, known []*Record) {
+// newStatePair returns two states that know the same n other members.
+func newStatePair(n int) (a, b *State, known []*Record) {
 	for i := range n {
 		r := testRecord(i+2, "bkk", fmt.Sprintf("z%d", i%3))
 		known = append(known, &r)
@@ -27,19 +27,18 @@
 	return a, b, known
 }
 
-// Symptom: after a lost zone is back, the last news of it takes minutes. Events:
-// members return unchanged, with new incarnations. Cause: each return is told in
-// full. And what short forms must not do: bring back a member that leaves, one
-// whose contents changed, or one that isn't known.
-func TestReturnsAreShort(t *testing.T) {
+// Members that return unchanged after the loss of a zone must use the short
+// form; sending each in full took minutes. Short forms must not revive a member
+// that leaves, one whose contents changed, or one that is unknown.
+func TestRecoveriesUseShortForm(t *testing.T) {
 	is := is.New(t)
-	a, b, known := pairOf(40)
+	a, b, known := newStatePair(40)
 	b.Load(known)
 	m := &Message{}
 	for _, r := range known {
 		c := Change{ID: r.ID, Incarnation: r.Incarnation + 1000, Body: r.Body()}
-		a.store(time.Second, c, nil)
-		_, ok := a.put(m, &item{key: memberKey(r.ID), class: classDeath}, 2000)
+		a.storeEntry(time.Second, c, nil)
+		_, ok := a.addItem(m, &item{key: memberKey(r.ID), class: classDeath}, 2000)
 		is.True(ok)
 	}
 	is.Equal(len(m.Backs), len(known))
@@ -53,7 +52,7 @@
 	leaving, changed, gone := known[0], known[1], known[2]
 	b.applyChange(time.Second, Change{ID: leaving.ID, Incarnation: leaving.Incarnation + 1000, Status: Leaving, Body: leaving.Body()}, 0)
 	b.applyChange(time.Second, Change{ID: changed.ID, Incarnation: changed.Incarnation + 500, Body: changed.Body() ^ 1}, 0)
-	b.forget(gone.ID)
+	b.removeMember(gone.ID)
 	b.receive(2*time.Second, &got, nil)
 	is.Equal(b.tab.get(leaving.ID).status, Leaving)
 	is.Equal(b.tab.get(changed.ID).inc, changed.Incarnation+500)
@@ -63,8 +62,7 @@
 	}
 }
 
-// Deaths travel in six bytes each and arrive as they were; a list that is cut off
-// is refused.
+// Deaths take six bytes each and round-trip; a truncated list is rejected.
 func TestShortFormsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	in := Message{Deaths: Deaths{{1, 2}, {1<<32 - 1, 1<<16 - 1}}, Backs: Backs{{3, 1<<32 - 1, 4}}}
@@ -73,18 +71,17 @@
 	var out Message
 	is.NoErr(msgpack.Unmarshal(body, &out))
 	is.Equal(in, out)
-	cut, err := msgpack.Marshal([]byte{1, 2, 3, 4, 5, 6, 7})
+	truncated, err := msgpack.Marshal([]byte{1, 2, 3, 4, 5, 6, 7})
 	is.NoErr(err)
-	is.True(msgpack.Unmarshal(cut, &out.Deaths) != nil)
-	is.True(msgpack.Unmarshal(cut, &out.Backs) != nil)
+	is.True(msgpack.Unmarshal(truncated, &out.Deaths) != nil)
+	is.True(msgpack.Unmarshal(truncated, &out.Backs) != nil)
 }
 
-// Symptom: a member that joins a large fleet fetches for minutes, and the return
-// of a zone starves the news. Events: it pulls the whole state. Cause: records
-// that are much alike travel in full.
+// Pulled records are packed: sending similar records in full makes a join of a
+// large fleet take minutes, and the return of a zone starves other gossip.
 func TestPulledRecordsArePacked(t *testing.T) {
 	is := is.New(t)
-	a, b, known := pairOf(500)
+	a, b, known := newStatePair(500)
 	a.applyChange(0, Change{ID: known[7].ID, Incarnation: known[7].Incarnation, Status: Leaving, Body: known[7].Body()}, 0)
 	const room = 1000
 	m := &Message{Kind: Pull}
@@ -112,8 +109,8 @@
 	is.True(3*sent < raw)
 }
 
-// Symptom: a node runs out of memory. Events: a peer sends a few bytes that expand
-// to gigabytes, or that are cut off. Cause: they are expanded without a bound.
+// Decompression must be bounded: a few bytes from a peer may expand to
+// gigabytes and exhaust the memory. Truncated input is rejected.
 func TestUnpackIsBounded(t *testing.T) {
 	is := is.New(t)
 	var bomb bytes.Buffer
--- a/internal/core/member/start_test.go
+++ b/internal/core/member/start_test.go
@@ -9,55 +9,56 @@
 	"github.com/matryer/is"
 )
 
-// Guards against members that start together and stay strangers: each joins through
-// what the first few offered, when those knew of few others themselves.
-func TestFleetThatStartsAtOnceKnowsItself(t *testing.T) {
-	const catchUp = 6 * time.Second
+// Guards against members that start together and do not converge: each joins
+// through the first few seeds, which know few others themselves.
+func TestSimultaneousStartConverges(t *testing.T) {
+	const convergeTime = 6 * time.Second
 	for _, size := range []int{16, 96, 200} {
 		t.Run(fmt.Sprintf("members=%d", size), func(t *testing.T) {
 			net := newTestNet(DefaultConfig(), uint64(size))
 			net.cfg.JoinRetry, net.cfg.CallTimeout = 150*time.Millisecond, 700*time.Millisecond
-			const offered, over = 16, 300 * time.Millisecond
+			const seedCount, startWindow = 16, 300 * time.Millisecond
 			for i := range size {
-				net.start(testRecord(i, "r", fmt.Sprintf("z%d", i%6)), net.nodes[:min(i, offered)]...)
-				net.run(over / time.Duration(size) / testDelay * testDelay)
+				net.start(testRecord(i, "r", fmt.Sprintf("z%d", i%6)), net.nodes[:min(i, seedCount)]...)
+				net.run(startWindow / time.Duration(size) / testDelay * testDelay)
 			}
-			net.run(catchUp)
-			least := size
+			net.run(convergeTime)
+			minKnown := size
 			for _, n := range net.nodes {
-				least = min(least, known(n))
+				minKnown = min(minKnown, countAlive(n))
 			}
-			if least < size {
-				t.Errorf("a member knows %d of %d after %v", least, size, catchUp)
+			if minKnown < size {
+				t.Errorf("a member knows %d of %d after %v", minKnown, size, convergeTime)
 			}
 		})
 	}
 }
 
-// known counts the members whose records a node has.
-func known(n *testNode) int {
-	c := 0
+// countAlive counts the alive members whose records a node has.
+func countAlive(n *testNode) int {
+	count := 0
 	n.s.Snapshot().All(func(m Member) bool {
 		if m.Status == Alive {
-			c++
+			count++
 		}
 		return true
 	})
-	return c
+	return count
 }
 
-// Guards against members that join holding up the news of one that has long been there:
-// it gives the state within its budget, and only one that has just started beyond it.
-func TestTheStateIsGivenBeyondTheBudgetOnlyAfterAStart(t *testing.T) {
+// Guards against joining members that delay the gossip of a long-running one:
+// it serves the state within its budget, and only a recently started one
+// exceeds it.
+func TestPullExceedsBudgetOnlyAfterStart(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 1)
-	net.cluster(30, oneRegion)
+	net.startCluster(30, oneRegion)
 	net.run(5 * time.Second)
 	n := net.nodes[3].s
 	pull := func() *Message {
 		n.Spend(1 << 20)
 		return n.HandleRequest(net.Now, &Message{
-			Kind: Pull, From: net.nodes[4].rec.ID, Status: Alive, Incarnation: 100, Room: maxJoin * uint32(net.cfg.MaxItems),
+			Kind: Pull, From: net.nodes[4].rec.ID, Status: Alive, Incarnation: 100, Room: maxJoinFactor * uint32(net.cfg.MaxItems),
 		})
 	}
 	is.True(len(pull().Packed) > 0)
@@ -65,45 +66,46 @@
 	is.Equal(len(pull().Packed), 0)
 }
 
-// Guards against a fleet at rest whose members go on fetching the state.
-func TestTheStateIsNotFetchedAgainAtRest(t *testing.T) {
+// Guards against members that continue to fetch the state at steady state.
+func TestNoRefreshAtSteadyState(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 1)
-	net.cluster(30, oneRegion)
+	net.startCluster(30, oneRegion)
 	net.run(net.cfg.CatchUp + 5*time.Second)
 	for _, n := range net.nodes {
-		n.s.join.refreshes = 0
+		n.s.join.refreshCount = 0
 	}
 	net.run(30 * time.Second)
 	for _, n := range net.nodes {
-		is.Equal(n.s.join.refreshes, 0)
+		is.Equal(n.s.join.refreshCount, 0)
 		is.True(!n.s.join.fetching)
 	}
 }
 
-// Guards against members that start together and send each other away: all of them are
-// in debt, and fetch the state again.
-func TestAMemberThatHasJustStartedLetsOthersIn(t *testing.T) {
+// Guards against members that start together and reject each other: all of them
+// have overspent their budgets, and fetch the state again.
+func TestRecentlyStartedMemberAcceptsJoins(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 1)
-	net.cluster(10, oneRegion)
+	net.startCluster(10, oneRegion)
 	net.run(3 * time.Second)
 	n := net.nodes[3].s
 	rec := testRecord(99, "bkk", "z1")
 	join := &Message{Kind: Join, From: rec.ID, Status: Alive, Incarnation: rec.Incarnation, Records: []*Record{&rec}}
-	n.join.again, n.join.fetching = true, true
+	n.join.refreshing, n.join.fetching = true, true
 	n.Spend(1 << 20)
 	is.True(!n.HandleRequest(net.Now, join).Full)
-	n.join.end()
+	n.join.endFetch()
 	net.run(net.cfg.CatchUp)
 	n.Spend(1 << 20)
-	is.True(n.HandleRequest(net.Now, join).Full) // one that has long been there keeps to its budget
+	is.True(n.HandleRequest(net.Now, join).Full) // a long-running member keeps to its budget
 }
 
-// Guards against a large fleet's state being fetched again by each member that starts.
-func TestTheStateOfALargeFleetIsNotFetchedAgain(t *testing.T) {
+// Guards against each starting member fetching the state of a large fleet
+// again.
+func TestLargeFleetIsNotRefreshed(t *testing.T) {
 	is := is.New(t)
-	for _, size := range []int{100, maxRefreshed + 1} {
+	for _, size := range []int{100, maxRefreshMembers + 1} {
 		s := New(DefaultConfig(), testRecord(0, "bkk", "z"), rand.New(rand.NewPCG(1, 1)))
 		var records []*Record
 		for i := range size {
@@ -112,6 +114,6 @@
 		}
 		s.Load(records)
 		s.Tick(time.Second)
-		is.Equal(s.join.again, size <= maxRefreshed)
+		is.Equal(s.join.refreshing, size <= maxRefreshMembers)
 	}
 }
--- a/internal/core/member/state.go
+++ b/internal/core/member/state.go
@@ -10,38 +10,38 @@
 
 // State is one node's membership. See the package comment for its contract.
 type State struct {
-	cfg  Config
-	rng  *rand.Rand
-	self Record // contents as published; Incarnation is that of publication
-	inc  uint32 // present incarnation
-	body uint32 // digest of self
-	stat Status // Alive, Leaving or Dead
+	cfg    Config
+	rng    *rand.Rand
+	self   Record // contents as published; Incarnation is that of publication
+	inc    uint32 // current incarnation
+	body   uint32 // digest of self
+	status Status // Alive, Leaving or Dead
 
-	tab     table
-	queue   queue
-	links   map[request.TargetID]*link
-	order   []*link // links in the order of their opening, for determinism
-	slots   [maxLinks]bool
-	lacks   lackList
-	lost    map[request.TargetID]time.Duration // since when members aren't live
-	overlay overlay
-	join    joinState
-	quiet   bool             // what is received was asked for, and is no news to others
-	teller  request.TargetID // the link's peer whose message is being received
-	budget  *budget.Bucket
-	rider   Rider // nil if nothing rides along
-	actions []Action
-	view    viewCache
+	tab           table
+	queue         queue
+	links         map[request.TargetID]*link
+	linkOrder     []*link // links in opening order, for determinism
+	slots         [maxLinks]bool
+	missing       missingList
+	notLiveSince  map[request.TargetID]time.Duration // time at which members stopped being live
+	overlay       overlay
+	join          joinState
+	suppressRelay bool             // what is received was requested, and is not relayed
+	sender        request.TargetID // the link's peer whose message is being processed
+	budget        *budget.Bucket
+	rider         Rider // nil if nothing is piggybacked
+	actions       []Action
+	view          viewCache
 
 	lastTick   time.Duration
-	started    time.Duration // the first tick
+	started    time.Duration // time of the first tick
 	ticked     bool
 	nextProbe  time.Duration
 	nextExpiry time.Duration
 	stats      Stats
 }
 
-// Stats counts what State did since its start.
+// Stats counts the operations of State since its start.
 type Stats struct {
 	Exchanges, Failures, Requests uint64
 	Pauses, Suspicions, Deaths    uint64
@@ -50,32 +50,32 @@
 	ItemsNew                      uint64
 }
 
-// New returns the state of a member that knows nobody yet. self.ID and
+// New returns the state of a member that knows no other. self.ID and
 // self.Incarnation must be set; the record is copied.
 func New(cfg Config, self Record, rng *rand.Rand) *State {
 	s := &State{
-		cfg:     cfg,
-		rng:     rng,
-		self:    self,
-		inc:     self.Incarnation,
-		queue:   newQueue(cfg.Fanout),
-		body:    self.Body(),
-		links:   make(map[request.TargetID]*link),
-		lost:    make(map[request.TargetID]time.Duration),
-		budget:  budget.New(cfg.Budget, cfg.Burst, cfg.StartBudget),
-		overlay: newOverlay(),
+		cfg:          cfg,
+		rng:          rng,
+		self:         self,
+		inc:          self.Incarnation,
+		queue:        newQueue(cfg.Fanout),
+		body:         self.Body(),
+		links:        make(map[request.TargetID]*link),
+		notLiveSince: make(map[request.TargetID]time.Duration),
+		budget:       budget.New(cfg.Budget, cfg.Burst, cfg.StartBudget),
+		overlay:      newOverlay(),
 	}
-	s.store(0, s.selfChange(), s.selfRecord())
+	s.storeEntry(0, s.selfChange(), s.selfRecord())
 	return s
 }
 
-// Load takes over members that are known for sure to be alive, without telling
-// anyone. records must be sorted by identity and are shared, not copied.
+// Load adds members that are certain to be alive, without gossiping them.
+// records must be sorted by ID and are shared, not copied.
 func (s *State) Load(records []*Record) {
 	s.tab.reserve(len(records))
 	for _, r := range records {
 		if r.ID != s.self.ID && validRecord(r) {
-			s.store(0, Change{ID: r.ID, Incarnation: r.Incarnation, Body: r.Body()}, r)
+			s.storeEntry(0, Change{ID: r.ID, Incarnation: r.Incarnation, Body: r.Body()}, r)
 		}
 	}
 }
@@ -86,37 +86,37 @@
 }
 
 func (s *State) selfChange() Change {
-	return Change{ID: s.self.ID, Incarnation: s.inc, Status: s.stat, Body: s.body}
+	return Change{ID: s.self.ID, Incarnation: s.inc, Status: s.status, Body: s.body}
 }
 
-// ID returns the member's own identity.
+// ID returns the member's own ID.
 func (s *State) ID() request.TargetID { return s.self.ID }
 
-// Incarnation returns the member's present incarnation.
+// Incarnation returns the member's current incarnation.
 func (s *State) Incarnation() uint32 { return s.inc }
 
 // Stats returns the counters.
 func (s *State) Stats() Stats { return s.stats }
 
-// Leave says that the member drains: nobody gives it new work.
+// Leave announces that the member drains: others send it no new calls.
 func (s *State) Leave(now time.Duration) { s.setSelf(now, Leaving) }
 
-// Depart says that the member is gone for good. The caller should go on ticking
-// for a second or two, so that others hear of it.
+// Depart announces that the member leaves for good. The caller should continue
+// to call Tick for a second or two, so that others receive it.
 func (s *State) Depart(now time.Duration) { s.setSelf(now, Dead) }
 
 func (s *State) setSelf(_ time.Duration, st Status) {
-	if st <= s.stat {
+	if st <= s.status {
 		return
 	}
-	s.stat = st
+	s.status = st
 	s.publishSelf(true)
 }
 
 // Update publishes new contents of the member's own record under a higher
-// incarnation. The identity can't change; a leaving member stays leaving.
+// incarnation. The ID cannot change; it has no effect on a leaving member.
 func (s *State) Update(now time.Duration, r Record) {
-	if s.stat != Alive {
+	if s.status != Alive {
 		return
 	}
 	r.ID = s.self.ID
@@ -128,17 +128,17 @@
 func (s *State) publishSelf(known bool) {
 	c := s.selfChange()
 	rec := s.selfRecord()
-	if s.stat == Dead {
+	if s.status == Dead {
 		rec = nil
 	}
-	s.store(0, c, rec)
+	s.storeEntry(0, c, rec)
 	s.queue.put(memberKey(s.self.ID), classOf(c, known), s.allLinks(), 0)
 }
 
-// refute answers news that would have this live member unreachable or gone: it
-// takes a higher incarnation. One that is leaving is leaving in that as well.
+// refute counters a claim that this live member is unreachable or dead: it
+// takes a higher incarnation. A leaving member keeps that status.
 func (s *State) refute(c Change) {
-	if s.stat == Dead || !c.newer(s.inc, s.stat) {
+	if s.status == Dead || !c.supersedes(s.inc, s.status) {
 		return
 	}
 	s.stats.Refutations++
@@ -146,8 +146,8 @@
 	s.publishSelf(true)
 }
 
-// PutFact makes a fact known to all members. Older versions than the known one
-// are ignored, as are values over MaxFactValue.
+// PutFact replicates a fact to all members. It ignores versions that are not
+// newer than the known one, and values over MaxFactValue.
 func (s *State) PutFact(_ time.Duration, f Fact) bool {
 	return s.applyFact(f, s.allLinks())
 }
@@ -171,34 +171,35 @@
 	return Fact{}, false
 }
 
-// Spend reports the bytes of one message, sent or received, as they went over
-// the wire with headers.
+// Spend reports the size in bytes of one message, sent or received, on the wire
+// with headers.
 func (s *State) Spend(bytes int) { s.budget.Spend(bytes) }
 
-// Budget returns the bucket that all control traffic of the node shares.
+// Budget returns the token bucket that all control traffic of the node shares.
 func (s *State) Budget() *budget.Bucket { return s.budget }
 
-// Tick advances the state to now and returns what must be done.
+// Tick advances the state to now and returns the actions to execute.
 func (s *State) Tick(now time.Duration) []Action {
-	s.notePause(now)
+	s.detectPause(now)
 	s.budget.Refill(now)
 	s.tickJoin(now)
 	s.tickRefresh(now)
 	s.tickOverlay(now)
 	s.tickLinks(now)
-	s.watch(now)
+	s.checkSubjects(now)
 	s.tickSeeds(now)
-	s.reprobe(now)
+	s.probeUnreachable(now)
 	s.expire(now)
 	out := s.actions
 	s.actions = nil
 	return out
 }
 
-// notePause guards against this process's own pauses. After one, every peer
-// looks silent for as long as the pause took, and a node that trusted that would
-// condemn all its subjects at once. So silence counts anew from the pause's end.
-func (s *State) notePause(now time.Duration) {
+// detectPause handles pauses of this process. After one, every peer appears
+// silent for the length of the pause, and without a correction the node would
+// declare all its subjects unreachable at once. So silence is measured anew
+// from the pause's end.
+func (s *State) detectPause(now time.Duration) {
 	if !s.ticked {
 		s.started = now
 	}
@@ -208,14 +209,14 @@
 		return
 	}
 	s.stats.Pauses++
-	for _, l := range s.order {
-		l.heard = max(l.heard, now-s.cfg.SuspectAfter/2)
+	for _, l := range s.linkOrder {
+		l.lastHeard = max(l.lastHeard, now-s.cfg.SuspectAfter/2)
 		l.votes = nil
-		l.due = now + s.jitter(s.cfg.RetryAfter)
+		l.nextDue = now + s.jitter(s.cfg.RetryAfter)
 	}
 }
 
-// jitter draws a duration in [0, d).
+// jitter returns a random duration in [0, d).
 func (s *State) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -225,47 +226,47 @@
 
 func (s *State) allLinks() uint32 {
 	var m uint32
-	for _, l := range s.order {
+	for _, l := range s.linkOrder {
 		m |= l.bit()
 	}
 	return m
 }
 
-// expire drops unreachable members and tombstones that are old enough.
+// expire removes unreachable members and tombstones whose retention has ended.
 func (s *State) expire(now time.Duration) {
 	if now < s.nextExpiry {
 		return
 	}
 	s.nextExpiry = now + s.cfg.ReprobeEvery
 	var oldest request.TargetID
-	for id, since := range s.lost {
+	for id, since := range s.notLiveSince {
 		e := s.tab.get(id)
 		switch {
-		case e == nil || e.status.live():
-			delete(s.lost, id)
+		case e == nil || e.status.isLive():
+			delete(s.notLiveSince, id)
 			continue
 		case e.status == Unreachable && now-since > s.cfg.KeepUnreachable:
-			s.bury(now, e)
+			s.makeTombstone(now, e)
 		case e.status == Dead && now-since > s.cfg.KeepDead:
-			s.forget(id)
+			s.removeMember(id)
 			continue
 		}
-		if e.status == Dead && (oldest == 0 || since < s.lost[oldest] || since == s.lost[oldest] && id < oldest) {
+		if e.status == Dead && (oldest == 0 || since < s.notLiveSince[oldest] || since == s.notLiveSince[oldest] && id < oldest) {
 			oldest = id
 		}
 	}
 	if s.tab.dead > s.cfg.MaxDead {
-		s.forget(oldest)
+		s.removeMember(oldest)
 	}
 }
 
-// bury turns a member that stayed unreachable into a tombstone. Every member
-// does so by itself, so nothing is sent.
-func (s *State) bury(now time.Duration, e *entry) {
-	s.store(now, Change{ID: e.id, Incarnation: e.inc, Status: Dead}, nil)
+// makeTombstone turns a member that stayed unreachable into a tombstone. Every
+// member does so by itself, so nothing is sent.
+func (s *State) makeTombstone(now time.Duration, e *entry) {
+	s.storeEntry(now, Change{ID: e.id, Incarnation: e.inc, Status: Dead}, nil)
 }
 
-func (s *State) forget(id request.TargetID) {
+func (s *State) removeMember(id request.TargetID) {
 	s.tab.remove(id)
-	delete(s.lost, id)
+	delete(s.notLiveSince, id)
 }
--- a/internal/core/member/state_test.go
+++ b/internal/core/member/state_test.go
@@ -31,9 +31,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			net := newTestNet(DefaultConfig(), 1)
-			net.cluster(tt.n, tt.region)
+			net.startCluster(tt.n, tt.region)
 			net.run(40 * time.Second)
-			is.Equal(net.disagree(), "")
+			is.Equal(net.difference(), "")
 			for _, n := range net.nodes {
 				is.Equal(len(n.s.tab.members), tt.n)
 				is.Equal(n.s.Stats().Deaths, uint64(0))
@@ -45,7 +45,7 @@
 func TestLeaveAndFactsSpread(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 2)
-	net.cluster(30, twoRegions)
+	net.startCluster(30, twoRegions)
 	net.run(40 * time.Second)
 	net.nodes[3].s.Leave(net.Now)
 	net.nodes[4].s.PutFact(net.Now, Fact{Kind: ConfigHead, Key: 7, Version: 9, Value: []byte("digest")})
@@ -63,13 +63,13 @@
 	for _, n := range net.nodes {
 		is.Equal(net.status(n, net.nodes[3]), "dead")
 	}
-	is.Equal(net.disagree(), "")
+	is.Equal(net.difference(), "")
 }
 
-func TestDeadMemberIsFoundAndReturns(t *testing.T) {
+func TestFailedMemberIsDetectedAndRejoins(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 3)
-	net.cluster(20, oneRegion)
+	net.startCluster(20, oneRegion)
 	net.run(30 * time.Second)
 	net.nodes[5].down = true
 	net.run(30 * time.Second)
@@ -77,16 +77,16 @@
 	net.restart(5, net.nodes[0])
 	net.run(20 * time.Second)
 	is.Equal(net.status(net.nodes[0], net.nodes[19]), "alive")
-	is.Equal(net.disagree(), "")
+	is.Equal(net.difference(), "")
 }
 
-// TestRestartIsSeen: symptom: a restarted target gets no calls, or too many while
-// it is cold. Events: it dies, and starts again with the same contents. Cause:
-// its record needn't be sent again, so others keep the old incarnation of it.
-func TestRestartIsSeen(t *testing.T) {
+// A target that restarts with the same contents does not send its record again;
+// others must still see its new incarnation, or it gets no calls, or too many
+// while it is cold.
+func TestRestartUpdatesIncarnation(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 6)
-	net.cluster(10, oneRegion)
+	net.startCluster(10, oneRegion)
 	net.run(20 * time.Second)
 	net.nodes[5].down = true
 	net.run(25 * time.Second)
@@ -100,20 +100,20 @@
 		is.Equal(m.Incarnation, uint32(110))
 	}
 	n := net.nodes[9]
-	n.frozen = net.Now + 30*time.Second
+	n.frozenUntil = net.Now + 30*time.Second
 	net.run(45 * time.Second)
 	m, _ := net.nodes[0].s.Lookup(n.rec.ID)
 	is.Equal(m.Incarnation, uint32(111)) // it refuted
 	is.Equal(m.Record.Incarnation, uint32(110))
 }
 
-func TestFreezeOfFiveSecondsKillsNobody(t *testing.T) {
+func TestFiveSecondFreezeCausesNoDeaths(t *testing.T) {
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 4)
-	net.cluster(20, oneRegion)
+	net.startCluster(20, oneRegion)
 	net.run(30 * time.Second)
 	for i := range 20 {
-		net.nodes[i].frozen = net.Now + 5*time.Second
+		net.nodes[i].frozenUntil = net.Now + 5*time.Second
 		net.run(7 * time.Second)
 	}
 	for _, n := range net.nodes {
--- a/internal/core/member/sync.go
+++ b/internal/core/member/sync.go
@@ -2,30 +2,32 @@
 
 import "peardrift/internal/core/request"
 
-// The digest tree splits the key space sixteenfold on each level. Two members
-// that differ walk down to the leaves that do, and exchange only those.
+// The digest tree divides the key space by 16 on each level. Two members that
+// differ descend to the differing leaves, and exchange only those.
 const (
-	fanOut     = 16
-	fanBits    = 4
-	leafDepth  = 3
-	smallLeaf  = 4 // nodes with so few entries are sent as leaves at once
-	maxSync    = 64
-	syncAfter  = 2 // exchanges that must differ in a row
-	ridingSync = 8 // the same while heads come with the configuration
-	maxEntries = 256
+	treeFanout             = 16
+	treeFanoutBits         = 4
+	leafDepth              = 3
+	maxSmallEntries        = 4 // nodes with at most this many entries are sent as leaves at once
+	maxSyncNodes           = 64
+	syncThreshold          = 2 // consecutive exchanges that must differ
+	piggybackSyncThreshold = 8 // syncThreshold while heads come with the configuration
+	maxLeafEntries         = 256
 )
 
-// node names a node of the digest tree.
-type node struct {
+// treeNode identifies a node of the digest tree.
+type treeNode struct {
 	prefix uint32
 	depth  uint8
 }
 
-func (n node) child(i int) node { return node{n.prefix<<fanBits | uint32(i), n.depth + 1} }
+func (n treeNode) child(i int) treeNode {
+	return treeNode{n.prefix<<treeFanoutBits | uint32(i), n.depth + 1}
+}
 
-// bounds returns the first key of the node and the number of its keys, less one.
-func (n node) bounds() (first, last uint64) {
-	bits := fanBits * uint(n.depth)
+// bounds returns the first and the last key of the node.
+func (n treeNode) bounds() (first, last uint64) {
+	bits := treeFanoutBits * uint(n.depth)
 	if bits == 0 {
 		return 0, ^uint64(0)
 	}
@@ -33,8 +35,8 @@
 	return first, first | ^uint64(0)>>bits
 }
 
-// members returns the range of the members below a node.
-func (t *table) memberRange(n node) (from, to int) {
+// memberRange returns the index range of the members below a node.
+func (t *table) memberRange(n treeNode) (from, to int) {
 	first, last := n.bounds()
 	from, _ = t.index(request.TargetID(first))
 	to, ok := t.index(request.TargetID(last))
@@ -44,7 +46,7 @@
 	return from, to
 }
 
-func (t *table) factRange(n node) (from, to int) {
+func (t *table) factRange(n treeNode) (from, to int) {
 	first, last := n.bounds()
 	from, _ = t.factIndex(first)
 	to, ok := t.factIndex(last)
@@ -55,69 +57,69 @@
 }
 
 // childSums returns the digests of a node's children.
-func (t *table) childSums(n node) []uint32 {
-	var sums [fanOut]uint64
+func (t *table) childSums(n treeNode) []uint32 {
+	var sums [treeFanout]uint64
 	switch n.depth {
 	case 0:
-		for i, sum := range t.sums {
-			sums[i/fanOut] += sum
+		for i, sum := range t.bucketSums {
+			sums[i/treeFanout] += sum
 		}
 	case 1:
-		copy(sums[:], t.sums[int(n.prefix)*fanOut:])
+		copy(sums[:], t.bucketSums[int(n.prefix)*treeFanout:])
 	default:
-		shift := 64 - fanBits*(uint(n.depth)+1)
+		shift := 64 - treeFanoutBits*(uint(n.depth)+1)
 		from, to := t.memberRange(n)
 		for i := from; i < to; i++ {
-			sums[uint64(t.members[i].id)>>shift%fanOut] += t.members[i].change().sum()
+			sums[uint64(t.members[i].id)>>shift%treeFanout] += t.members[i].change().sum()
 		}
 		from, to = t.factRange(n)
 		for i := from; i < to; i++ {
-			sums[t.facts[i].id>>shift%fanOut] += t.facts[i].fact.sum()
+			sums[t.facts[i].id>>shift%treeFanout] += t.facts[i].fact.sum()
 		}
 	}
-	out := make([]uint32, fanOut)
+	out := make([]uint32, treeFanout)
 	for i, sum := range sums {
 		out[i] = uint32(sum ^ sum>>32)
 	}
 	return out
 }
 
-func (t *table) leaf(n node) Leaf {
+func (t *table) leaf(n treeNode) Leaf {
 	l := Leaf{Prefix: n.prefix, Depth: n.depth}
 	from, to := t.memberRange(n)
-	for i := from; i < to && len(l.Changes) < maxEntries; i++ {
-		if t.members[i].status.live() {
+	for i := from; i < to && len(l.Changes) < maxLeafEntries; i++ {
+		if t.members[i].status.isLive() {
 			l.Changes = append(l.Changes, t.members[i].change())
 		}
 	}
 	from, to = t.factRange(n)
-	for i := from; i < to && len(l.Facts) < maxEntries; i++ {
+	for i := from; i < to && len(l.Facts) < maxLeafEntries; i++ {
 		f := &t.facts[i].fact
 		l.Facts = append(l.Facts, FactHead{f.Kind, f.Key, f.Version})
 	}
 	return l
 }
 
-func (t *table) small(n node) bool {
+func (t *table) isSmall(n treeNode) bool {
 	from, to := t.memberRange(n)
 	ffrom, fto := t.factRange(n)
-	return to-from+fto-ffrom <= smallLeaf
+	return to-from+fto-ffrom <= maxSmallEntries
 }
 
 // fillSync adds the nodes of the digest tree that are to be compared next. A
-// comparison begins when two members differ though nothing waits between them;
-// before that, the difference is news on its way.
+// comparison starts when two members differ though nothing is pending between
+// them; before that, the difference is an update in flight.
 func (s *State) fillSync(m *Message, l *link, room int) {
-	if s.join.partial() {
+	if s.join.isPartial() {
 		return
 	}
-	if len(l.sync) == 0 && l.mismatch >= s.syncAfter() && l.outgoing() && !s.waits(l) {
+	if len(l.syncNodes) == 0 && l.mismatch >= s.syncThreshold() && l.isOutgoing() && !s.hasPendingItems(l) {
 		l.mismatch = 0
-		l.sync = append(l.sync, node{})
+		l.syncNodes = append(l.syncNodes, treeNode{})
 	}
-	for len(l.sync) > 0 {
-		n := l.sync[0]
-		if n.depth >= leafDepth || s.tab.small(n) {
+	for len(l.syncNodes) > 0 {
+		n := l.syncNodes[0]
+		if n.depth >= leafDepth || s.tab.isSmall(n) {
 			leaf := s.tab.leaf(n)
 			if leaf.size() > room && room < s.cfg.MaxItems/2 {
 				return
@@ -131,30 +133,30 @@
 			m.Digests = append(m.Digests, Digest{Prefix: n.prefix, Depth: n.depth, Sums: s.tab.childSums(n)})
 			room -= digestSize
 		}
-		l.sync = l.sync[1:]
+		l.syncNodes = l.syncNodes[1:]
 	}
-	l.sync = nil
+	l.syncNodes = nil
 }
 
-// syncAfter returns how many exchanges with a peer must differ in a row before
-// it is compared with. While heads are told on few links, any two members differ
-// by some of them most of the time, though those are on their way: comparing would
-// cost more than it finds.
-func (s *State) syncAfter() int {
-	if s.queue.riding {
-		return ridingSync
-	}
-	return syncAfter
+// syncThreshold returns how many consecutive exchanges with a peer must differ
+// before a comparison starts. While heads are sent on few links, any two
+// members differ by some of them most of the time, though those are in flight:
+// comparing would cost more than it finds.
+func (s *State) syncThreshold() int {
+	if s.queue.piggybacking {
+		return piggybackSyncThreshold
+	}
+	return syncThreshold
 }
 
-// waits reports whether items wait for a link.
-func (s *State) waits(l *link) bool {
-	return s.queue.waiting(numClasses-1)&l.bit() != 0
+// hasPendingItems reports whether items are pending for a link.
+func (s *State) hasPendingItems(l *link) bool {
+	return s.queue.pendingLinks(numClasses-1)&l.bit() != 0
 }
 
-// compare follows up on the digests in a message.
-func (s *State) compare(m *Message, l *link) {
-	if m.Partial || s.join.partial() {
+// compareDigests processes the digests and leaves in a message.
+func (s *State) compareDigests(m *Message, l *link) {
+	if m.Partial || s.join.isPartial() {
 		return
 	}
 	if m.Root == s.tab.root {
@@ -163,13 +165,13 @@
 		l.mismatch++
 	}
 	for _, d := range m.Digests {
-		n := node{d.Prefix, d.Depth}
-		if d.Depth >= leafDepth || len(d.Sums) != fanOut || d.Prefix>>(fanBits*uint(d.Depth)) != 0 {
+		n := treeNode{d.Prefix, d.Depth}
+		if d.Depth >= leafDepth || len(d.Sums) != treeFanout || d.Prefix>>(treeFanoutBits*uint(d.Depth)) != 0 {
 			continue
 		}
 		for i, sum := range s.tab.childSums(n) {
-			if sum != d.Sums[i] && len(l.sync) < maxSync {
-				l.sync = append(l.sync, n.child(i))
+			if sum != d.Sums[i] && len(l.syncNodes) < maxSyncNodes {
+				l.syncNodes = append(l.syncNodes, n.child(i))
 			}
 		}
 	}
@@ -178,11 +180,12 @@
 	}
 }
 
-// compareLeaf makes what the peer lacks wait for it, and takes what it has.
+// compareLeaf makes the entries that the peer is missing pending for it, and
+// applies the peer's.
 func (s *State) compareLeaf(leaf *Leaf, l *link) {
-	n := node{leaf.Prefix, leaf.Depth}
-	if n.depth > leafDepth || n.prefix>>(fanBits*uint(n.depth)) != 0 ||
-		len(leaf.Changes) > maxEntries || len(leaf.Facts) > maxEntries {
+	n := treeNode{leaf.Prefix, leaf.Depth}
+	if n.depth > leafDepth || n.prefix>>(treeFanoutBits*uint(n.depth)) != 0 ||
+		len(leaf.Changes) > maxLeafEntries || len(leaf.Facts) > maxLeafEntries {
 		return
 	}
 	theirs := make(map[itemKey]bool, len(leaf.Changes)+len(leaf.Facts))
@@ -202,17 +205,17 @@
 	from, to := s.tab.memberRange(n)
 	for i := from; i < to; i++ {
 		e := &s.tab.members[i]
-		if e.status.live() && !theirs[memberKey(e.id)] {
-			s.queue.add(memberKey(e.id), classResend, l.bit())
+		if e.status.isLive() && !theirs[memberKey(e.id)] {
+			s.queue.addPending(memberKey(e.id), classResend, l.bit())
 		}
 	}
 	from, to = s.tab.factRange(n)
 	for i := from; i < to; i++ {
 		if key := factKey(s.tab.facts[i].id); !theirs[key] {
-			s.queue.add(key, classResend, l.bit())
+			s.queue.addPending(key, classResend, l.bit())
 		}
 	}
-	if behind && len(l.sync) < maxSync {
-		l.sync = append(l.sync, n)
+	if behind && len(l.syncNodes) < maxSyncNodes {
+		l.syncNodes = append(l.syncNodes, n)
 	}
 }
--- a/internal/core/member/table.go
+++ b/internal/core/member/table.go
@@ -7,84 +7,84 @@
 	"peardrift/internal/core/request"
 )
 
-// entry is what a node holds for each member: 32 bytes, so that the whole fleet
-// stays small. The record is shared and immutable; nil while it is not known.
+// entry is what a node holds for each member: 32 bytes, to limit the memory for
+// the whole fleet. The record is shared and immutable; nil while it is unknown.
 type entry struct {
-	id     request.TargetID
-	rec    *Record
-	inc    uint32
-	pub    uint32  // the incarnation that the present process began with
-	body   [3]byte // Change.Body
-	status Status
-	stale  bool // rec doesn't have the contents that body stands for
+	id          request.TargetID
+	rec         *Record
+	inc         uint32
+	processInc  uint32  // the incarnation that the current process started with
+	body        [3]byte // Change.Body
+	status      Status
+	recordStale bool // rec does not match the digest in body
 }
 
 func (e *entry) change() Change {
-	return Change{ID: e.id, Incarnation: e.inc, Status: e.status, Body: e.bodySum()}
+	return Change{ID: e.id, Incarnation: e.inc, Status: e.status, Body: e.bodyDigest()}
 }
 
-func (e *entry) bodySum() uint32 {
+func (e *entry) bodyDigest() uint32 {
 	return uint32(e.body[0]) | uint32(e.body[1])<<8 | uint32(e.body[2])<<16
 }
 
-// lacks reports whether the member's current record is not known.
-func (e *entry) lacks() bool { return e.status != Dead && (e.rec == nil || e.stale) }
+// needsRecord reports whether the member's current record is unknown.
+func (e *entry) needsRecord() bool { return e.status != Dead && (e.rec == nil || e.recordStale) }
 
-// hold takes a change and, if it is given, the record that belongs to it.
-func (e *entry) hold(c Change, rec *Record) {
+// apply stores a change and, if not nil, its record.
+func (e *entry) apply(c Change, rec *Record) {
 	if rec != nil {
-		e.rec, e.stale = rec, false
-	} else if c.Body != e.bodySum() {
-		e.stale = true
+		e.rec, e.recordStale = rec, false
+	} else if c.Body != e.bodyDigest() {
+		e.recordStale = true
 	}
-	if c.Incarnation > e.inc+1 { // one more is a refutation
-		e.pub = c.Incarnation
+	if c.Incarnation > e.inc+1 { // an increment of one is a refutation
+		e.processInc = c.Incarnation
 	}
 	if rec != nil {
-		e.pub = max(e.pub, rec.Incarnation)
+		e.processInc = max(e.processInc, rec.Incarnation)
 	}
 	e.inc, e.status = c.Incarnation, c.Status
 	e.body = [3]byte{byte(c.Body), byte(c.Body >> 8), byte(c.Body >> 16)}
 	if e.status == Dead {
-		e.rec, e.stale = nil, false
+		e.rec, e.recordStale = nil, false
 	}
 }
 
-// present reports whether the member takes part in the overlay.
-func (e *entry) present() bool { return e.rec != nil && e.status.live() }
+// isPresent reports whether the member takes part in the overlay.
+func (e *entry) isPresent() bool { return e.rec != nil && e.status.isLive() }
 
-// factEntry is a fact under its place in the key space.
+// factEntry is a fact with its position in the key space.
 type factEntry struct {
 	id   uint64
 	fact Fact
 }
 
-// table holds all members and facts, sorted by key, with running digests of its
-// 256 top-level buckets.
+// table holds all members and facts, sorted by key, with incremental digests of
+// its 256 top-level buckets.
 type table struct {
-	members []entry
-	facts   []factEntry
-	sums    [256]uint64
-	root    uint64
-	dead    int // number of tombstones
+	members    []entry
+	facts      []factEntry
+	bucketSums [256]uint64
+	root       uint64
+	dead       int // number of tombstones
 }
 
-// reserve makes room for n members and a few more, so that the first ones that
-// join later don't copy the table.
+// reserve allocates capacity for n members and a few more, so that the first
+// later joins do not copy the table.
 func (t *table) reserve(n int) {
 	const spare = 16
 	t.members = slices.Grow(t.members, n+n/spare)
 }
 
 func (t *table) add(id, sum uint64) {
-	t.sums[id>>56] += sum
+	t.bucketSums[id>>56] += sum
 	t.root += sum
 }
 
 func (t *table) sub(id, sum uint64) { t.add(id, -sum) }
 
-// index returns the place of id and whether it is there. The keys are hashes,
-// spread evenly, so a search by interpolation takes few steps.
+// index returns the position of id and whether it is present. The keys are
+// hashes, evenly distributed, so an interpolation search takes few steps.
 func (t *table) index(id request.TargetID) (int, bool) {
 	n := len(t.members)
 	if n == 0 {
@@ -103,7 +103,8 @@
 	return i, i < n && t.members[i].id == id
 }
 
-// get returns the entry of a member, or nil. It is valid until the next change.
+// get returns the entry of a member, or nil. It is valid until the next
+// modification of the table.
 func (t *table) get(id request.TargetID) *entry {
 	if i, ok := t.index(id); ok {
 		return &t.members[i]
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// shortID returns the upper half of an identity if no other member shares it.
+// shortID returns the upper half of an ID if no other member shares it.
 func (t *table) shortID(id request.TargetID) (uint32, bool) {
 	i, ok := t.index(id)
 	short := uint32(id >> 32)
@@ -122,8 +123,8 @@
 	return short, true
 }
 
-// byShort returns the one member whose identity begins so, or nil.
-func (t *table) byShort(short uint32) *entry {
+// getByShortID returns the only member with this upper half of the ID, or nil.
+func (t *table) getByShortID(short uint32) *entry {
 	i, _ := t.index(request.TargetID(short) << 32)
 	if i >= len(t.members) || uint32(t.members[i].id>>32) != short {
 		return nil
@@ -134,8 +135,8 @@
 	return &t.members[i]
 }
 
-// set stores the incarnation and status of a member, with its record if it is
-// given.
+// set stores the incarnation and status of a member, with its record if not
+// nil.
 func (t *table) set(c Change, rec *Record) *entry {
 	i, ok := t.index(c.ID)
 	if !ok {
@@ -148,7 +149,7 @@
 	if e.status == Dead {
 		t.dead--
 	}
-	e.hold(c, rec)
+	e.apply(c, rec)
 	if e.status == Dead {
 		t.dead++
 	}
@@ -156,7 +157,7 @@
 	return e
 }
 
-// remove forgets a member.
+// remove deletes a member.
 func (t *table) remove(id request.TargetID) {
 	i, ok := t.index(id)
 	if !ok {
@@ -175,7 +176,7 @@
 	return i, i < len(t.facts) && t.facts[i].id == id
 }
 
-// fact returns the fact at a key, or nil.
+// fact returns the fact with an ID, or nil.
 func (t *table) fact(id uint64) *Fact {
 	if i, ok := t.factIndex(id); ok {
 		return &t.facts[i].fact
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// putFact stores f if it is newer than what is known.
+// putFact stores f if it is newer than the known version.
 func (t *table) putFact(f Fact) bool {
 	id := factID(f.Kind, f.Key)
 	i, ok := t.factIndex(id)
@@ -201,8 +202,9 @@
 	return true
 }
 
-// trimFacts drops the oldest fact of a kind that exceeds limit. Which one goes
-// depends on the facts alone, so that all members drop the same.
+// trimFacts removes the fact of a kind with the lowest version if there are
+// more than limit. The choice depends on the facts alone, so that all members
+// remove the same one.
 func (t *table) trimFacts(kind FactKind, limit int) {
 	n, oldest := 0, -1
 	for i := range t.facts {
--- a/internal/core/member/table_test.go
+++ b/internal/core/member/table_test.go
@@ -10,7 +10,7 @@
 	"peardrift/internal/core/request"
 )
 
-// TestTable compares the table with a map under random changes.
+// Compares the table with a map under random changes.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -37,10 +37,10 @@
 		for id, c := range want {
 			e := tab.get(id)
 			if e == nil || e.change() != c {
-				t.Fatalf("%v is %+v, not %+v", id, e, c)
+				t.Fatalf("%v is %+v, want %+v", id, e, c)
 			}
-			if short, ok := tab.shortID(id); ok && tab.byShort(short) != e {
-				t.Fatalf("%v isn't found by its short identity", id)
+			if short, ok := tab.shortID(id); ok && tab.getByShortID(short) != e {
+				t.Fatalf("%v not found by its short ID", id)
 			}
 			root += c.sum()
 			if c.Status == Dead {
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestFactsKeepTheNewest(t *testing.T) {
+func TestTrimFactsKeepsNewest(t *testing.T) {
 	is := is.New(t)
 	var tab table
 	for v := range uint64(10) {
@@ -79,5 +79,5 @@
 	tab.set(Change{ID: 7<<32 | 2}, nil)
 	_, ok = tab.shortID(7<<32 | 1)
 	is.True(!ok)
-	is.Equal(tab.byShort(7), (*entry)(nil))
+	is.Equal(tab.getByShortID(7), (*entry)(nil))
 }
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -6,31 +6,32 @@
 	"peardrift/internal/core/request"
 )
 
-// Member is one member as others see it.
+// Member is one member as other nodes see it.
 type Member struct {
 	*Record
-	// Incarnation is the present one; Record.Incarnation that of publication, or
-	// of the restart since. It doesn't rise when a member refutes its death.
+	// Incarnation is the current one; Record.Incarnation is that of
+	// publication, or of the restart since. The latter does not increase when a
+	// member refutes its death.
 	Incarnation uint32
 	Status      Status
 }
 
-// View is an immutable picture of the members by service.
+// View is an immutable view of the members by service.
 type View struct {
-	// Version rises with each view that differs from the last.
+	// Version increases with each view that differs from the previous one.
 	Version  uint64
 	services map[request.Service][]Member
 }
 
-// Members returns the members of a service in the order of their identities.
-// The slice must not be modified.
+// Members returns the members of a service ordered by ID. The slice must not be
+// modified.
 func (v *View) Members(service request.Service) []Member { return v.services[service] }
 
 // Services returns the number of services with members.
 func (v *View) Services() int { return len(v.services) }
 
 // All calls f for each member, service by service in no particular order, until
-// it returns false.
+// f returns false.
 func (v *View) All(f func(Member) bool) {
 	for _, list := range v.services {
 		for _, m := range list {
@@ -41,49 +42,49 @@
 	}
 }
 
-// viewCache remembers which services changed since the last view.
+// viewCache records which services changed since the last view.
 type viewCache struct {
-	last    *View
-	all     bool
-	touched map[request.Service]bool
-	facts   uint64
+	last         *View
+	allChanged   bool
+	changed      map[request.Service]bool
+	factsVersion uint64
 }
 
-// maxTouched bounds the services remembered one by one.
-const maxTouched = 64
+// maxChanged bounds the services tracked individually.
+const maxChanged = 64
 
-func (v *viewCache) touch(service request.Service) {
-	if v.all {
+func (v *viewCache) markChanged(service request.Service) {
+	if v.allChanged {
 		return
 	}
-	if v.touched == nil {
-		v.touched = make(map[request.Service]bool)
+	if v.changed == nil {
+		v.changed = make(map[request.Service]bool)
 	}
-	v.touched[service] = true
-	if len(v.touched) > maxTouched {
-		v.touchAll()
+	v.changed[service] = true
+	if len(v.changed) > maxChanged {
+		v.markAllChanged()
 	}
 }
 
-func (v *viewCache) touchAll() { v.all, v.touched = true, nil }
+func (v *viewCache) markAllChanged() { v.allChanged, v.changed = true, nil }
 
-// touch notes that a member's service changed.
-func (s *State) touch(e *entry) {
+// markServiceChanged records that a member's service changed.
+func (s *State) markServiceChanged(e *entry) {
 	if e != nil && e.rec != nil {
-		s.view.touch(e.rec.Service)
+		s.view.markChanged(e.rec.Service)
 	}
 }
 
 // Changed reports whether Snapshot would return a new view.
 func (s *State) Changed() bool {
-	return s.view.last == nil || s.view.all || len(s.view.touched) > 0
+	return s.view.last == nil || s.view.allChanged || len(s.view.changed) > 0
 }
 
-// FactsVersion rises whenever a fact was added or replaced.
-func (s *State) FactsVersion() uint64 { return s.view.facts }
+// FactsVersion increases whenever a fact is added or replaced.
+func (s *State) FactsVersion() uint64 { return s.view.factsVersion }
 
-// Snapshot returns the present view. It may be kept and read by any goroutine.
-// Services that didn't change share their members with the view before.
+// Snapshot returns the current view. It may be kept and read by any goroutine.
+// Services that did not change share their members with the previous view.
 func (s *State) Snapshot() *View {
 	v := &s.view
 	if !s.Changed() {
@@ -93,27 +94,26 @@
 	if v.last != nil {
 		next.Version = v.last.Version + 1
 	}
-	everything := v.all || v.last == nil
+	everything := v.allChanged || v.last == nil
 	if !everything {
 		for service, list := range v.last.services {
-			if !v.touched[service] {
+			if !v.changed[service] {
 				next.services[service] = list
 			}
 		}
 	}
 	for i := range s.tab.members {
 		e := &s.tab.members[i]
-		if e.rec == nil || !everything && !v.touched[e.rec.Service] {
+		if e.rec == nil || !everything && !v.changed[e.rec.Service] {
 			continue
 		}
 		next.services[e.rec.Service] = append(next.services[e.rec.Service], s.member(e))
 	}
-	v.last, v.all, v.touched = next, false, nil
+	v.last, v.allChanged, v.changed = next, false, nil
 	return next
 }
 
-// Lookup returns what is known about one member; a member that is gone has no
-// Record.
+// Lookup returns what is known about one member; a dead member has no Record.
 func (s *State) Lookup(id request.TargetID) (Member, bool) {
 	e := s.tab.get(id)
 	if e == nil {
@@ -127,24 +127,25 @@
 
 func (s *State) member(e *entry) Member {
 	m := Member{Record: e.rec, Incarnation: e.inc, Status: e.status}
-	if e.pub > e.rec.Incarnation {
+	if e.processInc > e.rec.Incarnation {
 		r := *e.rec // a restart without changes sends no record
-		r.Incarnation = e.pub
+		r.Incarnation = e.processInc
 		m.Record = &r
 	}
 	if l := s.links[e.id]; l != nil && l.suspect && m.Status == Alive {
 		m.Status = Suspect
 	}
-	if m.Status.live() && s.unreachableGroup(e.rec.Region) {
+	if m.Status.isLive() && s.isGroupUnreachable(e.rec.Region) {
 		m.Status = Unreachable
 	}
 	return m
 }
 
-// unreachable returns the members that are kept and probed, in order.
-func (s *State) unreachable() []request.TargetID {
+// unreachableMembers returns the sorted IDs of the members that are kept and
+// probed.
+func (s *State) unreachableMembers() []request.TargetID {
 	var ids []request.TargetID
-	for id := range s.lost {
+	for id := range s.notLiveSince {
 		if e := s.tab.get(id); e != nil && e.status == Unreachable && e.rec != nil {
 			ids = append(ids, id)
 		}
--- a/internal/core/member/watch.go
+++ b/internal/core/member/watch.go
@@ -6,30 +6,31 @@
 	"peardrift/internal/core/request"
 )
 
-// extraFor is how long a member looks at a subject because another asked.
-const extraFor = time.Minute
-
-// watch looks for subjects that are silent, asks their other observers, and
-// declares those unreachable that enough observers can't reach.
-func (s *State) watch(now time.Duration) {
-	patience := s.patience(now)
-	for _, l := range append([]*link(nil), s.order...) {
-		if !l.watched() {
+// extraObservation is how long a member observes a subject at another's
+// request.
+const extraObservation = time.Minute
+
+// checkSubjects detects silent subjects, queries their other observers, and
+// declares those unreachable that enough observers cannot reach.
+func (s *State) checkSubjects(now time.Duration) {
+	timeout := s.deathTimeout(now)
+	for _, l := range append([]*link(nil), s.linkOrder...) {
+		if !l.isObserved() {
 			continue
 		}
-		silent := now-l.heard >= s.cfg.SuspectAfter
+		silent := now-l.lastHeard >= s.cfg.SuspectAfter
 		if silent != l.suspect {
 			s.setSuspect(l, silent)
 		}
 		if !silent {
 			continue
 		}
-		if now-l.heard >= s.cfg.DeadAfter-s.askFor() && now-l.asked >= s.cfg.RetryAfter {
-			l.asked = now
-			s.ask(now, l)
+		if now-l.lastHeard >= s.cfg.DeadAfter-s.askWindow() && now-l.lastAsked >= s.cfg.RetryAfter {
+			l.lastAsked = now
+			s.askObserver(now, l)
 		}
-		if now-l.heard >= patience && s.agreed(now, l) {
-			s.declare(now, l)
+		if now-l.lastHeard >= timeout && s.hasDeathQuorum(now, l) {
+			s.declareUnreachable(now, l)
 		}
 	}
 }
@@ -39,21 +40,22 @@
 	if suspect {
 		s.stats.Suspicions++
 	}
-	s.touch(s.tab.get(l.peer))
+	s.markServiceChanged(s.tab.get(l.peer))
 }
 
-// patience is how long a subject must be silent before this node condemns it.
-// A node that hears from less than half of its subjects is likelier cut off
-// itself; without the longer wait, a rack that loses its switch would condemn
-// the rest of the region in its own view and spread that on healing.
-func (s *State) patience(now time.Duration) time.Duration {
+// deathTimeout is how long a subject must be silent before this node declares
+// it unreachable. A node that hears from less than half of its subjects is more
+// likely isolated itself; without the longer timeout, a rack that loses its
+// switch would declare the rest of the region unreachable in its own view and
+// gossip that after recovery.
+func (s *State) deathTimeout(now time.Duration) time.Duration {
 	subjects, silent := 0, 0
-	for _, l := range s.order {
+	for _, l := range s.linkOrder {
 		if l.roles&roleSubject == 0 {
 			continue
 		}
 		subjects++
-		if now-l.heard >= s.cfg.SuspectAfter {
+		if now-l.lastHeard >= s.cfg.SuspectAfter {
 			silent++
 		}
 	}
@@ -63,73 +65,73 @@
 	return s.cfg.DeadAfter
 }
 
-// askFor is how long before a verdict the other observers are asked, one after
-// another: long enough for each to be asked once.
-func (s *State) askFor() time.Duration {
+// askWindow is how long before a verdict the other observers are queried, one
+// after another: long enough to query each once.
+func (s *State) askWindow() time.Duration {
 	return s.cfg.RetryAfter * time.Duration(s.cfg.Rings-1)
 }
 
-// ask asks the next of the other observers of a silent subject.
-func (s *State) ask(now time.Duration, l *link) {
+// askObserver queries the next of the other observers of a silent subject.
+func (s *State) askObserver(now time.Duration, l *link) {
 	e := s.tab.get(l.peer)
 	if e == nil || e.rec == nil {
 		return
 	}
-	if l.observers == nil || now-l.observed > s.cfg.SuspectAfter {
-		l.observers, l.observed = s.neighbours(l.peer, e.rec.Region, true), now
+	if l.observers == nil || now-l.observersAt > s.cfg.SuspectAfter {
+		l.observers, l.observersAt = s.neighbours(l.peer, e.rec.Region, true), now
 	}
 	for range l.observers {
-		l.turn++
-		id := l.observers[l.turn%len(l.observers)]
-		if v, ok := l.votes[id]; id == s.self.ID || ok && now-v.at < s.askFor() {
-			continue // an observer that asked has thereby answered
-		}
-		m := s.message(Ask)
-		m.Doubts = []Doubt{s.doubt(now, e, l)}
-		s.exchange(s.peer(id), m, true)
+		l.observerIndex++
+		id := l.observers[l.observerIndex%len(l.observers)]
+		if v, ok := l.votes[id]; id == s.self.ID || ok && now-v.at < s.askWindow() {
+			continue // an observer that sent a query has thereby answered
+		}
+		m := s.newMessage(Ask)
+		m.Doubts = []Doubt{s.silenceReport(now, e, l)}
+		s.queueExchange(s.peer(id), m, true)
 		return
 	}
 }
 
-func (s *State) doubt(now time.Duration, e *entry, l *link) Doubt {
+func (s *State) silenceReport(now time.Duration, e *entry, l *link) Doubt {
 	return Doubt{
 		Subject: e.id, Incarnation: e.inc,
-		Silence: uint32((now - l.heard) / time.Millisecond),
+		Silence: uint32((now - l.lastHeard) / time.Millisecond),
 	}
 }
 
-// answerAsk says what this node knows about the subjects asked about. It looks
-// at those that it doesn't observe yet, so that an observer that the asker
-// expects here exists.
+// answerAsk reports what this node knows about the queried subjects. It starts
+// to observe those that it does not observe yet, so that the observer expected
+// by the sender exists.
 func (s *State) answerAsk(now time.Duration, m, r *Message) {
-	cutOff := s.patience(now) > s.cfg.DeadAfter
+	cutOff := s.deathTimeout(now) > s.cfg.DeadAfter
 	for _, d := range m.Doubts {
 		e := s.tab.get(d.Subject)
 		if e == nil || e.rec == nil || d.Subject == s.self.ID {
 			continue
 		}
-		if e.change().newer(d.Incarnation, Alive) {
+		if e.change().supersedes(d.Incarnation, Alive) {
 			r.Changes = append(r.Changes, e.change())
 		}
-		if !e.status.live() || len(r.Doubts) >= maxDoubts {
+		if !e.status.isLive() || len(r.Doubts) >= maxDoubts {
 			continue
 		}
 		l := s.links[d.Subject]
-		if l == nil || !l.watched() {
-			s.look(now, d.Subject)
+		if l == nil || !l.isObserved() {
+			s.observeExtra(now, d.Subject)
 			continue
 		}
-		if !cutOff || now-l.heard < s.cfg.SuspectAfter || now-l.heard >= s.patience(now) {
-			r.Doubts = append(r.Doubts, s.doubt(now, e, l))
+		if !cutOff || now-l.lastHeard < s.cfg.SuspectAfter || now-l.lastHeard >= s.deathTimeout(now) {
+			r.Doubts = append(r.Doubts, s.silenceReport(now, e, l))
 		}
 	}
 }
 
 const maxDoubts = 32
 
-func (s *State) look(now time.Duration, id request.TargetID) {
+func (s *State) observeExtra(now time.Duration, id request.TargetID) {
 	n := 0
-	for _, l := range s.order {
+	for _, l := range s.linkOrder {
 		if l.roles&roleExtra != 0 {
 			n++
 		}
@@ -138,20 +140,20 @@
 		return
 	}
 	if l := s.openLink(now, id, roleExtra); l != nil {
-		l.until = now + extraFor
-		l.due = now
+		l.extraUntil = now + extraObservation
+		l.nextDue = now
 	}
 }
 
-// takeDoubts notes what other observers say.
-func (s *State) takeDoubts(now time.Duration, m *Message) {
+// recordVotes records the reports of other observers.
+func (s *State) recordVotes(now time.Duration, m *Message) {
 	voter := s.tab.get(m.From)
-	if len(m.Doubts) == 0 || voter == nil || !voter.present() {
+	if len(m.Doubts) == 0 || voter == nil || !voter.isPresent() {
 		return
 	}
 	for _, d := range m.Doubts {
 		l, e := s.links[d.Subject], s.tab.get(d.Subject)
-		if l == nil || !l.watched() || e == nil || e.inc != d.Incarnation {
+		if l == nil || !l.isObserved() || e == nil || e.inc != d.Incarnation {
 			continue
 		}
 		if l.votes == nil {
@@ -161,9 +163,9 @@
 	}
 }
 
-// agreed reports whether enough observers say that they have heard nothing from
-// a subject for long enough, and none that it has heard from it lately.
-func (s *State) agreed(now time.Duration, l *link) bool {
+// hasDeathQuorum reports whether enough observers have heard nothing from a
+// subject for long enough, and none has heard from it recently.
+func (s *State) hasDeathQuorum(now time.Duration, l *link) bool {
 	votes, others := 1, 0
 	for _, id := range l.observers {
 		if id == s.self.ID {
@@ -172,7 +174,7 @@
 		others++
 		v, ok := l.votes[id]
 		switch {
-		case !ok || now-v.at > s.askFor()+s.cfg.RetryAfter:
+		case !ok || now-v.at > s.askWindow()+s.cfg.RetryAfter:
 		case v.silence < s.cfg.SuspectAfter:
 			return false
 		case now-v.at+v.silence >= s.cfg.DeadAfter:
@@ -182,10 +184,10 @@
 	return votes >= min(s.cfg.Votes, 1+others)
 }
 
-// declare makes a subject unreachable, or gone if it was leaving.
-func (s *State) declare(now time.Duration, l *link) {
+// declareUnreachable marks a subject unreachable, or dead if it was leaving.
+func (s *State) declareUnreachable(now time.Duration, l *link) {
 	e := s.tab.get(l.peer)
-	if e == nil || !e.status.live() {
+	if e == nil || !e.status.isLive() {
 		return
 	}
 	s.stats.Deaths++
@@ -197,29 +199,30 @@
 	s.applyChange(now, c, 0)
 }
 
-// reprobe looks for unreachable members that are back. Each of them is probed
-// by about Rings members per ReprobeEvery, however many members there are.
-func (s *State) reprobe(now time.Duration) {
+// probeUnreachable checks whether unreachable members have recovered. Each of
+// them is probed by about Rings members per ReprobeEvery, whatever the size of
+// the fleet.
+func (s *State) probeUnreachable(now time.Duration) {
 	if now < s.nextProbe {
 		return
 	}
 	first := s.nextProbe == 0
 	s.nextProbe = now + s.cfg.ReprobeEvery/2 + s.jitter(s.cfg.ReprobeEvery)
-	if first || s.stat == Dead {
+	if first || s.status == Dead {
 		return
 	}
-	lost := s.unreachable()
-	if len(lost) == 0 {
+	unreachable := s.unreachableMembers()
+	if len(unreachable) == 0 {
 		return
 	}
 	const maxProbes = 3
-	live := max(len(s.tab.members)-len(s.lost), 1)
-	want := float64(s.cfg.Rings*len(lost)) / float64(live)
-	n := min(int(want+s.rng.Float64()), maxProbes)
+	liveCount := max(len(s.tab.members)-len(s.notLiveSince), 1)
+	expected := float64(s.cfg.Rings*len(unreachable)) / float64(liveCount)
+	n := min(int(expected+s.rng.Float64()), maxProbes)
 	for range n {
-		id := lost[s.rng.IntN(len(lost))]
-		m := s.message(Probe)
+		id := unreachable[s.rng.IntN(len(unreachable))]
+		m := s.newMessage(Probe)
 		m.Changes = []Change{s.tab.get(id).change()}
-		s.exchange(s.peer(id), m, true)
+		s.queueExchange(s.peer(id), m, true)
 	}
 }
