--- a/internal/core/watch/doc.go
+++ b/internal/core/watch/doc.go
@@ -1,28 +1,32 @@
-// Package watch decides which nodes ask the platform for new versions of the
-// configuration, and how the others know that what they hold is the newest.
+// Package watch decides which nodes poll the platform for new versions of the
+// configuration, and how the other nodes verify that their version is the
+// newest.
 //
-// # What it does
+// # Overview
 //
-// A few nodes of each region, the roots, ask the platform again and again; each
-// question waits there for a change. All other nodes ask a parent in the same way:
-// level by level, each node has its parent in the level above. A question is
-// answered as soon as the parent holds a newer version, or a newer proof that there
-// is none. So the calls to the platform don't grow with the number of nodes.
+// A few nodes of each region, the roots, poll the platform continuously with
+// long polls: each one waits there for a change. All other nodes poll a parent
+// in the same way; the nodes form a tree in which each node has its parent in
+// the level above. A parent replies as soon as it has a newer version, or newer
+// proof that there is none. So the number of calls to the platform does not
+// grow with the number of nodes.
 //
-// The proof is a freshness mark: a time as of which no version was accepted that is
-// newer than the one held. Only answers of the platform make marks; they pass down
-// with each answer, and are never later than the truth, whatever a message or a
-// process is held up. A node whose mark has grown older than Config.Stale asks the
-// platform itself, whatever its parent says, and turns to another parent. Marks,
-// not the choice of roots, carry the bound: who is root is a matter of cost, and
-// nodes whose views of the membership differ do no harm.
+// The proof is a freshness watermark (Mark): a time as of which no version
+// newer than the current one was accepted. Only replies of the platform create
+// watermarks; they propagate down the tree with each reply. A delayed message
+// or process never makes a watermark later than what the platform confirmed. A
+// node whose watermark is older than Config.Stale polls the platform itself,
+// whatever its parent replies, and switches to another parent. The watermarks,
+// not the choice of roots, guarantee the bound: the choice of roots only
+// affects cost, and nodes with different views of the membership do no harm.
 //
 // # Contract
 //
-// State is pure: no I/O, no goroutine, no clock, randomness only from the source
-// that it was given. It is not safe for concurrent use. The caller carries out the
-// returned actions and reports each outcome once, by the action's ID; one that is
-// never reported is taken as failed after its limit. The clock that is passed in
-// must count the time for which the machine is suspended: a mark from before would
-// look young otherwise.
+// State is deterministic: it does no I/O, starts no goroutine, reads no clock
+// and uses only the random source that it was given. It is not safe for
+// concurrent use. The caller executes the returned actions and reports each
+// outcome once, by the action's ID; an outcome that is never reported counts as
+// a failure after its limit. The clock that is passed in must include the time
+// for which the machine is suspended: otherwise a watermark from before the
+// suspension would look recent.
 package watch
--- a/internal/core/watch/message.go
+++ b/internal/core/watch/message.go
@@ -6,40 +6,42 @@
 	"peardrift/internal/core/request"
 )
 
-// Peer is another node.
+// Peer is another node of the region.
 type Peer struct {
 	ID   request.TargetID
-	Addr string // of its control listener
+	Addr string // address of its control listener
 }
 
-// Ask is a child's question.
+// Ask is a child's poll.
 type Ask struct {
-	Have int64 `msgpack:"h"` // the version that the child holds, 0 for none
+	Have int64 `msgpack:"h"` // the child's version, 0 for none
 }
 
-// Reply answers an Ask.
+// Reply is the reply to an Ask.
 type Reply struct {
-	// Version is what the parent holds, 0 for none.
+	// Version is the parent's version, 0 for none.
 	Version int64 `msgpack:"v"`
-	// Marked says that the parent has a mark.
+	// Marked reports whether the parent has a watermark.
 	Marked bool `msgpack:"m,omitempty"`
-	// Since is the time from the question's arrival to the mark, negative for a
-	// mark from before.
+	// Since is the time from the arrival of the poll to the watermark, negative
+	// if the watermark is earlier.
 	Since time.Duration `msgpack:"s,omitempty"`
 }
 
-// Action is something for the caller to do.
+// Action is an action that the caller must execute.
 type Action interface{ action() }
 
-// AskPlatform: ask the platform for a version above After, waiting there up to
-// Wait; report by HandlePlatform or HandleFailure within Limit.
+// AskPlatform polls the platform for a version above After, waiting there up to
+// Wait. The caller reports the outcome with HandlePlatform or HandleFailure
+// within Limit.
 type AskPlatform struct {
 	ID          uint64
 	After       int64
 	Wait, Limit time.Duration
 }
 
-// AskPeer: send Ask to a peer; report by HandleReply or HandleFailure within Limit.
+// AskPeer sends Ask to a peer. The caller reports the outcome with HandleReply
+// or HandleFailure within Limit.
 type AskPeer struct {
 	ID    uint64
 	To    Peer
@@ -47,8 +49,8 @@
 	Limit time.Duration
 }
 
-// Answer: send Reply, with the set if Version is above Have, to the child whose Ask
-// was passed to HandleAsk with this ID.
+// Answer sends Reply, with the set if Version is above Have, to the child whose
+// Ask was passed to HandleAsk with this ID.
 type Answer struct {
 	ID    uint64
 	Have  int64
--- a/internal/core/watch/state.go
+++ b/internal/core/watch/state.go
@@ -8,243 +8,251 @@
 	"peardrift/internal/core/request"
 )
 
-// State is one node's part of the watch.
+// State is one node's state of the watch protocol.
 type State struct {
 	cfg  Config
 	self request.TargetID
 	rng  *rand.Rand
 
-	version int64
-	marked  bool
-	mark    time.Duration // as of when nothing newer than version was accepted
-
-	tree     tree
-	near     int  // nodes of the region
-	complete bool // which were all there are
-	settled  time.Duration
-	attempt  int // parents that were given up
-	platform question
-	peer     question
-	parent   Peer // of the pending question to a peer
-	failed   int  // questions to the platform that failed in a row
-	next     time.Duration
-	waiters  []waiter
-
-	last uint64 // ID of the latest question
-	out  []Action
+	version      int64
+	hasWatermark bool
+	watermark    time.Duration // time as of which nothing newer than version was accepted
+
+	tree             tree
+	regionSize       int  // nodes of the region
+	peersComplete    bool // whether SetPeers named all of them
+	rootAfter        time.Duration
+	parentAttempt    int // number of abandoned parents
+	platformPoll     poll
+	peerPoll         poll
+	parent           Peer // of the pending poll to a peer
+	platformFailures int  // consecutive failed polls to the platform
+	nextPlatformPoll time.Duration
+	waiters          []waiter
+
+	lastID  uint64 // ID of the latest poll
+	actions []Action
 }
 
-// question is one whose outcome is awaited.
-type question struct {
+// poll is a poll in flight.
+type poll struct {
 	id       uint64 // 0: none
 	have     int64
-	at       time.Duration
+	sentAt   time.Duration
 	deadline time.Duration
 }
 
-// waiter is a child that is kept waiting.
+// waiter is a child's poll that is held.
 type waiter struct {
-	id    uint64
-	have  int64
-	at    time.Duration
-	until time.Duration
+	id        uint64
+	have      int64
+	arrivedAt time.Duration
+	deadline  time.Duration
 }
 
-// New returns the state of a node that starts: it holds no version and has no mark.
+// New returns the state of a starting node: it has no version and no watermark.
 // The random source must not be shared.
 func New(cfg Config, self request.TargetID, rng *rand.Rand, now time.Duration) *State {
-	return &State{cfg: cfg, self: self, rng: rng, settled: now + cfg.Settle}
+	return &State{cfg: cfg, self: self, rng: rng, rootAfter: now + cfg.Settle}
 }
 
-// SetPeers tells the nodes of the region that are alive; this one may be among
-// them. complete says that these are all: a node that still joins asks the platform
-// only when its mark is stale. The slice is kept and must not be modified.
+// SetPeers sets the alive nodes of the region, with or without this one.
+// complete means that these are all nodes: a node that is still joining polls
+// the platform only when its watermark is stale. The slice is kept and must not
+// be modified.
 func (s *State) SetPeers(now time.Duration, peers []Peer, complete bool) []Action {
-	s.tree, s.near, s.complete = treeOf(s.cfg, s.self, peers), len(peers), complete
-	gone := s.peer.id != 0 && !slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == s.parent.ID })
-	if gone {
-		s.turn()
+	s.tree, s.regionSize, s.peersComplete = newTree(s.cfg, s.self, peers), len(peers), complete
+	parentGone := s.peerPoll.id != 0 && !slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == s.parent.ID })
+	if parentGone {
+		s.abandonParent()
 	}
-	s.step(now)
-	return s.take()
+	s.startPolls(now)
+	return s.takeActions()
 }
 
-// SetVersion tells the version that is in force here.
+// SetVersion sets the version that is in force on this node.
 func (s *State) SetVersion(now time.Duration, version int64) []Action {
 	if version > s.version {
 		s.version = version
-		s.answerWaiters(now)
+		s.replyToWaiters(now)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// Tick makes what is due happen.
+// Tick advances the state to now and returns the actions to execute.
 func (s *State) Tick(now time.Duration) []Action {
-	if s.platform.expired(now) {
-		s.platformFailed(now)
+	if s.platformPoll.expired(now) {
+		s.handlePlatformFailure(now)
 	}
-	if s.peer.expired(now) {
-		s.turn()
+	if s.peerPoll.expired(now) {
+		s.abandonParent()
 	}
-	s.answerWaiters(now)
-	s.step(now)
-	return s.take()
+	s.replyToWaiters(now)
+	s.startPolls(now)
+	return s.takeActions()
 }
 
-// Mark returns the time as of which no newer version was accepted than the one
-// held; ok is false if there is none.
-func (s *State) Mark() (at time.Duration, ok bool) { return s.mark, s.marked }
+// Mark returns the watermark: the time as of which no version newer than the
+// current one was accepted. ok is false if there is none.
+func (s *State) Mark() (at time.Duration, ok bool) { return s.watermark, s.hasWatermark }
 
-// Stale reports whether the mark is so old, or missing, that the platform is asked
-// whatever the parent says.
-func (s *State) Stale(now time.Duration) bool { return !s.marked || now-s.mark > s.cfg.Stale }
+// Stale reports whether the watermark is missing or so old that the node polls
+// the platform whatever the parent replies.
+func (s *State) Stale(now time.Duration) bool {
+	return !s.hasWatermark || now-s.watermark > s.cfg.Stale
+}
 
-// Root reports whether the node is one of those that ask the platform all the time.
+// Root reports whether the node is a root, which polls the platform
+// continuously.
 func (s *State) Root(now time.Duration) bool {
-	return s.complete && s.tree.root && now >= s.settled
+	return s.peersComplete && s.tree.root && now >= s.rootAfter
 }
 
-// step asks whom there is to ask.
-func (s *State) step(now time.Duration) {
+// startPolls starts the polls that are due.
+func (s *State) startPolls(now time.Duration) {
 	root := s.Root(now)
 	stale := s.Stale(now)
-	if s.platform.id == 0 && now >= s.next && (root || stale) {
-		s.askPlatform(now)
+	if s.platformPoll.id == 0 && now >= s.nextPlatformPoll && (root || stale) {
+		s.pollPlatform(now)
 	}
-	if s.peer.id == 0 && (!root || stale) {
-		s.askPeer(now)
+	if s.peerPoll.id == 0 && (!root || stale) {
+		s.pollPeer(now)
 	}
 }
 
-func (s *State) askPlatform(now time.Duration) {
-	s.platform = s.begin(now, s.cfg.Limit)
-	s.next = now + s.cfg.Spacing
-	s.do(AskPlatform{ID: s.platform.id, After: s.version, Wait: s.cfg.Wait, Limit: s.cfg.Limit})
+func (s *State) pollPlatform(now time.Duration) {
+	s.platformPoll = s.newPoll(now, s.cfg.Limit)
+	s.nextPlatformPoll = now + s.cfg.Spacing
+	s.emit(AskPlatform{ID: s.platformPoll.id, After: s.version, Wait: s.cfg.Wait, Limit: s.cfg.Limit})
 }
 
-func (s *State) askPeer(now time.Duration) {
-	p, ok := s.tree.parent(s.self, s.attempt)
+func (s *State) pollPeer(now time.Duration) {
+	p, ok := s.tree.parent(s.self, s.parentAttempt)
 	if !ok {
 		return
 	}
 	s.parent = p
-	s.peer = s.begin(now, s.cfg.PeerLimit)
-	s.do(AskPeer{ID: s.peer.id, To: p, Ask: Ask{Have: s.version}, Limit: s.cfg.PeerLimit})
+	s.peerPoll = s.newPoll(now, s.cfg.PeerLimit)
+	s.emit(AskPeer{ID: s.peerPoll.id, To: p, Ask: Ask{Have: s.version}, Limit: s.cfg.PeerLimit})
 }
 
-func (s *State) begin(now, limit time.Duration) question {
-	s.last++
-	return question{id: s.last, have: s.version, at: now, deadline: now + limit}
+func (s *State) newPoll(now, limit time.Duration) poll {
+	s.lastID++
+	return poll{id: s.lastID, have: s.version, sentAt: now, deadline: now + limit}
 }
 
-func (q question) expired(now time.Duration) bool { return q.id != 0 && now >= q.deadline }
+func (p poll) expired(now time.Duration) bool { return p.id != 0 && now >= p.deadline }
 
-// HandlePlatform gives the outcome of AskPlatform: the platform answered. version
-// is that of the set that it gave, 0 for none; tell SetVersion of one that is in
-// force before. quiet says that it waited for all of Wait without a change.
-func (s *State) HandlePlatform(now time.Duration, id uint64, version int64, quiet bool) []Action {
-	q := s.platform
-	if id == 0 || id != q.id {
+// HandlePlatform reports that the platform replied to AskPlatform. version is
+// that of the returned set, 0 for none; if it is in force, call SetVersion
+// first. unchanged means that the poll waited for all of Wait without a change.
+func (s *State) HandlePlatform(now time.Duration, id uint64, version int64, unchanged bool) []Action {
+	p := s.platformPoll
+	if id == 0 || id != p.id {
 		return nil
 	}
-	s.platform = question{}
-	s.failed = 0
-	// The platform has judged at some time after the question was sent.
-	at := q.at
-	if quiet {
-		at = min(q.at+s.cfg.Wait, now)
+	s.platformPoll = poll{}
+	s.platformFailures = 0
+	// The platform evaluated the poll at some time after it was sent.
+	at := p.sentAt
+	if unchanged {
+		at = min(p.sentAt+s.cfg.Wait, now)
 	}
-	s.refresh(now, version, at)
-	s.step(now)
-	return s.take()
+	s.advanceWatermark(now, version, at)
+	s.startPolls(now)
+	return s.takeActions()
 }
 
-// HandleReply gives the outcome of AskPeer. If the reply came with a set, tell
-// SetVersion of it before.
+// HandleReply reports the reply to AskPeer. If it came with a set, call
+// SetVersion first.
 func (s *State) HandleReply(now time.Duration, id uint64, r Reply) []Action {
-	q := s.peer
-	if id == 0 || id != q.id {
+	p := s.peerPoll
+	if id == 0 || id != p.id {
 		return nil
 	}
-	s.peer = question{}
-	news := s.version > q.have
-	// The question arrived at some time after it was sent.
-	if r.Marked && r.Since <= now-q.at {
-		news = s.refresh(now, r.Version, q.at+r.Since) || news
+	s.peerPoll = poll{}
+	news := s.version > p.have
+	// The poll arrived at some time after it was sent.
+	if r.Marked && r.Since <= now-p.sentAt {
+		news = s.advanceWatermark(now, r.Version, p.sentAt+r.Since) || news
 	}
 	if r.Version > s.version {
-		s.marked = false // there is a newer one, which the parent could not give
+		s.hasWatermark = false // there is a newer version that the parent could not supply
 	}
 	if !news || s.Stale(now) {
-		s.turn()
+		s.abandonParent()
 	}
-	// A peer that answers at once without news is followed by another at the next
-	// tick, not at once.
-	if news || now-q.at >= s.cfg.Spacing {
-		s.step(now)
+	// After a peer that replies immediately without news, the next one is
+	// polled at the next tick, not immediately.
+	if news || now-p.sentAt >= s.cfg.Spacing {
+		s.startPolls(now)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// HandleFailure tells that a question had no answer.
+// HandleFailure reports that a poll had no reply.
 func (s *State) HandleFailure(now time.Duration, id uint64) []Action {
 	switch {
 	case id == 0:
-	case id == s.platform.id:
-		s.platformFailed(now)
-	case id == s.peer.id:
-		s.turn()
+	case id == s.platformPoll.id:
+		s.handlePlatformFailure(now)
+	case id == s.peerPoll.id:
+		s.abandonParent()
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-func (s *State) platformFailed(now time.Duration) {
-	s.platform = question{}
+func (s *State) handlePlatformFailure(now time.Duration) {
+	s.platformPoll = poll{}
 	pause := s.cfg.RetryMin
 	if !s.Root(now) {
-		most := max(s.cfg.RetryMax, time.Second*time.Duration(s.near)/time.Duration(s.cfg.RetryRate))
-		pause = min(s.cfg.RetryMin<<min(s.failed, 16), most)
+		maxPause := max(s.cfg.RetryMax, time.Second*time.Duration(s.regionSize)/time.Duration(s.cfg.RetryRate))
+		pause = min(s.cfg.RetryMin<<min(s.platformFailures, 16), maxPause)
 	}
-	s.failed++
-	s.next = now + pause/2 + time.Duration(s.rng.Int64N(int64(pause/2)+1))
+	s.platformFailures++
+	s.nextPlatformPoll = now + pause/2 + time.Duration(s.rng.Int64N(int64(pause/2)+1))
 }
 
-// turn gives up the parent; the next tick asks another one.
-func (s *State) turn() {
-	s.peer = question{}
-	s.attempt++
+// abandonParent gives up the current parent; the next tick polls another one.
+func (s *State) abandonParent() {
+	s.peerPoll = poll{}
+	s.parentAttempt++
 }
 
-// refresh takes a proof that nothing above version was accepted as of a time, and
-// reports whether that is news. It proves nothing if that version is not held here.
-func (s *State) refresh(now time.Duration, version int64, at time.Duration) bool {
-	if version > s.version || s.marked && at <= s.mark {
+// advanceWatermark applies proof that no version above version was accepted as
+// of a time, and reports whether that is news. It proves nothing if this node
+// does not have that version.
+func (s *State) advanceWatermark(now time.Duration, version int64, at time.Duration) bool {
+	if version > s.version || s.hasWatermark && at <= s.watermark {
 		return false
 	}
-	s.marked, s.mark = true, at
-	s.answerWaiters(now)
+	s.hasWatermark, s.watermark = true, at
+	s.replyToWaiters(now)
 	return true
 }
 
-// HandleAsk takes a child's question; the id is the caller's, for Answer.
+// HandleAsk handles a child's poll; Answer returns the caller's id.
 func (s *State) HandleAsk(now time.Duration, id uint64, a Ask) []Action {
-	w := waiter{id: id, have: a.Have, at: now, until: now + s.cfg.PeerWait}
-	if s.news(w) || len(s.waiters) >= s.cfg.MaxWaiters {
-		s.answer(w)
+	w := waiter{id: id, have: a.Have, arrivedAt: now, deadline: now + s.cfg.PeerWait}
+	if s.hasNews(w) || len(s.waiters) >= s.cfg.MaxWaiters {
+		s.reply(w)
 	} else {
 		s.waiters = append(s.waiters, w)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// news reports whether there is something that the child doesn't know.
-func (s *State) news(w waiter) bool { return s.version > w.have || s.marked && s.mark > w.at }
+// hasNews reports whether there is a version or a watermark that the child does
+// not have.
+func (s *State) hasNews(w waiter) bool {
+	return s.version > w.have || s.hasWatermark && s.watermark > w.arrivedAt
+}
 
-func (s *State) answerWaiters(now time.Duration) {
+func (s *State) replyToWaiters(now time.Duration) {
 	kept := s.waiters[:0]
 	for _, w := range s.waiters {
-		if s.news(w) || now >= w.until {
-			s.answer(w)
+		if s.hasNews(w) || now >= w.deadline {
+			s.reply(w)
 		} else {
 			kept = append(kept, w)
 		}
@@ -252,15 +260,15 @@
 	s.waiters = kept
 }
 
-func (s *State) answer(w waiter) {
-	s.do(Answer{ID: w.id, Have: w.have, Reply: Reply{Version: s.version, Marked: s.marked, Since: s.mark - w.at}})
+func (s *State) reply(w waiter) {
+	s.emit(Answer{ID: w.id, Have: w.have, Reply: Reply{Version: s.version, Marked: s.hasWatermark, Since: s.watermark - w.arrivedAt}})
 }
 
-// take returns the actions gathered so far.
-func (s *State) take() []Action {
-	out := s.out
-	s.out = nil
+// takeActions returns and clears the actions collected so far.
+func (s *State) takeActions() []Action {
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-func (s *State) do(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/core/watch/watch_test.go
+++ b/internal/core/watch/watch_test.go
@@ -12,79 +12,80 @@
 	"peardrift/internal/core/request"
 )
 
-// aRegion is the nodes of one region of three at the target size.
-const aRegion = 14000 / 3
-
-// The calls to the platform don't grow with the number of nodes, beyond those of
-// their start.
-func TestCallsAtRest(t *testing.T) {
-	for _, size := range []int{1, 18, 96, 1000, aRegion} {
+// regionNodes is the number of nodes of one of three regions at the target
+// size.
+const regionNodes = 14000 / 3
+
+// The number of calls to the platform does not grow with the number of nodes,
+// except for those at their start.
+func TestSteadyStatePlatformCalls(t *testing.T) {
+	for _, size := range []int{1, 18, 96, 1000, regionNodes} {
 		t.Run(fmt.Sprintf("nodes=%d", size), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(size, 1, t.Fatalf)
-			w.watch(5 * time.Second)
-			is.True(w.calls <= 2*size+100) // each asks once as it starts
-			before := w.calls
+			sim := newSimulation(size, 1, t.Fatalf)
+			sim.runChecked(5 * time.Second)
+			is.True(sim.platformCalls <= 2*size+100) // each polls once at its start
+			before := sim.platformCalls
 			const seconds = 10
 			for range seconds {
-				w.accept()
-				w.watch(time.Second)
+				sim.acceptVersion()
+				sim.runChecked(time.Second)
 			}
 			cfg := ConfigFor(bound)
 			perRoot := seconds*int(time.Second/cfg.Wait+1) + seconds
-			is.True(w.calls-before <= cfg.Roots*perRoot)
-			for _, n := range w.nodes {
-				is.True(n.version >= w.platform.version)
+			is.True(sim.platformCalls-before <= cfg.Roots*perRoot)
+			for _, n := range sim.nodes {
+				is.True(n.version >= sim.platform.version)
 			}
 		})
 	}
 }
 
-// A version that the roots have is everywhere within a few messages.
-func TestAVersionPassesAtOnce(t *testing.T) {
+// A version that the roots have reaches all nodes within a few messages.
+func TestVersionPropagatesQuickly(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1000, 1, t.Fatalf)
-	w.watch(5 * time.Second)
-	w.accept()
-	w.run(150 * time.Millisecond)
-	for _, n := range w.nodes {
+	sim := newSimulation(1000, 1, t.Fatalf)
+	sim.runChecked(5 * time.Second)
+	sim.acceptVersion()
+	sim.run(150 * time.Millisecond)
+	for _, n := range sim.nodes {
 		is.Equal(n.version, int64(1))
 	}
 }
 
-// Guards against nodes that trust a parent which no longer receives changes.
+// Guards against nodes that trust a parent that no longer receives changes.
 func TestRootsFail(t *testing.T) {
 	faults := map[string]func(n *node){
 		"killed": (*node).kill,
 		"frozen": func(n *node) { n.frozen = true },
-		"cut":    func(n *node) { n.cut = true },
-		"apart":  func(n *node) { n.apart = true },
+		"cut":    func(n *node) { n.platformCut = true },
+		"apart":  func(n *node) { n.isolated = true },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			for roots := 1; roots <= 3; roots++ {
 				for wait := time.Duration(0); wait < bound; wait += 270 * time.Millisecond {
-					w := newWorld(18, uint64(wait), t.Fatalf)
-					w.watch(5 * time.Second)
-					w.accept()
-					w.watch(time.Second)
-					for _, n := range w.roots()[:roots] {
-						n.upset = w.Now
+					sim := newSimulation(18, uint64(wait), t.Fatalf)
+					sim.runChecked(5 * time.Second)
+					sim.acceptVersion()
+					sim.runChecked(time.Second)
+					for _, n := range sim.roots()[:roots] {
+						n.disturbedAt = sim.Now
 						fault(n)
 					}
-					w.watch(wait)
-					w.accept()
-					w.watch(2 * bound)
+					sim.runChecked(wait)
+					sim.acceptVersion()
+					sim.runChecked(2 * bound)
 				}
 			}
 		})
 	}
 }
 
-func (w *world) roots() []*node {
+func (sim *simulation) roots() []*node {
 	var out []*node
-	for _, n := range w.nodes {
-		if n.state.Root(w.Now) {
+	for _, n := range sim.nodes {
+		if n.state.Root(sim.Now) {
 			out = append(out, n)
 		}
 	}
@@ -93,40 +94,40 @@
 
 func (n *node) kill() {
 	n.up = false
-	n.upset = n.w.Now
-	n.w.tell(n.w.delay)
+	n.disturbedAt = n.sim.Now
+	n.sim.announceMembers(n.sim.membershipDelay)
 }
 
 func (n *node) revive() {
 	if !n.up {
-		n.upset = n.w.Now
+		n.disturbedAt = n.sim.Now
 		n.start()
-		n.w.tell(500 * time.Millisecond)
+		n.sim.announceMembers(500 * time.Millisecond)
 	}
 }
 
 func (n *node) thaw() {
 	if n.frozen {
-		n.frozen, n.upset = false, n.w.Now
-		held := n.held
-		n.held = nil
-		for _, f := range held {
-			n.later(0, f)
+		n.frozen, n.disturbedAt = false, n.sim.Now
+		deferred := n.deferred
+		n.deferred = nil
+		for _, f := range deferred {
+			n.schedule(0, f)
 		}
 	}
 }
 
-// faults are what a schedule may hold. Each lasts for a while and ends by itself.
-func (w *world) fault(rt *rapid.T) {
-	some := w.nodes
+// injectFault injects a random fault, which ends after a random duration.
+func (sim *simulation) injectFault(rt *rapid.T) {
+	candidates := sim.nodes
 	if rapid.Bool().Draw(rt, "roots") {
-		if roots := w.roots(); len(roots) > 0 {
-			some = roots
+		if roots := sim.roots(); len(roots) > 0 {
+			candidates = roots
 		}
 	}
-	count := rapid.IntRange(1, len(some)).Draw(rt, "nodes")
-	from := rapid.IntRange(0, len(some)-1).Draw(rt, "first")
-	lasts := time.Duration(rapid.IntRange(1, 60).Draw(rt, "for")) * 100 * time.Millisecond
+	count := rapid.IntRange(1, len(candidates)).Draw(rt, "nodes")
+	from := rapid.IntRange(0, len(candidates)-1).Draw(rt, "first")
+	duration := time.Duration(rapid.IntRange(1, 60).Draw(rt, "for")) * 100 * time.Millisecond
 	var begin, end func(n *node)
 	switch rapid.IntRange(0, 6).Draw(rt, "kind") {
 	case 0:
@@ -134,108 +135,109 @@
 	case 1:
 		begin, end = func(n *node) { n.frozen = true }, (*node).thaw
 	case 2:
-		begin, end = func(n *node) { n.cut = true }, func(n *node) { n.cut = false }
+		begin, end = func(n *node) { n.platformCut = true }, func(n *node) { n.platformCut = false }
 	case 3:
-		begin, end = func(n *node) { n.apart = true }, func(n *node) { n.apart = false }
+		begin, end = func(n *node) { n.isolated = true }, func(n *node) { n.isolated = false }
 	case 4:
-		w.disturb(&w.platform.silent, lasts)
+		sim.failPlatform(&sim.platform.silent, duration)
 		return
 	case 5:
-		w.disturb(&w.platform.refuses, lasts)
+		sim.failPlatform(&sim.platform.refusing, duration)
 		return
 	default:
-		w.loseConnections()
+		sim.loseConnections()
 		return
 	}
 	for i := range count {
-		n := some[(from+i)%len(some)]
+		n := candidates[(from+i)%len(candidates)]
 		if n.up {
-			n.upset = w.Now
+			n.disturbedAt = sim.Now
 			begin(n)
-			w.After(lasts, func() {
-				n.upset = w.Now
+			sim.After(duration, func() {
+				n.disturbedAt = sim.Now
 				end(n)
 			})
 		}
 	}
 }
 
-func (w *world) disturb(what *bool, lasts time.Duration) {
-	*what = true
-	w.platform.upset = w.Now
-	if what == &w.platform.silent {
-		for _, c := range w.platform.waiting {
-			c.over = true // its answer is lost
+func (sim *simulation) failPlatform(fault *bool, duration time.Duration) {
+	*fault = true
+	sim.platform.disturbedAt = sim.Now
+	if fault == &sim.platform.silent {
+		for _, c := range sim.platform.waiting {
+			c.done = true // its reply is lost
 		}
-		w.platform.waiting = nil
+		sim.platform.waiting = nil
 	}
-	w.After(lasts, func() {
-		*what = false
-		w.platform.upset = w.Now
+	sim.After(duration, func() {
+		*fault = false
+		sim.platform.disturbedAt = sim.Now
 	})
 }
 
-// loseConnections makes all open connections go silent for good.
-func (w *world) loseConnections() {
-	for _, c := range w.platform.waiting {
-		c.over = true
+// loseConnections makes all open connections unresponsive for good.
+func (sim *simulation) loseConnections() {
+	for _, c := range sim.platform.waiting {
+		c.done = true
 	}
-	w.platform.waiting = nil
-	for _, n := range w.nodes {
+	sim.platform.waiting = nil
+	for _, n := range sim.nodes {
 		clear(n.answers)
-		n.upset = w.Now
+		n.disturbedAt = sim.Now
 	}
 }
 
-// Whatever fails, in series and overlapping, each node in touch has each version in
-// force within the bound.
-func TestInForceWithinTheBound(t *testing.T) {
+// Under any sequence of overlapping faults, each connected node has each
+// version in force within the bound.
+func TestVersionInForceWithinBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rapid.SampledFrom([]int{1, 2, 5, 18, 40}).Draw(rt, "size"), rapid.Uint64().Draw(rt, "seed"), rt.Fatalf)
-		w.delay = time.Duration(rapid.IntRange(0, 5000).Draw(rt, "delay")) * time.Millisecond
-		w.watch(3 * time.Second)
+		sim := newSimulation(rapid.SampledFrom([]int{1, 2, 5, 18, 40}).Draw(rt, "size"), rapid.Uint64().Draw(rt, "seed"), rt.Fatalf)
+		sim.membershipDelay = time.Duration(rapid.IntRange(0, 5000).Draw(rt, "delay")) * time.Millisecond
+		sim.runChecked(3 * time.Second)
 		rt.Repeat(map[string]func(*rapid.T){
-			"accept": func(*rapid.T) { w.accept() },
-			"fault":  w.fault,
+			"accept": func(*rapid.T) { sim.acceptVersion() },
+			"fault":  sim.injectFault,
 			"run": func(rt *rapid.T) {
-				w.watch(time.Duration(rapid.IntRange(1, 40).Draw(rt, "run")) * 100 * time.Millisecond)
+				sim.runChecked(time.Duration(rapid.IntRange(1, 40).Draw(rt, "run")) * 100 * time.Millisecond)
 			},
 		})
-		w.accept()
-		w.watch(20 * time.Second)
+		sim.acceptVersion()
+		sim.runChecked(20 * time.Second)
 	})
 }
 
-// Guards against a platform that comes back under a flood of questions.
-func TestQuestionsInAnOutageAreFew(t *testing.T) {
+// Guards against a flood of polls to a platform that recovers from an outage.
+func TestOutagePollRateIsBounded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1000, 1, t.Fatalf)
-	w.watch(5 * time.Second)
-	before := w.calls
+	sim := newSimulation(1000, 1, t.Fatalf)
+	sim.runChecked(5 * time.Second)
+	before := sim.platformCalls
 	const seconds = 20
-	w.disturb(&w.platform.refuses, seconds*time.Second)
-	w.watch(seconds * time.Second)
-	// Each pauses for shorter at first, and for half of the longest pause at least.
-	is.True(w.calls-before <= 5*len(w.nodes)+2*seconds*ConfigFor(bound).RetryRate)
-	w.watch(5 * time.Second)
-	before = w.calls
-	w.watch(10 * time.Second)
-	is.True(w.calls-before <= 3*20) // the roots alone ask again
+	sim.failPlatform(&sim.platform.refusing, seconds*time.Second)
+	sim.runChecked(seconds * time.Second)
+	// The first delays are shorter, and each delay is at least half of the
+	// longest one.
+	is.True(sim.platformCalls-before <= 5*len(sim.nodes)+2*seconds*ConfigFor(bound).RetryRate)
+	sim.runChecked(5 * time.Second)
+	before = sim.platformCalls
+	sim.runChecked(10 * time.Second)
+	is.True(sim.platformCalls-before <= 3*20) // only the roots poll again
 }
 
-// Guards against a frozen parent's mark being taken for a young one: its question's
-// arrival, not its answer, is what the mark is told from.
-func TestAHeldAnswerMakesNoYoungMark(t *testing.T) {
+// Guards against a frozen parent's watermark being taken for a recent one: it
+// is relative to the arrival of the poll, not to the reply.
+func TestDelayedPeerReplyKeepsWatermarkAge(t *testing.T) {
 	is := is.New(t)
 	parent := New(ConfigFor(bound), 1, rand.New(rand.NewPCG(1, 1)), 0)
-	parent.refresh(10*time.Second, 0, 10*time.Second)
+	parent.advanceWatermark(10*time.Second, 0, 10*time.Second)
 	child := New(ConfigFor(bound), 2, rand.New(rand.NewPCG(1, 1)), 0)
 	child.SetPeers(0, []Peer{{ID: 1}, {ID: 2}}, false)
-	ask := pending(child.Tick(13 * time.Second))
+	pollID := peerPollID(child.Tick(13 * time.Second))
 	parent.HandleAsk(13*time.Second, 1, Ask{})
 	for _, a := range parent.Tick(13*time.Second + ConfigFor(bound).PeerWait) {
 		if a, ok := a.(Answer); ok {
-			child.HandleReply(20*time.Second, ask, a.Reply)
+			child.HandleReply(20*time.Second, pollID, a.Reply)
 		}
 	}
 	at, ok := child.Mark()
@@ -243,8 +245,8 @@
 	is.Equal(at, 10*time.Second)
 }
 
-// pending returns the ID of the question to a peer.
-func pending(actions []Action) uint64 {
+// peerPollID returns the ID of the poll to a peer.
+func peerPollID(actions []Action) uint64 {
 	for _, a := range actions {
 		if ask, ok := a.(AskPeer); ok {
 			return ask.ID
@@ -253,9 +255,9 @@
 	return 0
 }
 
-// Guards against answers that make no sense: marks from the future, of a version
-// that is not held, or to another question.
-func TestForgedRepliesProveNothing(t *testing.T) {
+// Guards against invalid replies: watermarks in the future or for a version
+// that the node does not have, or replies to another poll.
+func TestInvalidRepliesDoNotAdvanceWatermark(t *testing.T) {
 	is := is.New(t)
 	for _, r := range []Reply{
 		{Marked: true, Since: time.Hour},
@@ -263,17 +265,17 @@
 		{Version: -1},
 	} {
 		s := New(ConfigFor(bound), 2, rand.New(rand.NewPCG(1, 1)), 0)
-		ask := pending(s.SetPeers(time.Second, []Peer{{ID: 1}, {ID: 2}}, false))
-		is.True(ask != 0)
-		s.HandleReply(time.Second, ask+1, Reply{Marked: true})
-		s.HandleReply(time.Second, ask, r)
+		pollID := peerPollID(s.SetPeers(time.Second, []Peer{{ID: 1}, {ID: 2}}, false))
+		is.True(pollID != 0)
+		s.HandleReply(time.Second, pollID+1, Reply{Marked: true})
+		s.HandleReply(time.Second, pollID, r)
 		_, ok := s.Mark()
 		is.True(!ok)
 	}
 }
 
-// Guards against children that keep each other waiting for good, or without a bound.
-func TestWaitersAreBoundedAndAnswered(t *testing.T) {
+// Guards against children whose polls are held forever, or in unbounded number.
+func TestWaitersAreBoundedAndReplied(t *testing.T) {
 	is := is.New(t)
 	cfg := ConfigFor(bound)
 	s := New(cfg, 1, rand.New(rand.NewPCG(1, 1)), 0)
@@ -297,7 +299,7 @@
 	return n
 }
 
-func TestLevels(t *testing.T) {
+func TestTreeLevels(t *testing.T) {
 	is := is.New(t)
 	cfg := ConfigFor(bound)
 	for _, n := range []int{1, 2, 3, 96, 1000} {
@@ -308,15 +310,15 @@
 		roots := 0
 		children := make(map[request.TargetID]int)
 		for _, p := range peers {
-			tr := treeOf(cfg, p.ID, peers)
+			tr := newTree(cfg, p.ID, peers)
 			if tr.root {
 				roots++
 				continue
 			}
-			up, ok := tr.parent(p.ID, 0)
+			parent, ok := tr.parent(p.ID, 0)
 			is.True(ok)
-			is.True(up.ID.Order(byRank) < p.ID.Order(byRank)) // no circles
-			children[up.ID]++
+			is.True(parent.ID.Order(rankSalt) < p.ID.Order(rankSalt)) // no cycles
+			children[parent.ID]++
 		}
 		is.Equal(roots, min(n, cfg.Roots))
 		for _, c := range children {
@@ -325,96 +327,99 @@
 	}
 }
 
-// Guards against children that stay with a parent which is gone, and each ask the
+// Guards against children that keep a parent that is down, and each poll the
 // platform instead.
-func TestChildrenTurnFromADeadParent(t *testing.T) {
+func TestChildrenAbandonDeadParent(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(96, 1, t.Fatalf)
-	w.delay = time.Hour // nobody is told
-	w.watch(5 * time.Second)
-	w.roots()[0].kill()
-	w.watch(2 * ConfigFor(bound).PeerLimit)
-	before := w.calls
+	sim := newSimulation(96, 1, t.Fatalf)
+	sim.membershipDelay = time.Hour // no node learns of the failure
+	sim.runChecked(5 * time.Second)
+	sim.roots()[0].kill()
+	sim.runChecked(2 * ConfigFor(bound).PeerLimit)
+	before := sim.platformCalls
 	const seconds = 10
-	w.watch(seconds * time.Second)
+	sim.runChecked(seconds * time.Second)
 	cfg := ConfigFor(bound)
-	is.True(w.calls-before <= cfg.Roots*seconds*int(time.Second/cfg.Wait+1))
+	is.True(sim.platformCalls-before <= cfg.Roots*seconds*int(time.Second/cfg.Wait+1))
 }
 
-// Guards against a root that the platform turns away and that waits for it alone.
-func TestARootThatIsTurnedAwayAsksOthers(t *testing.T) {
+// Guards against a root that is cut off from the platform and polls nothing
+// else.
+func TestRootCutOffFromPlatformPollsPeers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(18, 1, t.Fatalf)
-	w.watch(5 * time.Second)
-	root := w.roots()[0]
-	root.cut = true
-	w.watch(bound)
-	w.accept()
-	w.watch(bound)
+	sim := newSimulation(18, 1, t.Fatalf)
+	sim.runChecked(5 * time.Second)
+	root := sim.roots()[0]
+	root.platformCut = true
+	sim.runChecked(bound)
+	sim.acceptVersion()
+	sim.runChecked(bound)
 	is.Equal(root.version, int64(1))
 }
 
-// asked returns the IDs of the questions to the platform and to a peer.
-func asked(actions []Action) (platform, peer uint64) {
+// pollIDs returns the IDs of the polls to the platform and to a peer.
+func pollIDs(actions []Action) (platform, peer uint64) {
 	for _, a := range actions {
 		if ask, ok := a.(AskPlatform); ok {
 			platform = ask.ID
 		}
 	}
-	return platform, pending(actions)
+	return platform, peerPollID(actions)
 }
 
-// begun returns a node of two that has asked the platform and its peer.
-func begun(t *testing.T) (s *State, platform, peer uint64) {
+// newPollingState returns the state of one of two nodes, which has polled the
+// platform and its peer.
+func newPollingState(t *testing.T) (s *State, platform, peer uint64) {
 	s = New(ConfigFor(bound), 2, rand.New(rand.NewPCG(1, 1)), 0)
-	platform, peer = asked(s.SetPeers(0, []Peer{{ID: 1}, {ID: 2}}, false))
+	platform, peer = pollIDs(s.SetPeers(0, []Peer{{ID: 1}, {ID: 2}}, false))
 	if platform == 0 || peer == 0 {
-		t.Fatal("a node that starts asks nobody")
+		t.Fatal("a starting node did not poll both the platform and a peer")
 	}
 	return s, platform, peer
 }
 
-// Guards against a mark for a version that could not be put in force.
-func TestAVersionThatIsNotHeldMakesNoMark(t *testing.T) {
+// Guards against a watermark for a version that could not be put in force.
+func TestMissingVersionDoesNotAdvanceWatermark(t *testing.T) {
 	is := is.New(t)
-	s, platform, _ := begun(t)
+	s, platform, _ := newPollingState(t)
 	s.HandlePlatform(10*time.Millisecond, platform, 9, false)
 	_, ok := s.Mark()
 	is.True(!ok)
 
-	s, platform, peer := begun(t)
+	s, platform, peer := newPollingState(t)
 	s.HandlePlatform(10*time.Millisecond, platform, 0, false)
 	is.True(!s.Stale(time.Second))
 	s.HandleReply(time.Second, peer, Reply{Version: 9})
-	is.True(s.Stale(time.Second)) // there is a newer one
+	is.True(s.Stale(time.Second)) // there is a newer version
 }
 
-// Guards against an answer that was held up on the way being taken for a young one.
-func TestALateAnswerOfThePlatformMakesNoYoungMark(t *testing.T) {
+// Guards against a delayed reply being taken for a recent one.
+func TestLatePlatformReplyKeepsWatermarkAge(t *testing.T) {
 	is := is.New(t)
-	s, platform, _ := begun(t)
+	s, platform, _ := newPollingState(t)
 	s.HandlePlatform(ConfigFor(bound).Limit, platform, 0, true)
 	at, ok := s.Mark()
 	is.True(ok)
 	is.Equal(at, ConfigFor(bound).Wait)
 }
 
-// Guards against a node that waits for good for a question that its caller dropped.
-func TestADroppedQuestionIsAskedAgain(t *testing.T) {
+// Guards against a node that waits forever for a poll that its caller dropped.
+func TestUnreportedPollIsRetried(t *testing.T) {
 	is := is.New(t)
-	s, first, _ := begun(t)
+	s, first, _ := newPollingState(t)
 	cfg := ConfigFor(bound)
-	again := uint64(0)
+	retried := uint64(0)
 	for now := cfg.Limit; now <= cfg.Limit+cfg.RetryMin+tick; now += tick {
-		if id, _ := asked(s.Tick(now)); id != 0 {
-			again = id
+		if id, _ := pollIDs(s.Tick(now)); id != 0 {
+			retried = id
 		}
 	}
-	is.True(again > first)
+	is.True(retried > first)
 }
 
-// Guards against a whole fleet of roots: nodes that start together know of no others.
-func TestANodeThatStartsIsNoRoot(t *testing.T) {
+// Guards against every node becoming a root: nodes that start together know no
+// others yet.
+func TestStartingNodeIsNotRoot(t *testing.T) {
 	is := is.New(t)
 	cfg := ConfigFor(bound)
 	s := New(cfg, 2, rand.New(rand.NewPCG(1, 1)), time.Minute)
@@ -423,27 +428,28 @@
 	is.True(s.Root(time.Minute + cfg.Settle))
 }
 
-// Guards against children that wait for a tick though the version is here.
-func TestChildrenAreAnsweredWithTheVersion(t *testing.T) {
+// Guards against held polls that wait for the next tick although the version is
+// available.
+func TestNewVersionIsSentToWaiters(t *testing.T) {
 	is := is.New(t)
-	s, _, _ := begun(t)
+	s, _, _ := newPollingState(t)
 	s.HandleAsk(0, 1, Ask{})
 	is.Equal(countAnswers(s.SetVersion(time.Millisecond, 7)), 1)
 }
 
-// Guards against two nodes that ask each other as fast as they can.
-func TestAPeerWithoutNewsIsNotAskedAtOnce(t *testing.T) {
+// Guards against two nodes that poll each other in a tight loop.
+func TestPeerWithoutNewsIsNotPolledAtOnce(t *testing.T) {
 	is := is.New(t)
-	s, _, peer := begun(t)
-	is.Equal(pending(s.HandleReply(time.Millisecond, peer, Reply{})), uint64(0))
-	is.True(pending(s.Tick(tick)) != 0)
+	s, _, peer := newPollingState(t)
+	is.Equal(peerPollID(s.HandleReply(time.Millisecond, peer, Reply{})), uint64(0))
+	is.True(peerPollID(s.Tick(tick)) != 0)
 }
 
-// Guards against children that wait for a parent which is no member any more.
-func TestAParentThatIsGoneIsLeftAtOnce(t *testing.T) {
+// Guards against children that wait for a parent that is no longer a member.
+func TestRemovedParentIsAbandonedAtOnce(t *testing.T) {
 	is := is.New(t)
-	s, _, first := begun(t)
-	again := pending(s.SetPeers(time.Millisecond, []Peer{{ID: 2}, {ID: 3}}, false))
-	is.True(again > first)
+	s, _, first := newPollingState(t)
+	retried := peerPollID(s.SetPeers(time.Millisecond, []Peer{{ID: 2}, {ID: 3}}, false))
+	is.True(retried > first)
 	is.Equal(s.parent.ID, request.TargetID(3))
 }
