--- a/internal/dataplane/abandon.go
+++ b/internal/dataplane/abandon.go
@@ -6,40 +6,39 @@
 	"time"
 )
 
-// abandonment closes the connection of a call that nobody asks for any more.
+// abandonTimer closes the connection of a call that its caller has given up.
 //
-// Symptom otherwise: a target's slots fill up with calls whose callers were told
-// long ago that they are lost, until their deadlines. Events: the connection
-// between two nodes loses track in the middle of an upload or a large answer; the
-// calling node finds out and closes its end, of which this one never hears.
-// A calling node that still waits asks for a silent call again and again, also
-// while its own caller pauses; one that has given up, or is gone, doesn't.
-type abandonment struct {
-	after time.Duration
-	conn  io.Closer
-	timer *time.Timer
-	asked atomic.Int64 // when the calling node asked last
+// When the connection between two nodes stalls in the middle of an upload or a large
+// answer, the calling node closes its end, and this node may never see the close. Such
+// calls would hold the target's slots until their deadlines. A calling node that still
+// waits keeps probing for a silent call, also while its own caller pauses; one that
+// has given up or died does not.
+type abandonTimer struct {
+	timeout   time.Duration
+	conn      io.Closer
+	timer     *time.Timer
+	lastProbe atomic.Int64 // time of the calling node's last probe
 }
 
-// abandonable lets the call's connection be closed while it is waited for.
-// Called before the first wait of a stream.
-func (h *handled) abandonable(conn io.Closer, after time.Duration) {
+// armAbandon lets the call's connection be closed while the call waits for it. Call it
+// before the first wait of a stream.
+func (h *nodeCall) armAbandon(conn io.Closer, timeout time.Duration) {
 	if h.abandon.timer != nil {
 		return
 	}
-	h.abandon.conn, h.abandon.after = conn, after
-	h.abandon.timer = time.AfterFunc(after, h.check)
+	h.abandon.conn, h.abandon.timeout = conn, timeout
+	h.abandon.timer = time.AfterFunc(timeout, h.closeIfAbandoned)
 }
 
-// check closes the connection if it was waited for, and not asked for, for too
-// long.
-func (h *handled) check() {
-	since := h.since.Load()
+// closeIfAbandoned closes the connection if the call has waited for it, without a
+// probe from the calling node, for longer than the timeout.
+func (h *nodeCall) closeIfAbandoned() {
+	since := h.blockedSince.Load()
 	if since == 0 {
 		return
 	}
-	last := time.Duration(max(since, h.abandon.asked.Load()))
-	if left := h.abandon.after - (h.now() - last); left > 0 {
+	last := time.Duration(max(since, h.abandon.lastProbe.Load()))
+	if left := h.abandon.timeout - (h.now() - last); left > 0 {
 		h.abandon.timer.Reset(left)
 		return
 	}
--- a/internal/dataplane/allowance_test.go
+++ b/internal/dataplane/allowance_test.go
@@ -9,11 +9,10 @@
 	"peardrift/internal/core/retry"
 )
 
-// Symptom: 3% of the lookups fail when one answer in a hundred is lost, though
-// the trials that set the allowance completed 99%. Events: operators declare no
-// attempts for the class. Cause: the configuration's default was 1, and not the
-// one that the policy was measured with.
-func TestClassesHaveTheAllowanceThatWasMeasured(t *testing.T) {
+// Guards against a configuration default that differs from the measured policy. With a
+// default of 1 for classes that declare no attempts, 3% of the lookups failed when 1%
+// of the answers were lost; the measured allowance completed 99%.
+func TestDefaultAttemptsMatchRetryConfig(t *testing.T) {
 	is := is.New(t)
 	is.Equal(confset.DefaultAttempts, retry.DefaultConfig().Attempts)
 }
--- a/internal/dataplane/answer.go
+++ b/internal/dataplane/answer.go
@@ -12,7 +12,7 @@
 )
 
 // answer relays a call's result to the caller or the own target.
-func (e *Engine) answer(to, from *protocol.Response, out *outgoing, r *result, hop *Hop) {
+func (e *Engine) answer(to, from *protocol.Response, out *outboundCall, r *result, hop *Hop) {
 	e.relay(to, from, out.id, r)
 	to.Header.Set(wire.HeaderRequest, out.id.String())
 	if r.code == "" {
@@ -32,9 +32,9 @@
 	})
 }
 
-// relay writes the target's answer, whole or as a stream, or a problem. A
-// stream that breaks closes the connection: its receiver sees a body that ends
-// short of its length or without its last chunk, never a shorter answer.
+// relay writes the target's answer, whole or as a stream, or a problem document. A
+// stream that breaks closes the connection: the receiver sees a body shorter than its
+// length or without its last chunk, never a complete but shorter answer.
 func (e *Engine) relay(to, from *protocol.Response, id request.ID, r *result) {
 	if r.code != "" {
 		if r.stream != nil {
@@ -53,7 +53,7 @@
 }
 
 // fill completes a hop from a call's result.
-func (h *Hop) fill(out *outgoing, r *result) {
+func (h *Hop) fill(out *outboundCall, r *result) {
 	h.Service = out.info.Name
 	h.Class = out.meta.Class
 	h.Tenant = out.meta.Tenant
@@ -68,12 +68,12 @@
 		h.Detail = r.detail
 	}
 	h.Level = r.answer.Level
-	h.Known = out.known
-	h.Allowance = out.allowance.left()
+	h.Known = out.knownLevel
+	h.Allowance = out.allowance.remaining()
 }
 
-// hostService returns the service that a Host header names: its part before the
-// port, with the given tenant added where it names none.
+// hostService returns the service that a Host header names: the part before the port,
+// with the given tenant appended if it names none.
 func hostService(host string, tenant request.Tenant) request.Service {
 	name, _, _ := strings.Cut(host, ":")
 	if !strings.Contains(name, ".") {
--- a/internal/dataplane/call.go
+++ b/internal/dataplane/call.go
@@ -16,97 +16,97 @@
 	"peardrift/internal/wire"
 )
 
-// outgoing is one call from this node to a service, over all its attempts.
-type outgoing struct {
-	info      *confset.ServiceInfo
-	class     *confset.Class // of the callee
-	meta      wire.Meta
-	id        request.ID
-	sampled   bool   // the request's spans are recorded
-	span      SpanID // of the hop that makes the call
-	priority  request.Priority
-	known     request.Level // that an entry compared the priority with
-	deadline  time.Duration
-	allowance allowance
-	parent    *running          // the request on whose behalf the own target calls; nil at an entry
-	req       *protocol.Request // complete but for meta and trace; reused by attempts
-	once      bool              // the body is a stream and can be sent once
+// outboundCall is one call from this node to a service, including all its attempts.
+type outboundCall struct {
+	info          *confset.ServiceInfo
+	class         *confset.Class // of the callee
+	meta          wire.Meta
+	id            request.ID
+	sampled       bool   // the request's spans are recorded
+	span          SpanID // of the hop that makes the call
+	priority      request.Priority
+	knownLevel    request.Level // compared with the priority at the entry
+	deadline      time.Duration
+	allowance     allowance
+	parent        *runningRequest   // request of the own target that makes the call; nil at an entry
+	req           *protocol.Request // complete except meta and trace; reused by all attempts
+	singleAttempt bool              // the body is a stream, which can be sent only once
 
-	// sub and grant are call's own. They stand here because what takes a pointer
-	// through an interface would have each attempt allocate them.
-	sub   retry.Call
-	grant retry.Grant
-	entry entryAllowance // the allowance of a whole request
+	// callState and grant are used by call only. They are fields because passing their
+	// addresses through an interface would allocate them on each attempt.
+	callState retry.Call
+	grant     retry.Grant
+	entry     entryAllowance // of a root request
 
-	organisation *confset.OrganisationInfo // of a whole request; nil: none
+	organisation *confset.OrganisationInfo // of a root request; nil if none
 }
 
-// allowance pays for attempts. The entry's own and a running request's differ in
-// who else draws on them.
+// allowance is the retry allowance that attempts are charged to. An entry's allowance
+// serves one call; that of a running request is shared by its concurrent calls.
 type allowance interface {
 	start(c *retry.Call, below int) (retry.Grant, bool)
 	settle(c *retry.Call, g *retry.Grant, a retry.Answer)
-	left() int
+	remaining() int
 }
 
-// result is an ended attempt or an ended call.
+// result is the result of an attempt or of a call.
 type result struct {
-	outcome  request.Outcome
-	code     status.Code // empty for an answer of the target's
-	detail   string
-	answered bool // a node answered, with answer
-	answer   wire.Answer
-	stream   *hertzhttp.Stream
-	length   int
-	headAt   time.Duration // when the answer's head was here
-	target   request.TargetID
-	zone     string
-	attempts int
-	retry    retry.Reason
-	after    time.Duration // advice on when to come back
-	shed     bool          // the own target says that it is overloaded
+	outcome    request.Outcome
+	code       status.Code // empty if the target answered
+	detail     string
+	answered   bool // a node answered; answer is set
+	answer     wire.Answer
+	stream     *hertzhttp.Stream
+	length     int
+	headAt     time.Duration // when the answer's headers had arrived
+	target     request.TargetID
+	zone       string
+	attempts   int
+	retry      retry.Reason
+	retryAfter time.Duration // advised delay before a retry
+	targetShed bool          // the own target reported overload
 }
 
-// fail makes a result of a failure that this node found.
-func fail(now time.Duration, e *status.Error) *result {
-	return &result{outcome: e.Outcome, code: e.Code, detail: e.Detail, after: e.RetryAfter, headAt: now}
+// failureResult converts a failure found by this node to a result.
+func failureResult(now time.Duration, e *status.Error) *result {
+	return &result{outcome: e.Outcome, code: e.Code, detail: e.Detail, retryAfter: e.RetryAfter, headAt: now}
 }
 
 // failure returns the result as a typed failure.
 func (r *result) failure() *status.Error {
-	return &status.Error{Code: r.code, Outcome: r.outcome, Detail: r.detail, RetryAfter: r.after}
+	return &status.Error{Code: r.code, Outcome: r.outcome, Detail: r.detail, RetryAfter: r.retryAfter}
 }
 
-// call makes attempts at the service until one is final. On return resp holds
-// the answer's head, and its body unless result.stream does.
-func (e *Engine) call(ctx context.Context, c *outgoing, resp *protocol.Response) *result {
+// call makes attempts at the service until one is final. On return resp holds the
+// answer's headers, and its body unless result.stream does.
+func (e *Engine) call(ctx context.Context, c *outboundCall, resp *protocol.Response) *result {
 	cl := e.callee(c.info.Name)
-	sub := &c.sub
+	sub := &c.callState
 	var tried route.Tried
 	var last *result
 	for {
 		r, ok := e.next(ctx, cl, c, sub, &tried, resp)
 		if !ok && last != nil {
-			// No further attempt could be made: the last one's result stands.
-			return conclude(last, sub)
+			// No further attempt was possible: return the last one's result.
+			return finalResult(last, sub)
 		}
 		if !ok {
-			return conclude(r, sub)
+			return finalResult(r, sub)
 		}
 		r.attempts = sub.Attempts()
-		q := e.question(c, r, sub, cl)
-		d := cl.decide(&q)
+		input := e.retryInput(c, r, sub, cl)
+		d := cl.decide(&input)
 		r.retry = d.Reason
-		if !d.Retry() || c.once && r.code != status.CodeConnectFailed || !pause(ctx, d.Wait) {
-			return conclude(r, sub)
+		if !d.Retry() || c.singleAttempt && r.code != status.CodeConnectFailed || !sleep(ctx, d.Wait) {
+			return finalResult(r, sub)
 		}
 		r.discard()
 		last = r
 	}
 }
 
-// cause is why the call failed: the node's own code or, where the target itself
-// answered with a failure, that of the call below that ended badly.
+// cause returns why the call failed: the node's own code or, if the target itself
+// answered with a failure, the code of the downstream call that failed.
 func (r *result) cause() status.Code {
 	if r.code == "" && r.outcome != request.Completed {
 		return r.answer.Below
@@ -114,9 +114,8 @@
 	return r.code
 }
 
-// discard lets go of an answer that is to be tried again. Its stream would
-// otherwise hold its connection, and the target's slot, until the whole request
-// ends.
+// discard closes an answer that is going to be retried. Its open stream would hold its
+// connection and the target's slot until the whole request ends.
 func (r *result) discard() {
 	if r.stream == nil {
 		return
@@ -126,47 +125,46 @@
 	r.code, r.detail = status.CodeTargetFailed, "the target failed"
 }
 
-// conclude corrects the outcome of the last attempt for what the earlier ones
-// may have done: a request of which one attempt may have run is not "refused",
-// though the last one was.
-func conclude(r *result, sub *retry.Call) *result {
+// finalResult corrects the outcome of the last attempt for earlier ones: a request is
+// not "refused" if any of its attempts may have run.
+func finalResult(r *result, sub *retry.Call) *result {
 	if r.outcome == request.Refused && sub.MayHaveRun() {
 		r.outcome = request.Unknown
 	}
 	return r
 }
 
-// next makes one attempt; false if it could not even be begun.
-func (e *Engine) next(ctx context.Context, cl *callee, c *outgoing, sub *retry.Call, tried *route.Tried, resp *protocol.Response) (*result, bool) {
+// next makes one attempt; it returns false if the attempt could not start.
+func (e *Engine) next(ctx context.Context, cl *callee, c *outboundCall, sub *retry.Call, tried *route.Tried, resp *protocol.Response) (*result, bool) {
 	now := e.now()
 	if now >= c.deadline {
-		return fail(now, status.Refuse(status.CodeDeadline, 0, "no time left")), false
+		return failureResult(now, status.Refuse(status.CodeDeadline, 0, "the deadline has passed")), false
 	}
 	ch, ok := cl.pick(e.view.Load(), c, tried)
 	if !ok {
-		return fail(now, status.Refuse(status.CodeNoTarget, later(), "no target of %s can take the call", c.info.Name)), false
+		return failureResult(now, status.Refuse(status.CodeNoTarget, retryDelay(), "no target of %s accepts the call", c.info.Name)), false
 	}
-	c.grant, ok = c.allowance.start(sub, cl.below(c.class.Name))
+	c.grant, ok = c.allowance.start(sub, cl.downstreamCalls(c.class.Name))
 	if !ok {
-		r := fail(now, status.Refuse(status.CodeRetriesExhausted, later(), "the request's retries are used up"))
+		r := failureResult(now, status.Refuse(status.CodeRetriesExhausted, retryDelay(), "the request's retry allowance is exhausted"))
 		cl.done(ch, &result{code: status.CodeCanceled})
 		return r, false
 	}
-	if c.parent != nil && !c.parent.begins(e.now()) {
-		r := fail(now, status.Refuse(status.CodeCanceled, 0, "the request that the call belongs to is over"))
+	if c.parent != nil && !c.parent.beginAttempt(e.now()) {
+		r := failureResult(now, status.Refuse(status.CodeCanceled, 0, "the request that the call belongs to has ended"))
 		c.allowance.settle(sub, &c.grant, retry.Answer{Outcome: r.outcome, Unspent: c.grant.Allowance})
 		cl.done(ch, r)
 		return r, false
 	}
 	r := e.attempt(ctx, c, ch, &c.grant, sub, resp)
 	if c.parent != nil {
-		c.parent.note(e.now(), r)
+		c.parent.endAttempt(e.now(), r)
 	}
 	c.allowance.settle(sub, &c.grant, retry.Answer{
 		Outcome: r.outcome, Unspent: r.answer.Unspent, Made: r.answer.Made,
 		Free: e.cfg.Retry.Free(r.outcome, r.code),
 	})
-	cl.settle(ch, c, r)
+	cl.record(ch, c, r)
 	e.levels.learn(c, r)
 	if r.stream != nil {
 		r.stream.OnClose(func() { cl.done(ch, r) })
@@ -177,7 +175,7 @@
 }
 
 // attempt sends the call to one target's node and reads the answer.
-func (e *Engine) attempt(ctx context.Context, c *outgoing, ch choice, g *retry.Grant, sub *retry.Call, resp *protocol.Response) *result {
+func (e *Engine) attempt(ctx context.Context, c *outboundCall, ch choice, g *retry.Grant, sub *retry.Call, resp *protocol.Response) *result {
 	span := newSpan()
 	m := c.meta
 	m.Allowance, m.Repeat = g.Allowance, g.Repeat
@@ -186,8 +184,8 @@
 	traceContext{c.id, span, c.sampled}.set(&c.req.Header)
 	began := time.Now()
 	resp.Reset()
-	res, err := e.toZone(ch.zone).Do(ctx, ch.addr, c.req, resp)
-	r := e.read(res, err, resp, span)
+	res, err := e.transportTo(ch.zone).Do(ctx, ch.addr, c.req, resp)
+	r := e.readAnswer(res, err, resp, span)
 	r.target, r.zone = ch.id, ch.zone
 	e.observe(&Hop{
 		Kind: HopAttempt, ID: c.id, Span: span, Parent: c.span, Start: began, End: time.Now(),
@@ -197,8 +195,8 @@
 	return r
 }
 
-// read types what the transport returned.
-func (e *Engine) read(res hertzhttp.Result, err error, resp *protocol.Response, span SpanID) *result {
+// readAnswer converts what the transport returned to a result.
+func (e *Engine) readAnswer(res hertzhttp.Result, err error, resp *protocol.Response, span SpanID) *result {
 	now := e.now()
 	if err != nil {
 		f := status.From(err)
@@ -206,31 +204,32 @@
 		if !res.Sent {
 			f.Outcome = request.Refused
 		}
-		return fail(now, f)
+		return failureResult(now, f)
 	}
-	if !span.is(resp.Header.Peek(wire.HeaderAttempt)) {
-		// Another call's answer, or no node's: a connection out of step would
-		// hand one request's answer to another. Nothing of it may be used.
+	if !span.matches(resp.Header.Peek(wire.HeaderAttempt)) {
+		// The answer belongs to another call or comes from no node. If answers on a
+		// connection were off by one, a caller would get another caller's answer, so
+		// no part of it may be used.
 		if res.Stream != nil {
 			_ = res.Stream.Close()
 		}
-		return fail(now, status.New(status.CodeProtocol, "the answer is not marked as this call's"))
+		return failureResult(now, status.New(status.CodeProtocol, "the answer does not belong to this call"))
 	}
 	a := wire.GetAnswer(&resp.Header)
 	return &result{
-		outcome:  a.Outcome,
-		code:     a.Code,
-		detail:   detailOf(a.Code, resp),
-		answered: true,
-		answer:   a,
-		stream:   res.Stream,
-		length:   res.Length,
-		headAt:   now,
-		after:    a.Pushback,
+		outcome:    a.Outcome,
+		code:       a.Code,
+		detail:     detailOf(a.Code, resp),
+		answered:   true,
+		answer:     a,
+		stream:     res.Stream,
+		length:     res.Length,
+		headAt:     now,
+		retryAfter: a.Pushback,
 	}
 }
 
-// detailOf returns what the answering node says of its failure.
+// detailOf returns the detail of the answering node's problem document.
 func detailOf(code status.Code, resp *protocol.Response) string {
 	if code == "" {
 		return ""
@@ -242,8 +241,8 @@
 	return p.Detail
 }
 
-// question puts an ended attempt to the decider.
-func (e *Engine) question(c *outgoing, r *result, sub *retry.Call, cl *callee) retry.Result {
+// retryInput describes an ended attempt to the retry decider.
+func (e *Engine) retryInput(c *outboundCall, r *result, sub *retry.Call, cl *callee) retry.Result {
 	return retry.Result{
 		Outcome:    r.outcome,
 		Code:       r.cause(),
@@ -251,8 +250,8 @@
 		Priority:   c.priority,
 		Level:      e.levels.level(c),
 		Attempts:   sub.Attempts(),
-		Left:       c.allowance.left(),
-		Below:      cl.below(c.class.Name),
+		Left:       c.allowance.remaining(),
+		Below:      cl.downstreamCalls(c.class.Name),
 		Runs:       sub.Runs(),
 		MaxRuns:    c.class.Runs,
 		MayHaveRun: sub.MayHaveRun(),
@@ -261,7 +260,8 @@
 	}
 }
 
-// idempotent reports methods that RFC 9110 (9.2.2) defines as idempotent.
+// idempotent reports whether RFC 9110 (9.2.2) defines the request's method as
+// idempotent.
 func idempotent(req *protocol.Request) bool {
 	switch string(req.Header.Method()) {
 	case "GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE":
@@ -270,8 +270,8 @@
 	return false
 }
 
-// pause waits, or returns false when ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d; it returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/dataplane/call_test.go
+++ b/internal/dataplane/call_test.go
@@ -23,7 +23,7 @@
 	"peardrift/internal/wire"
 )
 
-// fakeNode is a callee's node that answers by a script.
+// fakeNode is a callee's node that answers with the given handler.
 func fakeNode(t *testing.T, answer hertzhttp.Handler) *hertzhttp.Server {
 	s, err := hertzhttp.Listen("127.0.0.1:0", hertzhttp.DefaultServerConfig(), func(ctx context.Context, c *app.RequestContext) {
 		tc, _ := traceOf(&c.Request.Header)
@@ -42,8 +42,8 @@
 	return s
 }
 
-// caller is an engine that calls service "svc.t" on the given nodes.
-func caller(t *testing.T, nodes ...*hertzhttp.Server) (*Engine, *confset.ServiceInfo) {
+// newCaller returns an engine that calls service "svc.t" on the given nodes.
+func newCaller(t *testing.T, nodes ...*hertzhttp.Server) (*Engine, *confset.ServiceInfo) {
 	class := confset.Class{Name: "read", Path: "/", Importance: 10, Deadline: time.Minute, Attempts: 3, MaxBody: 1 << 20}
 	idx := confset.NewIndex(confset.Set{Tenant: "t", Version: 1, Share: 1, Services: []confset.Service{
 		{Name: "svc", Slots: 10, Connections: 100, Classes: []confset.Class{class}},
@@ -67,12 +67,12 @@
 	return e, info
 }
 
-func outgoingTo(e *Engine, info *confset.ServiceInfo) *outgoing {
+func outgoingTo(e *Engine, info *confset.ServiceInfo) *outboundCall {
 	req := &protocol.Request{}
 	req.Header.SetMethod("GET")
 	req.Header.SetRequestURI("/")
 	req.Header.SetHost("svc.t")
-	return &outgoing{
+	return &outboundCall{
 		info: info, class: &info.Classes[0], id: newID(), req: req,
 		deadline: e.now() + time.Minute, allowance: &entryAllowance{allowance: retry.NewRequestAllowance(3, false)},
 	}
@@ -84,18 +84,16 @@
 	c.SetBodyStream(body, -1)
 }
 
-// Symptom: a target's slots fill up although nobody waits for its answers.
-// Events: a target fails with a long answer, the call is tried elsewhere and
-// completes.
-// Cause: the first answer's stream was left open, half read.
-func TestAnswerThatIsTriedAgainIsLetGo(t *testing.T) {
+// Guards against leaving the half-read stream of a failed answer open when the call is
+// retried elsewhere: it would hold a slot of the target without anyone reading it.
+func TestRetriedAnswerStreamIsClosed(t *testing.T) {
 	is := is.New(t)
 	var calls, failed = make(chan struct{}, 10), make(chan struct{}, 1)
 	failed <- struct{}{}
 	answer := func(_ context.Context, c *app.RequestContext) {
 		calls <- struct{}{}
 		select {
-		case <-failed: // the first call only
+		case <-failed: // first call only
 			failing(c, io.LimitReader(zeros{}, 64<<20))
 		default:
 			wire.SetAnswer(&c.Response.Header, &wire.Answer{Outcome: request.Completed})
@@ -103,7 +101,7 @@
 		}
 	}
 	nodes := []*hertzhttp.Server{fakeNode(t, answer), fakeNode(t, answer)}
-	e, info := caller(t, nodes...)
+	e, info := newCaller(t, nodes...)
 	var resp protocol.Response
 	r := e.call(context.Background(), outgoingTo(e, info), &resp)
 	is.Equal(r.outcome, request.Completed)
@@ -112,7 +110,7 @@
 	cl := e.callee("svc.t")
 	for i := range nodes {
 		cl.mu.Lock()
-		is.Equal(cl.table.InFlight(i), 0) // nothing is booked on either target
+		is.Equal(cl.table.InFlight(i), 0) // neither target has a call in flight
 		cl.mu.Unlock()
 	}
 }
@@ -124,28 +122,27 @@
 	return len(p), nil
 }
 
-// Symptom: one caller gets another caller's answer.
-// Events: a node's answers come out of step with the calls on a connection.
-// Cause: an answer was taken for the present call's because it came next.
-func TestAnswerOfAnotherCallIsDropped(t *testing.T) {
+// Guards against matching an answer to a call only because it came next: if a node's
+// answers on a connection are out of step, one caller would get another caller's
+// answer.
+func TestAnswerOfAnotherCallIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := fakeNode(t, func(_ context.Context, c *app.RequestContext) {
 		c.Response.Header.Set(wire.HeaderAttempt, newSpan().String())
 		wire.SetAnswer(&c.Response.Header, &wire.Answer{Outcome: request.Completed})
 		c.SetBodyString("somebody else's")
 	})
-	e, info := caller(t, s)
+	e, info := newCaller(t, s)
 	var resp protocol.Response
 	r := e.call(context.Background(), outgoingTo(e, info), &resp)
 	is.Equal(r.outcome, request.Unknown)
-	is.True(r.code != "") // a problem is answered, not the body
+	is.True(r.code != "") // the caller gets a problem, not the body
 }
 
-// Symptom: a caller is told "not run" of a request that ran.
-// Events: the first attempt's connection breaks after it was sent, the second
-// one is refused.
-// Cause: the last attempt's outcome was taken for the request's.
-func TestRefusalAfterADoubtfulAttemptIsUnknown(t *testing.T) {
+// Guards against reporting the last attempt's outcome as the request's: if the first
+// attempt's connection breaks after it was sent and the second attempt is refused, the
+// request may have run.
+func TestRefusalAfterUnknownAttemptIsUnknown(t *testing.T) {
 	is := is.New(t)
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
@@ -159,103 +156,104 @@
 			c.SetBodyString(`{"detail":"` + strings.Repeat("x", 10) + `"}`)
 		}
 	}
-	e, info := caller(t, fakeNode(t, answer), fakeNode(t, answer))
+	e, info := newCaller(t, fakeNode(t, answer), fakeNode(t, answer))
 	var resp protocol.Response
 	r := e.call(context.Background(), outgoingTo(e, info), &resp)
 	is.Equal(r.outcome, request.Unknown)
 	is.Equal(r.attempts, 2)
 }
 
-// Guards against a target that is gone and whose address another service's node has
-// taken over: it refuses at once, always looks idle, and would draw calls until the
-// membership has noticed, seconds later.
-func TestATargetWhoseAddressServesAnotherServiceIsLeft(t *testing.T) {
+// Guards against calls to a target that is gone and whose address another service's
+// node has taken over: that node refuses at once, always looks idle, and would attract
+// calls until the membership notices, seconds later.
+func TestMisdirectingTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
-	var there, elsewhere atomic.Int32
+	var correct, misdirected atomic.Int32
 	other := fakeNode(t, func(_ context.Context, c *app.RequestContext) {
-		elsewhere.Add(1)
+		misdirected.Add(1)
 		wire.SetAnswer(&c.Response.Header, &wire.Answer{Outcome: request.Refused, Code: status.CodeMisdirected})
 		c.SetStatusCode(http.StatusServiceUnavailable)
 	})
 	right := fakeNode(t, func(_ context.Context, c *app.RequestContext) {
-		there.Add(1)
+		correct.Add(1)
 		wire.SetAnswer(&c.Response.Header, &wire.Answer{Outcome: request.Completed})
 	})
-	e, info := caller(t, other, right)
+	e, info := newCaller(t, other, right)
 	for range 200 {
 		out := outgoingTo(e, info)
 		resp := protocol.AcquireResponse()
 		is.Equal(e.call(context.Background(), out, resp).outcome, request.Completed)
 		e.ProbeTargets(func(f func()) error { f(); return nil })
 	}
-	is.Equal(there.Load(), int32(200))
-	is.True(elsewhere.Load() <= 1)
+	is.Equal(correct.Load(), int32(200))
+	is.True(misdirected.Load() <= 1)
 }
 
-// Guards against a call that runs for a request whose caller was told that it failed.
-func TestNoAttemptBeginsForARequestThatHasFailed(t *testing.T) {
+// Guards against a call that runs for a request that was reported to its caller as
+// failed.
+func TestNoAttemptStartsForFailedRequest(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int32
 	node := fakeNode(t, func(_ context.Context, c *app.RequestContext) {
 		calls.Add(1)
 		wire.SetAnswer(&c.Response.Header, &wire.Answer{Outcome: request.Completed})
 	})
-	e, info := caller(t, node)
+	e, info := newCaller(t, node)
 	out := outgoingTo(e, info)
-	x := &running{id: out.id, allowance: retry.NewRequestAllowance(3, false)}
+	x := &runningRequest{id: out.id, allowance: retry.NewRequestAllowance(3, false)}
 	out.parent, out.allowance = x, x
-	is.True(!x.fails())
+	is.True(!x.markFailed())
 	r := e.call(context.Background(), out, protocol.AcquireResponse())
 	is.Equal(r.outcome, request.Refused)
 	is.Equal(r.code, status.CodeCanceled)
 	is.Equal(calls.Load(), int32(0))
-	is.Equal(x.left(), 3)
+	is.Equal(x.remaining(), 3)
 }
 
-// Guards against a failure said while an attempt below is under way.
-func TestAFailureWithAnAttemptUnderWayIsInDoubt(t *testing.T) {
+// Guards against reporting a definite failure while a downstream attempt is in flight.
+func TestFailureWithOpenAttemptIsUnknown(t *testing.T) {
 	is := is.New(t)
-	x := &running{}
-	is.True(x.begins(0))
-	is.True(x.fails())
-	is.True(!x.begins(0))
-	x.note(0, &result{outcome: request.Completed})
-	is.True(!x.fails())
+	x := &runningRequest{}
+	is.True(x.beginAttempt(0))
+	is.True(x.markFailed())
+	is.True(!x.beginAttempt(0))
+	x.endAttempt(0, &result{outcome: request.Completed})
+	is.True(!x.markFailed())
 }
 
-func TestTheLastFailuresAreRemembered(t *testing.T) {
+func TestRegistryRemembersLastFailures(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry()
 	is.True(!r.hasFailed(request.ID{}, ""))
-	first := &running{id: newID(), name: "one"}
-	r.fail(first)
+	first := &runningRequest{id: newID(), name: "one"}
+	r.recordFailure(first)
 	is.True(r.hasFailed(first.id, ""))
 	is.True(r.hasFailed(request.ID{}, "one"))
 	is.True(!r.hasFailed(newID(), "two"))
 	for range maxFailed {
-		r.fail(&running{id: newID()})
+		r.recordFailure(&runningRequest{id: newID()})
 	}
 	is.True(!r.hasFailed(first.id, "one"))
 	is.True(!r.hasFailed(request.ID{}, ""))
 }
 
-// Guards against a node that answers for another service as if it would serve it later.
-func TestACallForAnotherServiceIsMisdirected(t *testing.T) {
+// Guards against a retryable refusal by a node that doesn't serve the called service.
+func TestCallForAnotherServiceIsMisdirected(t *testing.T) {
 	is := is.New(t)
-	e, _ := caller(t)
-	s := &serving{meta: wire.Meta{Service: "else.t"}}
+	e, _ := newCaller(t)
+	s := &inboundCall{meta: wire.Meta{Service: "else.t"}}
 	fault := e.acceptRouted(s, e.view.Load())
 	is.True(fault != nil)
 	is.Equal(fault.Code, status.CodeMisdirected)
 	is.Equal(fault.Outcome, request.Refused)
 }
 
-// Guards against a target that starts again under its name and keeps its gate's state.
-func TestAStartUnderTheSameNameHasAGateOfItsOwn(t *testing.T) {
+// Guards against keeping the gate's state when a target restarts under the same name.
+func TestRestartUnderSameNameResetsGate(t *testing.T) {
 	is := is.New(t)
-	e, _ := caller(t)
+	e, _ := newCaller(t)
 	admitted := func() bool {
-		_, fault := e.gate.enter(context.Background(), admission.Arrival{Deadline: e.now() + time.Minute})
+		_, fault := e.gate.acquire(context.Background(), admission.Arrival{Deadline: e.now() + time.Minute})
 		return fault == nil
 	}
 	e.SetLifetime(Lifetime{Instance: "a", Born: 1, Slots: 10, Takes: true})
--- a/internal/dataplane/callee.go
+++ b/internal/dataplane/callee.go
@@ -10,24 +10,24 @@
 	"peardrift/internal/status"
 )
 
-// callee is a service as this node calls it: its targets, the budget for
-// retries, what its calls usually cost. Safe for concurrent use.
+// callee is a called service as seen by this node: its targets, retry budget and usual
+// cost of calls. Safe for concurrent use.
 type callee struct {
-	cfg     *Config
-	now     func() time.Duration
-	mu      sync.Mutex
-	gen     uint64
-	addrs   map[request.TargetID]string
-	table   *route.Table
-	budget  retry.ServiceBudget
-	decider *retry.Decider
-	costs   map[request.Class]*retry.Cost
-	forget  func(request.TargetID) // told of targets that have gone
-	usual   time.Duration          // mean time of whole answers; 0 not known
+	cfg         *Config
+	now         func() time.Duration
+	mu          sync.Mutex
+	gen         uint64
+	addrs       map[request.TargetID]string
+	table       *route.Table
+	budget      retry.ServiceBudget
+	decider     *retry.Decider
+	costs       map[request.Class]*retry.Cost
+	forget      func(request.TargetID) // called for each target that was removed
+	meanLatency time.Duration          // moving average of the latency of completed calls; 0 if unknown
 }
 
-// usualWeight is the weight of a new time in the mean, as a divisor.
-const usualWeight = 8
+// latencyWeight is the divisor that weights a new sample in the moving average.
+const latencyWeight = 8
 
 func (e *Engine) callee(name request.Service) *callee {
 	e.mu.Lock()
@@ -49,7 +49,7 @@
 	return cl
 }
 
-// refresh takes in the view's targets if they are newer. Called with mu held.
+// refresh applies the view's targets if they are newer. Called with mu held.
 func (cl *callee) refresh(v *View, name request.Service) {
 	if v.Gen <= cl.gen || v.Peers == nil {
 		return
@@ -81,8 +81,8 @@
 	started time.Duration
 }
 
-// pick chooses and books a target for the next attempt.
-func (cl *callee) pick(v *View, c *outgoing, tried *route.Tried) (choice, bool) {
+// pick chooses a target for the next attempt and counts the attempt as in flight.
+func (cl *callee) pick(v *View, c *outboundCall, tried *route.Tried) (choice, bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.refresh(v, c.info.Name)
@@ -97,7 +97,7 @@
 	return choice{idx: idx, id: t.ID, zone: t.Zone, addr: cl.addrs[t.ID], started: now}, true
 }
 
-// done books the end of an attempt at its target.
+// done records the end of an attempt at its target.
 func (cl *callee) done(ch choice, r *result) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -112,8 +112,8 @@
 	})
 }
 
-// settle takes in what the attempt tells of the service as a whole.
-func (cl *callee) settle(ch choice, c *outgoing, r *result) {
+// record updates the service-wide statistics from an attempt.
+func (cl *callee) record(ch choice, c *outboundCall, r *result) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if c.parent == nil {
@@ -126,14 +126,15 @@
 	}
 	cl.cost(c.class.Name).Observe(&cl.cfg.Retry, r.answer.Made)
 	took := r.headAt - ch.started
-	if cl.usual == 0 {
-		cl.usual = took
+	if cl.meanLatency == 0 {
+		cl.meanLatency = took
 	}
-	cl.usual += (took - cl.usual) / usualWeight
+	cl.meanLatency += (took - cl.meanLatency) / latencyWeight
 }
 
-// below returns the usual number of calls that a call makes below the callee.
-func (cl *callee) below(class request.Class) int {
+// downstreamCalls returns the usual number of calls that a call of the class causes
+// below the callee.
+func (cl *callee) downstreamCalls(class request.Class) int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.cost(class).Below()
@@ -148,15 +149,15 @@
 	return c
 }
 
-// decide asks whether there is a next attempt.
+// decide decides whether there is another attempt.
 func (cl *callee) decide(r *retry.Result) retry.Decision {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	r.Usual = cl.usual
+	r.Usual = cl.meanLatency
 	return cl.decider.Decide(cl.now(), r, &cl.budget)
 }
 
-// kind says what the result tells of the target.
+// kind classifies the result for the target's health.
 func (r *result) kind() route.Kind {
 	switch r.code {
 	case "":
@@ -164,12 +165,12 @@
 		case r.outcome == request.Completed:
 			return route.Success
 		case r.answer.Below != "":
-			// It failed because a service below did. Were that held against it,
-			// one overloaded service would eject the healthy targets of all that
-			// call it, also from requests that don't need it.
+			// A service below it failed. Counting that against the target would let
+			// one overloaded service eject the healthy targets of all its callers,
+			// also for requests that don't need it.
 			return route.Ignored
 		default:
-			return route.Failure // the target's own word that it failed
+			return route.Failure // the target itself answered with a failure
 		}
 	case status.CodeCanceled:
 		return route.Ignored
@@ -179,12 +180,12 @@
 		return route.Leaves
 	case status.CodeConnectFailed, status.CodeConnectionLost:
 		if r.answered {
-			return route.Failure // the callee's node lost its target, not we its node
+			return route.Failure // the callee's node lost its target; our connection to the node is fine
 		}
 		return route.Broken
 	case status.CodeNotReady:
-		// Unlike a leave it passes, without a new incarnation of the node, and
-		// often soon: a node that starts is not ready for a moment.
+		// Unlike a leave, this ends without a new incarnation of the node, and often
+		// soon: a starting node is not ready for a moment.
 		return route.Broken
 	case status.CodeDeadlineExceeded, status.CodeTargetFailed, status.CodeNoTarget,
 		status.CodeOutcomeUnknown, status.CodeInternal, status.CodeProtocol:
--- a/internal/dataplane/check.go
+++ b/internal/dataplane/checkanswer.go
@@ -9,9 +9,10 @@
 	"peardrift/internal/wire"
 )
 
-// CheckAnswer returns what tells a target's answers apart, in a dialect in which
-// targets echo the request's name and sign what they answer. A success without a
-// signature was made by nobody, and a coded body is not the one that was signed.
+// CheckAnswer returns a function that matches a target's answers to requests, for
+// dialects in which targets echo the request's name and sign their answers. A success
+// without a signature comes from no target, and an encoded body is not the one that
+// was signed.
 func CheckAnswer(d wire.Dialect) func(*protocol.RequestHeader, *protocol.ResponseHeader) hertzhttp.Match {
 	return func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) hertzhttp.Match {
 		echo := resp.Peek(d.Request)
--- a/internal/dataplane/check_test.go
+++ b/internal/dataplane/checkanswer_test.go
@@ -10,10 +10,10 @@
 	"peardrift/internal/wire"
 )
 
-// Symptom: a caller gets another's answer, or one that no target has made.
-// Events: a target answers twice, or sends bytes that are none of its answers.
-// Cause: whatever comes next on a connection is taken for the answer.
-func TestAnswersAreToldApart(t *testing.T) {
+// Guards against taking the next bytes on a connection for the answer: when a target
+// answers twice or sends bytes that are no answer, a caller would get another caller's
+// answer or one that no target made.
+func TestCheckAnswer(t *testing.T) {
 	is := is.New(t)
 	d := wire.Dialect{Request: "X-Name", Signature: "X-Signed"}
 	check := CheckAnswer(d)
--- a/internal/dataplane/explain.go
+++ b/internal/dataplane/explain.go
@@ -13,16 +13,16 @@
 	"peardrift/internal/wire"
 )
 
-// explain corrects the refusal of an at-most-once call: "not run" is said only
-// if no earlier call under its key has run, and where one has, the answer is
-// that call's. See claims.Runner.Explain.
-func (e *Engine) explain(ctx context.Context, out *outgoing, r *result, resp *protocol.Response) *result {
-	if !out.class.AtMostOnce || r.outcome != request.Refused || !forNow(r.code) {
+// explain corrects the refusal of an at-most-once call: it is reported as "not run"
+// only if no earlier call with its key has run; if one has, that call's answer is
+// returned. See claims.Runner.Explain.
+func (e *Engine) explain(ctx context.Context, out *outboundCall, r *result, resp *protocol.Response) *result {
+	if !out.class.AtMostOnce || r.outcome != request.Refused || !isTemporary(r.code) {
 		return r
 	}
 	res := e.claims.Explain(ctx, out.claimRequest(e.epoch.Add(out.deadline)), r.failure())
 	if res.Err != nil {
-		x := fail(e.now(), res.Err)
+		x := failureResult(e.now(), res.Err)
 		x.attempts, x.retry = r.attempts, r.retry
 		return x
 	}
@@ -33,8 +33,8 @@
 	return earlier
 }
 
-// claimRequest describes the call as its callee's node would claim it.
-func (c *outgoing) claimRequest(deadline time.Time) claims.Request {
+// claimRequest describes the call as the callee's node would claim it.
+func (c *outboundCall) claimRequest(deadline time.Time) claims.Request {
 	h := &c.req.Header
 	return claims.Request{
 		Scope:    claim.Scope{Tenant: c.meta.Tenant, Service: c.info.Name, Class: c.class.Name},
@@ -47,9 +47,9 @@
 	}
 }
 
-// forNow reports the codes of refusals that say nothing of the request itself:
-// the same request may have been taken before.
-func forNow(code status.Code) bool {
+// isTemporary reports whether a refusal code says nothing about the request itself:
+// the same request may have been accepted before.
+func isTemporary(code status.Code) bool {
 	switch code {
 	case status.CodeOverloaded, status.CodeOverShare, status.CodeDeadline, status.CodeNoTarget,
 		status.CodeDraining, status.CodeNotReady, status.CodeMisdirected, status.CodeConnectFailed,
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -12,8 +12,8 @@
 	"peardrift/internal/status"
 )
 
-// gate runs the admission core for traffic goroutines: its mutex, its timer,
-// and the channels on which queued calls wait.
+// gate makes the admission core usable from traffic goroutines: it holds the mutex,
+// the timer and the channels on which queued calls wait.
 type gate struct {
 	now func() time.Duration
 
@@ -23,7 +23,7 @@
 	waiting map[admission.Ticket]chan admission.Decision
 	actions []admission.Action
 	timer   *time.Timer
-	armed   time.Duration // when the timer fires
+	firesAt time.Duration // when the timer fires next
 	closed  bool
 }
 
@@ -33,14 +33,14 @@
 		core:    admission.New(cfg, rng),
 		waiting: make(map[admission.Ticket]chan admission.Decision),
 	}
-	g.armed = math.MaxInt64
+	g.firesAt = math.MaxInt64
 	g.timer = time.AfterFunc(math.MaxInt64, g.tick)
 	return g
 }
 
-// enter asks for the target. It returns when the call may run, or with a typed
-// refusal; the call must then leave with the ticket.
-func (g *gate) enter(ctx context.Context, a admission.Arrival) (admission.Ticket, *status.Error) {
+// acquire requests a slot of the target. It returns when the call may run, or with a
+// typed refusal. An admitted call must be released with its ticket.
+func (g *gate) acquire(ctx context.Context, a admission.Arrival) (admission.Ticket, *status.Error) {
 	d, t, wait := g.arrive(&a)
 	if d.Verdict == admission.Queue {
 		d = g.await(ctx, t, wait)
@@ -63,11 +63,11 @@
 		wait = make(chan admission.Decision, 1)
 		g.waiting[a.Ticket] = wait
 	}
-	g.settle()
+	g.deliver()
 	return d, a.Ticket, wait
 }
 
-// await waits for a queued call's decision, or for its caller to go away.
+// await waits for a queued call's decision or for its caller to cancel.
 func (g *gate) await(ctx context.Context, t admission.Ticket, wait chan admission.Decision) admission.Decision {
 	select {
 	case d := <-wait:
@@ -76,22 +76,22 @@
 	}
 	g.mu.Lock()
 	g.actions = g.core.Cancel(g.now(), t, g.actions[:0])
-	g.settle()
+	g.deliver()
 	g.mu.Unlock()
-	// The call may have been admitted just before: Cancel then gave its slot
-	// back already, and it must not run.
+	// The call may have been admitted just before: Cancel has then already released
+	// its slot, and it must not run.
 	d := <-wait
 	d.Verdict = admission.Refuse
 	d.Reason = status.CodeCanceled
 	return d
 }
 
-// leave gives the slot back. below is for how long the target could only wait.
-func (g *gate) leave(t admission.Ticket, r admission.Result, below time.Duration) {
+// release frees the slot. blocked is how long the target could only wait for others.
+func (g *gate) release(t admission.Ticket, r admission.Result, blocked time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.actions = g.core.Finish(g.now(), t, r, below, g.actions[:0])
-	g.settle()
+	g.actions = g.core.Finish(g.now(), t, r, blocked, g.actions[:0])
+	g.deliver()
 }
 
 func (g *gate) tick() {
@@ -100,13 +100,13 @@
 	if g.closed {
 		return
 	}
-	g.armed = math.MaxInt64
+	g.firesAt = math.MaxInt64
 	g.actions = g.core.Tick(g.now(), g.actions[:0])
-	g.settle()
+	g.deliver()
 }
 
-// settle hands decisions to those who wait and sets the timer.
-func (g *gate) settle() {
+// deliver sends decisions to the waiting calls and sets the timer.
+func (g *gate) deliver() {
 	for _, a := range g.actions {
 		if wait, ok := g.waiting[a.Ticket]; ok {
 			delete(g.waiting, a.Ticket)
@@ -116,14 +116,15 @@
 	g.arm()
 }
 
-// arm sets the timer if the core is due earlier than it fires. One that fires
-// too early does no harm, so it is never moved back: that would cost each call.
+// arm sets the timer if the core's next deadline is earlier than the timer's. A timer
+// that fires too early is harmless, so it is never postponed, which would cost time on
+// each call.
 func (g *gate) arm() {
 	next := g.core.Next()
-	if g.closed || next >= g.armed {
+	if g.closed || next >= g.firesAt {
 		return
 	}
-	g.armed = next
+	g.firesAt = next
 	g.timer.Reset(max(next-g.now(), time.Millisecond))
 }
 
@@ -133,7 +134,7 @@
 	g.core.SetCapacity(slots)
 }
 
-func (g *gate) share(weights []float64) {
+func (g *gate) setShares(weights []float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.core.SetShares(weights)
@@ -143,7 +144,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.actions = g.core.Drain(g.now(), g.actions[:0])
-	g.settle()
+	g.deliver()
 }
 
 func (g *gate) resume(slots int) {
@@ -172,5 +173,5 @@
 }
 
 func refusal(d admission.Decision) *status.Error {
-	return status.Refuse(d.Reason, d.RetryAfter, "refused at the target's gate")
+	return status.Refuse(d.Reason, d.RetryAfter, "refused by the target's admission gate")
 }
--- a/internal/dataplane/hop.go
+++ b/internal/dataplane/hop.go
@@ -10,12 +10,12 @@
 	"peardrift/internal/status"
 )
 
-// HopKind is the side of a call that a Hop tells of.
+// HopKind is the side of a call that a Hop describes.
 type HopKind uint8
 
-// The hops of one call from a caller: an entry, and for each attempt an attempt
-// at the calling node and a serve at the callee's node. An egress stands for
-// each call that a target makes, as an entry does for a caller's.
+// One call from a caller has an entry hop, and for each attempt an attempt hop at the
+// calling node and a serve hop at the callee's node. Each call that a target makes has
+// an egress hop in place of the entry hop.
 const (
 	HopEntry HopKind = iota
 	HopEgress
@@ -23,17 +23,17 @@
 	HopServe
 )
 
-// String returns the kind as it stands in spans and metrics.
+// String returns the kind as written in spans and metrics.
 func (k HopKind) String() string {
 	return [...]string{"entry", "egress", "attempt", "serve"}[k]
 }
 
-// Hop tells what was decided about a call at one place, for metrics, logs and
+// Hop describes what was decided about a call at one node, for metrics, logs and
 // traces.
 type Hop struct {
 	Kind       HopKind
 	ID         request.ID
-	Name       string // by which the caller knows the request; may be empty
+	Name       string // the caller's name for the request; may be empty
 	Span       SpanID
 	Parent     SpanID
 	Start, End time.Time
@@ -42,20 +42,20 @@
 	Class   request.Class
 	Tenant  request.Tenant
 
-	Organisation request.Organisation // that calls; empty where none is known
+	Organisation request.Organisation // of the caller; empty if unknown
 
 	Target    request.TargetID
 	Zone      string
 	Attempt   int
 	Outcome   request.Outcome
-	Code      status.Code // why, where the node itself answered
-	Detail    string      // of a refusal for a rate limit: what decided it
+	Code      status.Code // reason, if the node itself answered
+	Detail    string      // of a rate limit refusal: what decided it
 	Retry     string      // why there was no further attempt
 	Level     request.Level
-	Known     request.Level // of the callee and the services below it, at an entry's check
+	Known     request.Level // of the callee and its downstream services, as checked at the entry
 	Allowance int
 	Queued    time.Duration
-	Version   int64 // of the set that it was judged by
+	Version   int64 // of the configuration set in force
 }
 
 func (e *Engine) observe(h *Hop) {
@@ -67,8 +67,8 @@
 // String returns the span as in traceparent.
 func (s SpanID) String() string { return hex.EncodeToString(s[:]) }
 
-// is reports whether tag is the span as String has it.
-func (s SpanID) is(tag []byte) bool {
+// matches reports whether tag is the span in String's form.
+func (s SpanID) matches(tag []byte) bool {
 	var own [spanHex]byte
 	hex.Encode(own[:], s[:])
 	return string(own[:]) == string(tag)
--- a/internal/dataplane/inflight.go
+++ b/internal/dataplane/inflight.go
@@ -13,184 +13,186 @@
 	"peardrift/internal/wire"
 )
 
-// SpanID is the span that a target sees as its parent.
+// SpanID is a trace span id; a target sees it as the parent of its calls.
 type SpanID [8]byte
 
-// running is a request that runs on the own target. Its allowance pays for the
+// runningRequest is a request that runs on the own target. Its allowance pays for the
 // target's outgoing calls.
-type running struct {
+type runningRequest struct {
 	id       request.ID
-	name     string // by which the target knows it; may be empty
+	name     string // the target's name for it; may be empty
 	sampled  bool
-	class    request.Class // of the own service, while meta's is the whole request's
+	class    request.Class // of the own service; meta has the root request's
 	span     SpanID
 	meta     wire.Meta
 	priority request.Priority
 	deadline time.Duration
-	ctx      context.Context // ends with the request, and with it the target's calls
+	ctx      context.Context // ends with the request; the target's calls end with it
 
-	mu        sync.Mutex
-	allowance retry.RequestAllowance
-	open      int           // attempts below that have not ended
-	unknown   bool          // some call below may have run with no known result
-	over      bool          // the target has answered that it failed
-	used      []early.Key   // services called so far
-	below     status.Code   // of the call below that ended badly last; empty: none did
-	since     time.Duration // when open was last 0
-	idle      time.Duration // for how long the target could only wait for others
+	mu           sync.Mutex
+	allowance    retry.RequestAllowance
+	openAttempts int           // downstream attempts in flight
+	hasUnknown   bool          // a downstream call may have run without a known result
+	hasFailed    bool          // the target has answered that it failed
+	calledKeys   []early.Key   // services called so far
+	lastFailure  status.Code   // of the last downstream call that failed; empty if none
+	blockedSince time.Duration // when the first of the attempts in flight began
+	blocked      time.Duration // total time in which the target could only wait for others
 
-	next *running // begun before it, of the same identity; guarded by registry.mu
+	next *runningRequest // earlier run with the same identity; guarded by registry.mu
 }
 
-func (x *running) start(c *retry.Call, below int) (retry.Grant, bool) {
+func (x *runningRequest) start(c *retry.Call, below int) (retry.Grant, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.allowance.Start(c, below)
 }
 
-func (x *running) settle(c *retry.Call, g *retry.Grant, a retry.Answer) {
+func (x *runningRequest) settle(c *retry.Call, g *retry.Grant, a retry.Answer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.allowance.Settle(c, g, a)
 }
 
-func (x *running) left() int {
+func (x *runningRequest) remaining() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.allowance.Left()
 }
 
-// firstUse reports whether no call to the key was made before.
-func (x *running) firstUse(k early.Key) bool {
+// isFirstCall reports whether this is the request's first call with the key.
+func (x *runningRequest) isFirstCall(k early.Key) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if slices.Contains(x.used, k) {
+	if slices.Contains(x.calledKeys, k) {
 		return false
 	}
-	x.used = append(x.used, k)
+	x.calledKeys = append(x.calledKeys, k)
 	return true
 }
 
-// begins takes in that an attempt below begins; false if it must not, since the
-// request is over.
-func (x *running) begins(now time.Duration) bool {
+// beginAttempt records the start of a downstream attempt; it returns false if the
+// request has ended and the attempt must not start.
+func (x *runningRequest) beginAttempt(now time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over {
+	if x.hasFailed {
 		return false
 	}
-	if x.open == 0 {
-		x.since = now
+	if x.openAttempts == 0 {
+		x.blockedSince = now
 	}
-	x.open++
+	x.openAttempts++
 	return true
 }
 
-// note takes in how an attempt below ended.
-func (x *running) note(now time.Duration, r *result) {
+// endAttempt records the end of a downstream attempt.
+func (x *runningRequest) endAttempt(now time.Duration, r *result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.open--
-	if x.open == 0 {
-		x.idle += now - x.since
+	x.openAttempts--
+	if x.openAttempts == 0 {
+		x.blocked += now - x.blockedSince
 	}
-	x.unknown = x.unknown || r.outcome == request.Unknown
+	x.hasUnknown = x.hasUnknown || r.outcome == request.Unknown
 }
 
-// ended takes in how a call below ended, after all its attempts.
-func (x *running) ended(r *result) {
+// callEnded records the result of a downstream call after all its attempts.
+func (x *runningRequest) callEnded(r *result) {
 	if r.outcome == request.Completed || r.code == status.CodeCanceled {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.below = r.cause()
-	if x.below == "" {
-		x.below = status.CodeTargetFailed
+	x.lastFailure = r.cause()
+	if x.lastFailure == "" {
+		x.lastFailure = status.CodeTargetFailed
 	}
 }
 
-// cause returns why a call below ended badly; empty if none did.
-func (x *running) cause() status.Code {
+// downstreamFailure returns the code of the last failed downstream call; empty if
+// none.
+func (x *runningRequest) downstreamFailure() status.Code {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.below
+	return x.lastFailure
 }
 
-// waits adds time that the request spent neither in the target nor in calls.
-func (x *running) waits(d time.Duration) {
+// addBlocked adds time that the request spent neither in the target nor in calls.
+func (x *runningRequest) addBlocked(d time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.idle += d
+	x.blocked += d
 }
 
-// idled returns for how long the target could only wait for others.
-func (x *running) idled() time.Duration {
+// blockedTime returns how long the target could only wait for others.
+func (x *runningRequest) blockedTime() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.idle
+	return x.blocked
 }
 
-// close ends the request here and returns what its answer reports.
-func (x *running) close() (unspent, made int) {
+// close ends the request on this node and returns the allowance figures for its
+// answer.
+func (x *runningRequest) close() (unspent, made int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	made = x.allowance.Made()
 	return x.allowance.Close(), made
 }
 
-// fails takes in that the target has answered that it failed, and reports whether a
-// call below may have run with no known result, or is still under way: a target may
-// give up a call and answer before its node has noticed that. No attempt below begins
-// from now on, or it would run for a request that is said to have failed.
-func (x *running) fails() (doubtful bool) {
+// markFailed records that the target has answered with a failure. It reports whether a
+// downstream call may have run without a known result or is still in flight: a target
+// may give up a call and answer before its node has noticed. No downstream attempt
+// starts afterwards, since it would run for a request that was reported as failed.
+func (x *runningRequest) markFailed() (unknown bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.over = true
-	return x.unknown || x.open > 0
+	x.hasFailed = true
+	return x.hasUnknown || x.openAttempts > 0
 }
 
-// registry holds the requests that run on the own target, by identity. Safe
-// for concurrent use.
+// registry holds the requests that run on the own target, by identity. Safe for
+// concurrent use.
 type registry struct {
 	mu   sync.Mutex
-	byID map[request.ID]*running // the one begun last; the others follow by next
+	byID map[request.ID]*runningRequest // the latest run; next links the earlier ones
 
-	byName map[string]*running
+	byName map[string]*runningRequest
 
-	failed [maxFailed]failure // a ring
-	last   int
+	lastFailed [maxFailed]failedRequest // ring buffer
+	nextFailed int
 }
 
-// failure names a request whose target has answered that it failed.
-type failure struct {
+// failedRequest names a request that the target has answered with a failure.
+type failedRequest struct {
 	id   request.ID
 	name string
 }
 
-// maxFailed is how many failures are remembered. A call that its target has given up
-// is read milliseconds after the failure, if at all.
+// maxFailed is the number of failed requests to remember. A call that its target has
+// given up is read within milliseconds of the failure, if at all.
 const maxFailed = 256
 
 func newRegistry() *registry {
-	return &registry{byID: make(map[request.ID]*running), byName: make(map[string]*running)}
+	return &registry{byID: make(map[request.ID]*runningRequest), byName: make(map[string]*runningRequest)}
 }
 
-// fail remembers that a request has failed, for calls of it that come late.
-func (r *registry) fail(x *running) {
+// recordFailure remembers that a request has failed, to refuse its late calls.
+func (r *registry) recordFailure(x *runningRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failed[r.last] = failure{x.id, x.name}
-	r.last = (r.last + 1) % maxFailed
+	r.lastFailed[r.nextFailed] = failedRequest{x.id, x.name}
+	r.nextFailed = (r.nextFailed + 1) % maxFailed
 }
 
-// hasFailed reports whether one of the last failures has an identity or a name; either
-// may be unknown to the caller.
+// hasFailed reports whether one of the remembered failures has the identity or the
+// name; the caller may leave either empty.
 func (r *registry) hasFailed(id request.ID, name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range r.failed {
-		f := &r.failed[i]
+	for i := range r.lastFailed {
+		f := &r.lastFailed[i]
 		if f.id == (request.ID{}) {
 			continue
 		}
@@ -201,7 +203,7 @@
 	return false
 }
 
-func (r *registry) add(x *running) {
+func (r *registry) add(x *runningRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x.next = r.byID[x.id]
@@ -211,7 +213,7 @@
 	}
 }
 
-func (r *registry) remove(x *running) {
+func (r *registry) remove(x *runningRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if x.name != "" && r.byName[x.name] == x {
@@ -233,13 +235,12 @@
 	}
 }
 
-// parent finds the request that an outgoing call belongs to: by the span where
-// the target passes traceparent on unchanged, else by the trace alone. A target
-// that draws spans of its own while the same request runs on it twice leaves
-// open which of the two it is; the one begun last is taken. Both carry the same
-// class and deadline, only their allowances differ, and those sum up to the
-// request's all the same.
-func (r *registry) parent(id request.ID, span SpanID) *running {
+// parent finds the request that an outgoing call belongs to: by span if the target
+// passes traceparent on unchanged, otherwise by trace id alone. If a target creates
+// its own spans and the same request runs on it twice, the two are indistinguishable
+// and the latest is returned. Both have the same class and deadline; only their
+// allowances differ, and the sum of those is still the request's.
+func (r *registry) parent(id request.ID, span SpanID) *runningRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := r.byID[id]
@@ -251,8 +252,8 @@
 	return last
 }
 
-// named returns the request that runs on the target under a name; nil if none.
-func (r *registry) named(name string) *running {
+// named returns the request that runs on the target with a name; nil if none.
+func (r *registry) named(name string) *runningRequest {
 	if name == "" {
 		return nil
 	}
--- a/internal/dataplane/inflight_test.go
+++ b/internal/dataplane/inflight_test.go
@@ -7,37 +7,36 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a target's call is paid by another request's allowance, or begins a
-// request of its own. Events: a request runs on the target three times at once,
-// and its runs end in any order. Cause: the end of one takes others off the
-// register.
-func TestRunsOfOneRequestEndInAnyOrder(t *testing.T) {
+// Guards against the end of one run removing other runs of the same request, which end
+// in any order: a target's call would then use another request's allowance or start a
+// new request.
+func TestRegistryRemovesRunsInAnyOrder(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 0, 2}, {1, 2, 0}, {0, 2, 1}, {2, 0, 1}} {
 		is := is.New(t)
 		r, id := newRegistry(), newID()
-		var runs []*running
+		var runs []*runningRequest
 		for range 3 {
-			runs = append(runs, &running{id: id, span: newSpan()})
+			runs = append(runs, &runningRequest{id: id, span: newSpan()})
 			r.add(runs[len(runs)-1])
 		}
-		left := map[*running]bool{runs[0]: true, runs[1]: true, runs[2]: true}
+		left := map[*runningRequest]bool{runs[0]: true, runs[1]: true, runs[2]: true}
 		for _, i := range order {
 			r.remove(runs[i])
-			r.remove(runs[i]) // does no harm
+			r.remove(runs[i]) // has no effect
 			delete(left, runs[i])
 			for x := range left {
 				is.Equal(r.parent(id, x.span), x)
 			}
-			is.Equal(left[r.parent(id, runs[i].span)], len(left) > 0) // by the trace alone
+			is.Equal(left[r.parent(id, runs[i].span)], len(left) > 0) // by trace id alone
 		}
 		is.Equal(len(r.byID), 0)
 	}
 }
 
-// Symptom: a call is refused as one without a trace, its answer is taken for
-// another call's, or a peer does not know it when asked. Events: a node writes a
-// call's trace, and the next reads it. Cause: they don't agree on its form.
-func TestTraceIsReadAsItWasWritten(t *testing.T) {
+// Guards against a traceparent writer and reader that disagree: a call would be
+// refused as one without a trace, matched to another call's answer, or unknown to a
+// probed peer.
+func TestTraceContextRoundTrip(t *testing.T) {
 	for _, sampled := range []bool{true, false} {
 		is := is.New(t)
 		tc := traceContext{newID(), newSpan(), sampled}
@@ -47,7 +46,7 @@
 		is.True(ok)
 		is.Equal(got, tc)
 		is.Equal(Prober{}.Tag(&h), tc.span.String())
-		is.True(tc.span.is([]byte(tc.span.String())))
-		is.True(!tc.span.is([]byte(newSpan().String())) && !tc.span.is(nil))
+		is.True(tc.span.matches([]byte(tc.span.String())))
+		is.True(!tc.span.matches([]byte(newSpan().String())) && !tc.span.matches(nil))
 	}
 }
--- a/internal/dataplane/levels.go
+++ b/internal/dataplane/levels.go
@@ -9,8 +9,8 @@
 	"peardrift/internal/status"
 )
 
-// levels holds what this node knows of its callees' admission levels. Safe for
-// concurrent use.
+// levels holds the admission levels that this node has learned of its callees. Safe
+// for concurrent use.
 type levels struct {
 	now   func() time.Duration
 	mu    sync.Mutex
@@ -24,11 +24,11 @@
 }
 
 // check refuses a call that its callee, or a service below it, would refuse.
-func (l *levels) check(c *outgoing) *status.Error {
+func (l *levels) check(c *outboundCall) *status.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := l.table.Check(l.now(), c.key(), c.priority)
-	c.known = v.Level
+	c.knownLevel = v.Level
 	if !v.Refuse {
 		return nil
 	}
@@ -36,14 +36,14 @@
 }
 
 // level returns the level learned for a call's service and class.
-func (l *levels) level(c *outgoing) request.Level {
+func (l *levels) level(c *outboundCall) request.Level {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Level(l.now(), c.key())
 }
 
-// learn takes in what an answer said.
-func (l *levels) learn(c *outgoing, r *result) {
+// learn records the levels that an answer reported.
+func (l *levels) learn(c *outboundCall, r *result) {
 	if !r.answered {
 		return
 	}
@@ -57,39 +57,39 @@
 	})
 }
 
-// served counts a request that the own target begins to serve.
-func (l *levels) served(w early.Work) {
+// recordServed counts a request that the own target begins to serve.
+func (l *levels) recordServed(w early.Work) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.chain.Served(l.now(), w)
 }
 
-// used counts a call that such a request makes.
-func (l *levels) used(w early.Work, c *outgoing) {
+// recordCall counts a call that such a request makes.
+func (l *levels) recordCall(w early.Work, c *outboundCall) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.chain.Used(l.now(), w, c.key())
 }
 
-// below returns the level at which the services below refuse such requests.
-func (l *levels) below(w early.Work) request.Level {
+// chainLevel returns the admission level of the downstream services for such requests.
+func (l *levels) chainLevel(w early.Work) request.Level {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.chain.Level(l.now(), w)
 }
 
-func (c *outgoing) key() early.Key {
+func (c *outboundCall) key() early.Key {
 	return early.Key{Service: c.info.Name, Class: c.class.Name, Tenant: c.meta.Tenant}
 }
 
-// forget drops a target that is no member any more.
+// forget drops a target that is no longer a member.
 func (l *levels) forget(id request.TargetID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Forget(id)
 }
 
-// work is what the request is to the chain.
-func (x *running) work() early.Work {
+// work returns the key of the request in the chain statistics.
+func (x *runningRequest) work() early.Work {
 	return early.Work{Class: x.class, Tenant: x.meta.Tenant}
 }
--- a/internal/dataplane/levels_test.go
+++ b/internal/dataplane/levels_test.go
@@ -11,13 +11,12 @@
 	"peardrift/internal/wire"
 )
 
-// Symptom: after half of a service's targets have left, the rest refuses and
-// callers go on sending for seconds, to be refused there. Events: two targets of
-// four answer with no level and leave; the others answer with a high one. Cause:
-// the levels of those that left counted among the service's.
-func TestLevelsOfTargetsThatLeftAreForgotten(t *testing.T) {
+// Guards against counting the levels of targets that have left: when two of four
+// targets reported no level and left, callers kept sending for seconds to the other
+// two, which had a high level and refused.
+func TestLevelsOfRemovedTargetsAreForgotten(t *testing.T) {
 	is := is.New(t)
-	e, info := caller(t)
+	e, info := newCaller(t)
 	view := *e.view.Load()
 	publish := func(ids ...request.TargetID) {
 		view.Gen++
@@ -30,10 +29,10 @@
 		v := view
 		e.Publish(&v)
 		var tried route.Tried
-		_, ok := e.callee(info.Name).pick(&v, &outgoing{info: info}, &tried)
+		_, ok := e.callee(info.Name).pick(&v, &outboundCall{info: info}, &tried)
 		is.True(ok)
 	}
-	c := &outgoing{info: info, class: &info.Classes[0]}
+	c := &outboundCall{info: info, class: &info.Classes[0]}
 	const high = request.Level(50 << 16)
 	now := time.Duration(0)
 	e.levels.now = func() time.Duration { return now }
@@ -41,7 +40,7 @@
 	for id, level := range map[request.TargetID]request.Level{1: 0, 2: 0, 3: high, 4: high} {
 		e.levels.learn(c, &result{target: id, answered: true, answer: wire.Answer{Level: level, Limit: 10}})
 	}
-	is.Equal(e.levels.level(c), request.Level(0)) // half of them take more
+	is.Equal(e.levels.level(c), request.Level(0)) // half of the targets admit all
 	publish(3, 4)
 	is.Equal(e.levels.level(c), high)
 }
--- a/internal/dataplane/lifetime.go
+++ b/internal/dataplane/lifetime.go
@@ -1,17 +1,17 @@
 package dataplane
 
-// Lifetime is what the own target last said of itself, where targets announce
+// Lifetime is the last announcement of the own target, where targets announce
 // themselves. It is immutable.
 type Lifetime struct {
-	Instance string // names the lifetime; empty: none is known
-	Born     int64  // tells its starts under that name apart
+	Instance string // name of the instance; empty if unknown
+	Born     int64  // start time; distinguishes restarts under the same name
 	Slots    int
-	Takes    bool // it takes calls
+	Takes    bool // it accepts calls
 }
 
-// SetLifetime puts what the target says in force. When it returns, no call that
-// hasn't reached the target yet will reach a lifetime that takes none: those that
-// wait at the gate are refused, and each call looks again just before it is sent.
+// SetLifetime applies the target's announcement. After it returns, no call that has
+// not reached the target yet is sent to a target that accepts none: calls queued at
+// the gate are refused, and each call checks again just before it is sent.
 func (e *Engine) SetLifetime(l Lifetime) {
 	old := e.lifetime.Swap(&l)
 	switch {
@@ -19,18 +19,19 @@
 		e.gate.drain()
 	case old == nil || !old.Takes || old.Instance != l.Instance || old.Born != l.Born:
 		e.gate.resume(l.Slots)
-		e.suspects.up()
+		e.suspects.targetUp()
 	default:
 		e.gate.setSlots(l.Slots)
 	}
 }
 
-// OnOther sets what is told that another lifetime than the announced one answers
-// at the target's address. Call it before traffic begins; f must not block.
-func (e *Engine) OnOther(f func(instance string)) { e.onOther = f }
+// OnOther sets the function that is called when another instance than the announced
+// one answers at the target's address. Call it before traffic begins; f must not
+// block.
+func (e *Engine) OnOther(f func(instance string)) { e.onOtherInstance = f }
 
-// takes reports whether the target takes calls now.
-func (e *Engine) takes(v *View) bool {
+// acceptsCalls reports whether the target accepts calls now.
+func (e *Engine) acceptsCalls(v *View) bool {
 	if l := e.lifetime.Load(); l != nil {
 		return l.Takes
 	}
--- a/internal/dataplane/organisation.go
+++ b/internal/dataplane/organisation.go
@@ -14,24 +14,24 @@
 	"peardrift/internal/wire"
 )
 
-// Limiter holds organisations to their rate limits. Safe for concurrent use.
+// Limiter enforces the rate limits of organisations. Safe for concurrent use.
 type Limiter interface {
-	// Take asks to let in one request. It may wait for other nodes for a time that is
-	// short beside a request's.
+	// Take requests a permit for one request. It may wait for other nodes, for a time
+	// that is short compared with a request's.
 	Take(ctx context.Context, o *confset.OrganisationInfo) *status.Error
-	// Now returns the time by which Return counts.
+	// Now returns the current time on the clock that Return uses.
 	Now() time.Duration
-	// Return gives back what was taken, at the given time, for a request that ran
-	// nowhere.
+	// Return returns the permit taken at the given time, for a request that did not
+	// run.
 	Return(taken time.Duration, o *confset.OrganisationInfo)
 }
 
-// SetLimiter sets what holds organisations to their rate limits; without it none is
-// held. Call it before traffic begins.
+// SetLimiter sets the rate limiter of organisations; without it there are no limits.
+// Call it before traffic begins.
 func (e *Engine) SetLimiter(l Limiter) { e.limiter = l }
 
-// authenticate finds the organisation that a request from outside belongs to; nil
-// where it needs none. On an anonymous route a key that nobody holds counts as none.
+// authenticate finds the organisation of an external request; nil if none is required.
+// On an anonymous route an unknown key is treated as no key.
 func (e *Engine) authenticate(v *View, c *app.RequestContext, info *confset.ServiceInfo, class *confset.Class) (*confset.OrganisationInfo, *status.Error) {
 	if !v.Index.Keyed(info.Tenant) {
 		return nil, nil
@@ -43,12 +43,13 @@
 	if class.Anonymous {
 		return nil, nil
 	}
-	if len(key) == 0 && e.namedAsCall(c) {
-		return nil, status.Refuse(status.CodeNotReady, later(), "the request that the call belongs to isn't known here")
+	if len(key) == 0 && e.isNamedAsCall(c) {
+		return nil, status.Refuse(status.CodeNotReady, retryDelay(), "the node does not know the request that the call belongs to")
 	}
-	if e.behind.Load() {
-		// The key may be newer than what is known here, and 401 is final for a caller.
-		return nil, status.Refuse(status.CodeKeyUnchecked, later(), "the node can't tell whether its keys are the newest")
+	if e.configStale.Load() {
+		// The key may be newer than this node's configuration, and 401 is final for a
+		// caller.
+		return nil, status.Refuse(status.CodeKeyUnchecked, retryDelay(), "the node can't tell whether its API keys are up to date")
 	}
 	if len(key) == 0 {
 		return nil, status.Refuse(status.CodeKeyUnknown, 0, "the request carries no API key")
@@ -56,15 +57,15 @@
 	return nil, status.Refuse(status.CodeKeyUnknown, 0, "no organisation holds the request's API key")
 }
 
-// namedAsCall reports whether a request bears the name of a call that a target makes.
-// After a restart the node doesn't know the requests that run on its target.
-func (e *Engine) namedAsCall(c *app.RequestContext) bool {
+// isNamedAsCall reports whether a request has the name of a call made by a target.
+// After a restart the node gets such calls of requests that it doesn't know.
+func (e *Engine) isNamedAsCall(c *app.RequestContext) bool {
 	d := &e.cfg.Dialect
 	return d.Chain != "" && strings.Contains(string(c.Request.Header.Peek(d.Request)), d.Chain)
 }
 
-// belongs notes the organisation of a whole request.
-func (out *outgoing) belongs(o *confset.OrganisationInfo) {
+// setOrganisation sets the organisation of a root request.
+func (out *outboundCall) setOrganisation(o *confset.OrganisationInfo) {
 	if o == nil {
 		return
 	}
@@ -74,21 +75,21 @@
 	out.priority = request.PriorityOf(out.meta.Importance, out.id)
 }
 
-// concealKey removes the caller's API key from what goes on to a target.
-func concealKey(v *View, out *outgoing) {
+// stripKey removes the caller's API key from the request that goes to a target.
+func stripKey(v *View, out *outboundCall) {
 	if v.Index.Keyed(out.info.Tenant) {
 		out.req.Header.Del(wire.HeaderAuthorization)
 	}
 }
 
-// limited makes a call within the rate limit of its organisation.
-func (e *Engine) limited(ctx context.Context, out *outgoing, resp *protocol.Response) *result {
+// callLimited makes a call within its organisation's rate limit.
+func (e *Engine) callLimited(ctx context.Context, out *outboundCall, resp *protocol.Response) *result {
 	o := out.organisation
 	if o == nil || o.Rate <= 0 || e.limiter == nil || out.parent != nil {
 		return e.call(ctx, out, resp)
 	}
 	if fault := e.limiter.Take(ctx, o); fault != nil {
-		return fail(e.now(), fault)
+		return failureResult(e.now(), fault)
 	}
 	taken := e.limiter.Now()
 	r := e.call(ctx, out, resp)
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -1,16 +1,15 @@
 package dataplane
 
-// probe is one bare connection to be made to a target whose connections broke.
+// probe is one test connection to a target whose connections broke.
 type probe struct {
 	callee *callee
 	idx    int
 	addr   string
 }
 
-// ProbeTargets tries a new connection to each target whose connections broke
-// and which is due again, so that one that is back is found without spending a
-// call on it. submit runs a function on another goroutine. Call it several
-// times a second.
+// ProbeTargets tries a new connection to each target whose connections broke and that
+// is due for a probe, so that a recovered target is found without spending a call on
+// it. submit runs a function on another goroutine. Call it several times a second.
 func (e *Engine) ProbeTargets(submit func(func()) error) {
 	for _, p := range e.dueProbes() {
 		run := func() { p.callee.probed(p.idx, e.peers.Reachable(p.addr)) }
--- a/internal/dataplane/problem.go
+++ b/internal/dataplane/problem.go
@@ -14,12 +14,12 @@
 	"peardrift/internal/wire"
 )
 
-// problemBase begins the problem type URIs (RFC 9457); the rest is the code.
+// problemBase is the prefix of problem type URIs (RFC 9457); the code follows.
 const problemBase = "urn:peardrift:problem:"
 
 const problemContentType = "application/problem+json"
 
-// problem is the body of each refusal and failure that a node answers itself.
+// problem is the body of each refusal and failure that the node itself answers.
 type problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
@@ -46,7 +46,7 @@
 	}
 	body, err := json.Marshal(p)
 	if err != nil {
-		body = []byte("{}") // cannot happen: the struct has only plain fields
+		body = []byte("{}") // can't happen: the struct has only strings and ints
 	}
 	resp.ResetBody()
 	resp.SetStatusCode(code)
@@ -63,8 +63,8 @@
 	wire.SetAnswer(&resp.Header, &wire.Answer{Outcome: e.Outcome, Code: e.Code, Pushback: e.RetryAfter})
 }
 
-// retryAfter rounds up to whole seconds, unless callers take fractions: a client
-// that came back sooner than advised would only be refused again.
+// retryAfter rounds up to whole seconds unless callers accept fractions: a client that
+// retried sooner than advised would be refused again.
 func retryAfter(d time.Duration, fractions bool) string {
 	if fractions {
 		return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
@@ -77,7 +77,7 @@
 	switch e.Code {
 	case status.CodeProtocol:
 		if e.Outcome != request.Refused {
-			return consts.StatusBadGateway // the other side's fault, not the caller's
+			return consts.StatusBadGateway // the upstream's fault, not the caller's
 		}
 		return consts.StatusBadRequest
 	case status.CodeMalformed, status.CodeKeyMissing, status.CodeKeyAhead:
@@ -101,7 +101,7 @@
 	case status.CodeConnectionLost, status.CodeTargetFailed, status.CodeCanceled:
 		return consts.StatusBadGateway
 	case status.CodeAnswerNotKept:
-		return consts.StatusGone // it completed; sending it again would not bring the answer
+		return consts.StatusGone // it completed, and its answer is not available on a retry
 	case status.CodeInternal:
 		return consts.StatusInternalServerError
 	default:
--- a/internal/dataplane/retire_test.go
+++ b/internal/dataplane/retire_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: after a stop has begun, a call is answered 502 while the target below
-// works on it. Events: the request on whose behalf it was made ends first. Cause:
-// a node that cancels calls on its own while it is to let them end.
-func TestCallsEndByThemselvesOnceTheNodeStops(t *testing.T) {
+// Guards against a stopping node that cancels calls itself: when the request that a
+// call belongs to ended first, the call got a 502 while its downstream target still
+// worked.
+func TestStoppingNodeDoesNotCancelCalls(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(t *testing.T) {
 		for _, stopping := range []bool{false, true} {
@@ -19,10 +19,10 @@
 			if stopping {
 				e.Retire()
 			}
-			within, end := context.WithCancel(context.Background())
+			parent, endParent := context.WithCancel(context.Background())
 			ctx, cancel := context.WithCancel(context.Background())
-			done := e.until(within, cancel)
-			end()
+			done := e.cancelWithParent(parent, cancel)
+			endParent()
 			synctest.Wait()
 			is.Equal(ctx.Err() == nil, stopping)
 			done()
--- a/internal/dataplane/turns_test.go
+++ b/internal/dataplane/roundrobin_test.go
@@ -18,12 +18,12 @@
 	return r
 }
 
-// Symptom: operators move a tenth of a route to a new service, and it gets a
-// quarter, or nothing. Cause: parts drawn at random, at nodes with few requests.
-func TestPartsGetTheirShares(t *testing.T) {
+// Guards against random selection at nodes with few requests, with which a service
+// given a tenth of a route gets a quarter of the requests, or none.
+func TestRoundRobinFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	for _, r := range []*confset.RouteInfo{split(90, 10), split(1, 1, 2), split(1, 0)} {
-		var ts turns
+		var ts roundRobin
 		got := make(map[request.Service]int)
 		const n = 200
 		for range n {
@@ -34,6 +34,6 @@
 			is.True(float64(got[p.Service.Name]) >= want-1 && float64(got[p.Service.Name]) <= want+1)
 		}
 	}
-	is.True(new(turns).next(split(0, 0)) == nil)
-	is.True(new(turns).next(split(0)) == nil)
+	is.True(new(roundRobin).next(split(0, 0)) == nil)
+	is.True(new(roundRobin).next(split(0)) == nil)
 }
--- a/internal/dataplane/serve.go
+++ b/internal/dataplane/serve.go
@@ -19,77 +19,77 @@
 	"peardrift/internal/wire"
 )
 
-// Claims runs requests of at-most-once classes; *claims.Runner is one.
+// Claims runs requests of at-most-once classes; *claims.Runner implements it.
 type Claims interface {
 	Do(ctx context.Context, req claims.Request, run func(context.Context) claims.Result) claims.Result
 	Explain(ctx context.Context, req claims.Request, refusal *status.Error) claims.Result
 }
 
-// serving is one call that another node sent, on its way through this one.
-type serving struct {
-	c       *app.RequestContext
-	class   *confset.Class
-	meta    wire.Meta
-	trace   traceContext
-	body    body
-	running *running // nil until the call is accepted; then it is own
-	tenant  uint16
-	ticket  admission.Ticket
-	hop     Hop
-	hand    handled
-	own     running
-	who     retry.Identity // 0: the caller names none
+// inboundCall is one call from another node while this node processes it.
+type inboundCall struct {
+	c              *app.RequestContext
+	class          *confset.Class
+	meta           wire.Meta
+	trace          traceContext
+	body           body
+	running        *runningRequest // nil until the call is accepted; then &runningStorage
+	tenant         uint16
+	ticket         admission.Ticket
+	hop            Hop
+	tracked        nodeCall
+	runningStorage runningRequest
+	callerKey      retry.Identity // 0: the caller sent no name
 }
 
-// ServeNode is the face for other nodes: a call passes the gate and runs on the
-// own target.
+// ServeNode handles the listener for other nodes: a call passes the gate and runs on
+// the own target.
 func (e *Engine) ServeNode(ctx context.Context, c *app.RequestContext) {
-	if e.inHand.tell(c) {
+	if e.nodeCalls.answerProbe(c) {
 		return
 	}
 	e.calls.Add(1)
 	defer e.calls.Add(-1)
-	s := &serving{c: c, hop: Hop{Kind: HopServe, Span: newSpan(), Start: time.Now(), Target: e.self.ID, Zone: e.self.Place.Zone}}
-	defer e.letGo(s)
+	s := &inboundCall{c: c, hop: Hop{Kind: HopServe, Span: newSpan(), Start: time.Now(), Target: e.self.ID, Zone: e.self.Place.Zone}}
+	defer e.untrack(s)
 	if fault := e.accept(s); fault != nil {
 		e.refuse(s, fault)
 		return
 	}
-	if fault := e.repeats.begin(s); fault != nil {
+	if fault := e.callerRetries.begin(s); fault != nil {
 		e.refuse(s, fault)
 		return
 	}
 	ctx, cancel := hertzhttp.WithDeadline(ctx, e.epoch.Add(s.running.deadline))
 	s.running.ctx = ctx
-	if fault := e.enter(ctx, s); fault != nil {
+	if fault := e.enterGate(ctx, s); fault != nil {
 		cancel()
-		e.repeats.end(s, fault.Outcome)
+		e.callerRetries.end(s, fault.Outcome)
 		e.refuse(s, fault)
 		return
 	}
-	e.levels.served(s.running.work())
-	e.reqs.add(s.running)
+	e.levels.recordServed(s.running.work())
+	e.running.add(s.running)
 	if s.class.AtMostOnce {
-		e.runOnce(ctx, s)
+		e.runAtMostOnce(ctx, s)
 		cancel()
 		return
 	}
 	r, resp := e.run(ctx, s)
 	e.finish(s, r, resp, cancel)
 	if resp != nil && r.stream == nil {
-		protocol.ReleaseResponse(resp) // the answer has a copy
+		protocol.ReleaseResponse(resp) // the answer is a copy
 	}
 }
 
-// accept reads and checks what the other node sent.
-func (e *Engine) accept(s *serving) *status.Error {
+// accept reads and validates a call of another node.
+func (e *Engine) accept(s *inboundCall) *status.Error {
 	h := &s.c.Request.Header
 	tc, ok := traceOf(h)
 	if !ok {
-		return status.Refuse(status.CodeProtocol, 0, "a call between nodes without a trace")
+		return status.Refuse(status.CodeProtocol, 0, "the call between nodes has no valid traceparent")
 	}
 	s.trace, s.hop.ID, s.hop.Parent = tc, tc.id, tc.span
-	e.inHand.add(tc.span, &s.hand)
+	e.nodeCalls.add(tc.span, &s.tracked)
 	meta, err := wire.GetMeta(h)
 	if err != nil {
 		return status.Refuse(status.CodeProtocol, 0, "%s", status.From(err).Detail)
@@ -99,62 +99,62 @@
 	if meta.Service != "" {
 		return e.acceptRouted(s, v)
 	}
-	if !v.Ready || !e.takes(v) {
-		return status.Refuse(status.CodeNotReady, later(), "the target is not ready")
+	if !v.Ready || !e.acceptsCalls(v) {
+		return status.Refuse(status.CodeNotReady, retryDelay(), "the target is not ready")
 	}
 	info, class, fault := e.lookup(v, s.c)
 	if fault != nil {
 		return fault
 	}
 	if info.Name != e.self.Service {
-		// A caller with an old view: an address that another service's target
-		// has taken over must not run the call.
-		return status.Refuse(status.CodeMisdirected, 0, "no target of %s is here", info.Name)
+		// The caller has an outdated view: if another service's target has taken over
+		// the address, it must not run the call.
+		return status.Refuse(status.CodeMisdirected, 0, "the node has no target of %s", info.Name)
 	}
 	if !info.Accepts(meta.Tenant) {
-		return status.Refuse(status.CodeForbidden, 0, "%s takes no requests of tenant %s", info.Name, meta.Tenant)
+		return status.Refuse(status.CodeForbidden, 0, "%s accepts no requests of tenant %s", info.Name, meta.Tenant)
 	}
 	s.class = class
 	return e.prepare(s)
 }
 
-// acceptRouted checks a call whose route was chosen where it was made. This node
-// may have an older or newer configuration in force; whoever is called by the
-// newest that some node has must not refuse for that.
-func (e *Engine) acceptRouted(s *serving, v *View) *status.Error {
+// acceptRouted validates a call whose route the calling node chose. The two nodes may
+// have different configuration versions in force; this node must not refuse a call
+// that is valid under the newest version that any node has.
+func (e *Engine) acceptRouted(s *inboundCall, v *View) *status.Error {
 	if s.meta.Service != e.self.Service {
-		return status.Refuse(status.CodeMisdirected, 0, "no target of %s is here", s.meta.Service)
+		return status.Refuse(status.CodeMisdirected, 0, "the node has no target of %s", s.meta.Service)
 	}
 	if v.Leaving {
-		return status.Refuse(status.CodeDraining, 0, "the node is stopping, use another")
+		return status.Refuse(status.CodeDraining, 0, "the node is stopping; use another node")
 	}
-	if !e.takes(v) {
-		return status.Refuse(status.CodeNotReady, later(), "the target is not ready")
+	if !e.acceptsCalls(v) {
+		return status.Refuse(status.CodeNotReady, retryDelay(), "the target is not ready")
 	}
 	s.class = &confset.Class{Name: s.meta.Route, MaxBody: e.cfg.MaxBody, Repeat: confset.Repeatable}
 	return e.prepare(s)
 }
 
-func (e *Engine) prepare(s *serving) *status.Error {
+func (e *Engine) prepare(s *inboundCall) *status.Error {
 	deadline := e.now() + s.meta.Remaining
 	var fault *status.Error
-	s.hand.waits()
-	s.body, fault = e.takeBody(s.c, s.class.MaxBody, deadline)
-	s.hand.goes()
+	s.tracked.beginIO()
+	s.body, fault = e.readBody(s.c, s.class.MaxBody, deadline)
+	s.tracked.endIO()
 	if fault != nil {
 		return fault
 	}
 	if s.body.stream != nil {
-		s.hand.abandonable(s.c.GetConn(), e.cfg.AbandonAfter)
-		s.body.stream = s.hand.requestOf(s.body.stream)
+		s.tracked.armAbandon(s.c.GetConn(), e.cfg.AbandonAfter)
+		s.body.stream = s.tracked.requestReader(s.body.stream)
 	}
-	// A body that is not at hand whole can't be compared with that of an earlier
-	// call under the same key.
+	// A streamed body can't be compared with that of an earlier call with the same
+	// key.
 	if s.class.AtMostOnce && s.body.stream != nil {
-		return status.Refuse(status.CodeTooLarge, 0, "an at-most-once request may have %d bytes", e.cfg.BufferBytes)
+		return status.Refuse(status.CodeTooLarge, 0, "the body of an at-most-once request exceeds %d bytes", e.cfg.BufferBytes)
 	}
-	s.tenant = e.tenants.of(s.meta.Tenant)
-	s.own = running{
+	s.tenant = e.tenants.get(s.meta.Tenant)
+	s.runningStorage = runningRequest{
 		id:        s.trace.id,
 		name:      string(s.c.Request.Header.Peek(e.cfg.Dialect.Request)),
 		sampled:   s.trace.sampled,
@@ -165,14 +165,14 @@
 		deadline:  deadline,
 		allowance: retry.NewRequestAllowance(s.meta.Allowance, s.meta.Repeat),
 	}
-	s.hop.Name = s.own.name
-	s.running = &s.own
+	s.hop.Name = s.runningStorage.name
+	s.running = &s.runningStorage
 	return nil
 }
 
-// enter asks the gate.
-func (e *Engine) enter(ctx context.Context, s *serving) *status.Error {
-	t, fault := e.gate.enter(ctx, admission.Arrival{
+// enterGate passes the call through the gate.
+func (e *Engine) enterGate(ctx context.Context, s *inboundCall) *status.Error {
+	t, fault := e.gate.acquire(ctx, admission.Arrival{
 		Priority: s.running.priority,
 		Tenant:   s.tenant,
 		Deadline: s.running.deadline,
@@ -183,29 +183,29 @@
 	return fault
 }
 
-// runOnce runs a request of an at-most-once class under a claim.
-func (e *Engine) runOnce(ctx context.Context, s *serving) {
+// runAtMostOnce runs a request of an at-most-once class under a claim.
+func (e *Engine) runAtMostOnce(ctx context.Context, s *inboundCall) {
 	var r *result
 	var resp *protocol.Response
-	var ran time.Duration
+	var runTime time.Duration
 	begun := e.now()
 	res := e.claims.Do(ctx, e.claimRequest(s), func(ctx context.Context) claims.Result {
 		s.running.ctx = ctx
 		at := e.now()
-		defer func() { ran = e.now() - at }()
+		defer func() { runTime = e.now() - at }()
 		r, resp = e.run(ctx, s)
-		return recorded(r, resp)
+		return claimResult(r, resp)
 	})
-	// What the platform takes is none of the target's time: the gate would take
-	// a slow platform for requests that wait inside the target.
-	s.running.waits(e.now() - begun - ran)
+	// Time spent on the platform is not the target's: otherwise the gate would treat a
+	// slow platform as requests that wait inside the target.
+	s.running.addBlocked(e.now() - begun - runTime)
 	if r == nil || res.Origin != claim.FromRun {
 		r, resp = fromClaim(e.now(), res)
 	}
 	e.finish(s, r, resp, func() {})
 }
 
-func (e *Engine) claimRequest(s *serving) claims.Request {
+func (e *Engine) claimRequest(s *inboundCall) claims.Request {
 	h := &s.c.Request.Header
 	return claims.Request{
 		Scope:    claim.Scope{Tenant: s.meta.Tenant, Service: e.self.Service, Class: s.class.Name},
@@ -218,15 +218,15 @@
 	}
 }
 
-// recorded turns a run's result into what its claim remembers. A streamed
-// answer is read to its end first, as only then it is known to be whole.
-func recorded(r *result, resp *protocol.Response) claims.Result {
+// claimResult converts a run's result to what its claim stores. It first reads a
+// streamed answer to its end, since only then the answer is known to be complete.
+func claimResult(r *result, resp *protocol.Response) claims.Result {
 	if r.stream != nil {
 		b, err := readAll(r.stream)
 		_ = r.stream.Close()
 		r.stream = nil
 		if err != nil {
-			r.outcome, r.code, r.detail = request.Unknown, status.CodeConnectionLost, "the target's answer broke off"
+			r.outcome, r.code, r.detail = request.Unknown, status.CodeConnectionLost, "the target's answer ended early"
 			return claims.Failure(r.failure())
 		}
 		resp.SetBody(b)
@@ -239,10 +239,10 @@
 	return res
 }
 
-// fromClaim makes a result of what the claim knows of an earlier call.
+// fromClaim converts a claim's record of an earlier call to a result.
 func fromClaim(now time.Duration, res claims.Result) (*result, *protocol.Response) {
 	if res.Err != nil {
-		return fail(now, res.Err), nil
+		return failureResult(now, res.Err), nil
 	}
 	resp := protocol.AcquireResponse()
 	resp.SetStatusCode(res.Outcome.Status)
@@ -252,10 +252,10 @@
 }
 
 // run runs a request on the own target, unless it is known to crash targets.
-func (e *Engine) run(ctx context.Context, s *serving) (*result, *protocol.Response) {
+func (e *Engine) run(ctx context.Context, s *inboundCall) (*result, *protocol.Response) {
 	t, fault := e.suspects.start(s.fingerprint(e.self.Service))
 	if fault != nil {
-		return fail(e.now(), fault), nil
+		return failureResult(e.now(), fault), nil
 	}
 	r, resp := e.runOnTarget(ctx, s)
 	if r.stream == nil {
@@ -266,35 +266,35 @@
 	return r, resp
 }
 
-// OnShed sets what is told that the own target turned a call away. Call it before
-// traffic begins; f is called from traffic goroutines and must not block.
+// OnShed sets the function that is called when the own target sheds a call. Call it
+// before traffic begins; f is called from traffic goroutines and must not block.
 func (e *Engine) OnShed(f func()) { e.onShed = f }
 
-// firstServerError is the least status by which a target says it failed.
+// firstServerError is the lowest HTTP status of a target's own failure.
 const firstServerError = 500
 
-// finish answers the other node, and leaves when the answer is out of the
-// target.
-func (e *Engine) finish(s *serving, r *result, resp *protocol.Response, cancel func()) {
+// finish answers the other node and releases the slot when the target's answer has
+// ended.
+func (e *Engine) finish(s *inboundCall, r *result, resp *protocol.Response, cancel func()) {
 	e.relay(&s.c.Response, orEmpty(resp), s.trace.id, r)
 	if r.stream != nil {
-		r.stream.OnClose(func() { e.leave(s, r, cancel) })
+		r.stream.OnClose(func() { e.release(s, r, cancel) })
 	} else {
-		e.leave(s, r, cancel)
+		e.release(s, r, cancel)
 	}
-	e.mark(s, r)
+	e.setAnswerMeta(s, r)
 }
 
-// leave gives the slot back.
-func (e *Engine) leave(s *serving, r *result, cancel func()) {
+// release frees the slot, and records and reports the end of the call.
+func (e *Engine) release(s *inboundCall, r *result, cancel func()) {
 	if r.stream != nil && !r.stream.Whole() {
 		r.outcome = request.Unknown
 	}
-	e.reqs.remove(s.running)
-	e.gate.leave(s.ticket, gateResult(r), s.running.idled())
-	e.repeats.end(s, r.outcome)
+	e.running.remove(s.running)
+	e.gate.release(s.ticket, gateResult(r), s.running.blockedTime())
+	e.callerRetries.end(s, r.outcome)
 	cancel()
-	e.seal(s, r.outcome, r.code)
+	e.observeServe(s, r.outcome, r.code)
 }
 
 func orEmpty(resp *protocol.Response) *protocol.Response {
@@ -304,12 +304,12 @@
 	return resp
 }
 
-// gateResult is what the gate learns from a run.
+// gateResult converts a run's result for the gate.
 func gateResult(r *result) admission.Result {
 	switch {
 	case r.outcome == request.Completed:
 		return admission.OK
-	case r.shed:
+	case r.targetShed:
 		return admission.Overloaded
 	case r.code == status.CodeCanceled, r.code == status.CodeDeadlineExceeded:
 		return admission.Canceled
@@ -318,27 +318,28 @@
 	}
 }
 
-// refuse answers a call that didn't get to the target.
-func (e *Engine) refuse(s *serving, fault *status.Error) {
+// refuse answers a call that was not sent to the target.
+func (e *Engine) refuse(s *inboundCall, fault *status.Error) {
 	e.writeProblem(&s.c.Response, s.trace.id, fault)
-	e.mark(s, &result{outcome: fault.Outcome, code: fault.Code, after: fault.RetryAfter})
-	e.seal(s, fault.Outcome, fault.Code)
+	e.setAnswerMeta(s, &result{outcome: fault.Outcome, code: fault.Code, retryAfter: fault.RetryAfter})
+	e.observeServe(s, fault.Outcome, fault.Code)
 }
 
-// mark adds what the calling node is to know beside the answer.
-func (e *Engine) mark(s *serving, r *result) {
-	a := wire.Answer{Outcome: r.outcome, Code: r.code, Pushback: r.after}
+// setAnswerMeta sets the headers that tell the calling node about this node and the
+// call.
+func (e *Engine) setAnswerMeta(s *inboundCall, r *result) {
+	a := wire.Answer{Outcome: r.outcome, Code: r.code, Pushback: r.retryAfter}
 	st := e.gate.stats()
 	a.InFlight, a.Limit = st.Running+st.Queued, st.Limit
 	a.Level = e.gate.level(s.tenant)
 	if s.running != nil && r.code == "" && r.outcome != request.Completed {
-		a.Below = s.running.cause()
+		a.Below = s.running.downstreamFailure()
 	}
 	if s.running != nil {
-		a.Chain = e.levels.below(s.running.work())
+		a.Chain = e.levels.chainLevel(s.running.work())
 	}
-	// While the answer is a stream the target may still make calls: its
-	// allowance stays open, and what is left then counts as spent.
+	// While the answer streams, the target may still make calls: its allowance stays
+	// open, and the caller counts the remainder as spent.
 	if s.running != nil && r.stream == nil {
 		a.Unspent, a.Made = s.running.close()
 	}
@@ -349,8 +350,8 @@
 	h.SetBytesV(wire.HeaderAttempt, tag[:])
 }
 
-// seal ends the hop.
-func (e *Engine) seal(s *serving, o request.Outcome, code status.Code) {
+// observeServe completes and reports the hop.
+func (e *Engine) observeServe(s *inboundCall, o request.Outcome, code status.Code) {
 	s.hop.Service, s.hop.Class, s.hop.Tenant = e.self.Service, s.meta.Class, s.meta.Tenant
 	s.hop.Organisation = s.meta.Organisation
 	s.hop.Version = e.view.Load().Index.Version(e.self.Tenant)
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -9,27 +9,27 @@
 	"peardrift/internal/status"
 )
 
-// suspects runs the suspect core for traffic goroutines. Safe for concurrent
+// suspects makes the suspect core usable from traffic goroutines. Safe for concurrent
 // use.
 type suspects struct {
-	now    func() time.Duration
-	alive  func() bool          // whether the target takes connections
-	report func(suspect.Report) // tells the service's other nodes
-	self   request.TargetID
-	cfg    suspect.Config
+	now             func() time.Duration
+	targetReachable func() bool          // reports whether the target accepts connections
+	report          func(suspect.Report) // notifies the service's other nodes
+	self            request.TargetID
+	cfg             suspect.Config
 
 	mu    sync.Mutex
 	core  *suspect.Tracker
-	probe chan struct{} // closed when the probe under way has ended; nil if none
+	probe chan struct{} // closed when the current probe has ended; nil if none
 }
 
 func newSuspects(cfg suspect.Config, self request.TargetID, now func() time.Duration, alive func() bool) *suspects {
-	s := &suspects{now: now, alive: alive, self: self, cfg: cfg, report: func(suspect.Report) {}}
+	s := &suspects{now: now, targetReachable: alive, self: self, cfg: cfg, report: func(suspect.Report) {}}
 	s.core = suspect.New(&s.cfg)
 	return s
 }
 
-// start books a request that is about to run, or refuses it.
+// start records a request that is about to run, or refuses it.
 func (s *suspects) start(fp suspect.Fingerprint) (suspect.Ticket, *status.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,21 +42,21 @@
 	return s.core.Started(fp), nil
 }
 
-// end books a request's end. One that ended with its connection may have killed
-// the target: then, before it counts as ended, all that was in flight beside it
-// is reported. If it counted as ended first, the report would lack the culprit.
-func (s *suspects) end(t suspect.Ticket, whole, broken bool) {
+// end records a request's end. A request whose connection broke may have killed the
+// target: the report of all requests in flight must be made before it counts as ended,
+// or the report would lack the one that caused the crash.
+func (s *suspects) end(t suspect.Ticket, complete, broken bool) {
 	if broken {
-		s.look()
+		s.checkCrash()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Ended(s.now(), t, whole)
+	s.core.Ended(s.now(), t, complete)
 }
 
-// look finds out whether the target died. Requests that break together wait
-// for one probe.
-func (s *suspects) look() {
+// checkCrash finds out whether the target died. Requests whose connections break
+// together share one probe.
+func (s *suspects) checkCrash() {
 	s.mu.Lock()
 	if wait := s.probe; wait != nil {
 		s.mu.Unlock()
@@ -66,7 +66,7 @@
 	done := make(chan struct{})
 	s.probe = done
 	s.mu.Unlock()
-	dead := !s.alive()
+	dead := !s.targetReachable()
 	s.mu.Lock()
 	var r suspect.Report
 	ok := false
@@ -81,35 +81,35 @@
 	}
 }
 
-// crashID tells this crash from the target's others, also after a restart of
-// the node, which forgets how many there were.
+// crashID distinguishes this crash from the target's other ones. It doesn't use a
+// counter because that would be lost at a restart of the node.
 func (s *suspects) crashID() suspect.CrashID {
 	return suspect.CrashID{Target: s.self, Incarnation: uint64(time.Now().UnixNano())}
 }
 
-// up takes in that the target takes calls again, so that its next death counts
-// though it may be of its first request.
-func (s *suspects) up() {
+// targetUp records that the target accepts calls again, so that its next crash counts
+// even if its first request causes it.
+func (s *suspects) targetUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Up()
 }
 
-// merge takes in another node's report.
+// merge applies another node's report and reports whether it was new.
 func (s *suspects) merge(r suspect.Report) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Merge(s.now(), r)
 }
 
-func (s *suspects) known() []suspect.Report {
+func (s *suspects) reports() []suspect.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Known()
 }
 
-// fingerprint identifies what a call asks for.
-func (s *serving) fingerprint(self request.Service) suspect.Fingerprint {
+// fingerprint identifies the content of a call's request.
+func (s *inboundCall) fingerprint(self request.Service) suspect.Fingerprint {
 	h := &s.c.Request.Header
 	return suspect.Of(&suspect.Content{
 		Tenant:  s.meta.Tenant,
@@ -121,15 +121,15 @@
 	})
 }
 
-// MergeSuspects takes in what another node of the service reports of a crash.
-// It returns whether something in it was new.
+// MergeSuspects applies a crash report of another node of the service. It returns
+// whether anything in it was new.
 func (e *Engine) MergeSuspects(r suspect.Report) bool { return e.suspects.merge(r) }
 
-// KnownSuspects returns what a node that joins the service is to be told.
-func (e *Engine) KnownSuspects() []suspect.Report { return e.suspects.known() }
+// KnownSuspects returns the reports to send to a node that joins the service.
+func (e *Engine) KnownSuspects() []suspect.Report { return e.suspects.reports() }
 
-// OnCrash sets what tells the service's other nodes of a crash. Call it before
-// traffic begins; f must not block.
+// OnCrash sets the function that sends a crash report to the service's other nodes.
+// Call it before traffic begins; f must not block.
 func (e *Engine) OnCrash(f func(suspect.Report)) { e.suspects.report = f }
 
 // Suspects returns how many fingerprints are suspected of crashing targets.
--- a/internal/dataplane/suspects_test.go
+++ b/internal/dataplane/suspects_test.go
@@ -10,14 +10,13 @@
 	"peardrift/internal/core/suspect"
 )
 
-// Symptom: a request crashes more targets than it may.
-// Events: it is the first that a target runs after each restart, so that none
-// gives a whole answer in between. Cause: after a crash nothing counts until the
-// target has been seen to work, and only whole answers showed it.
-func TestEachCrashOfTheFirstRequestCounts(t *testing.T) {
+// Guards against ignoring a crash that follows a restart without a complete answer in
+// between: a request that is always the first one to run could then crash more targets
+// than allowed.
+func TestCrashByFirstRequestAfterRestartCounts(t *testing.T) {
 	is := is.New(t)
-	e, _ := caller(t)
-	e.suspects.alive = func() bool { return false }
+	e, _ := newCaller(t)
+	e.suspects.targetReachable = func() bool { return false }
 	var reports []suspect.Report
 	e.OnCrash(func(r suspect.Report) { reports = append(reports, r) })
 	view := View{Index: confset.NewIndex(), Ready: true, Peers: func(request.Service) []Peer { return nil }}
--- a/internal/dataplane/trace.go
+++ b/internal/dataplane/trace.go
@@ -13,23 +13,23 @@
 	"peardrift/internal/wire"
 )
 
-// traceContext is what a traceparent says.
+// traceContext is the content of a traceparent header.
 type traceContext struct {
 	id      request.ID
 	span    SpanID
 	sampled bool
 }
 
-// carrier lets the propagator read one header.
+// carrier adapts request headers to the propagator, which reads one of them.
 type carrier struct{ h *protocol.RequestHeader }
 
 func (c carrier) Get(key string) string { return string(c.h.Peek(key)) }
 func (c carrier) Set(key, value string) { c.h.Set(key, value) }
 func (c carrier) Keys() []string        { return []string{wire.HeaderTraceparent} }
 
-// traceOf reads traceparent; ok is false if there is none or a malformed one.
+// traceOf reads traceparent; ok is false if it is missing or malformed.
 func traceOf(h *protocol.RequestHeader) (traceContext, bool) {
-	if tc, ok := ownTrace(h.Peek(wire.HeaderTraceparent)); ok {
+	if tc, ok := parseOwnTrace(h.Peek(wire.HeaderTraceparent)); ok {
 		return tc, true
 	}
 	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier{h})
@@ -42,9 +42,9 @@
 	return tc, sc.IsValid()
 }
 
-// ownTrace reads a traceparent as set writes it, which all calls between nodes bear; ok
-// is false for another, which may be valid all the same.
-func ownTrace(v []byte) (tc traceContext, ok bool) {
+// parseOwnTrace reads a traceparent in the form that set writes, which all calls
+// between nodes have; ok is false for other forms, which may still be valid.
+func parseOwnTrace(v []byte) (tc traceContext, ok bool) {
 	if len(v) != parentLen || string(v[:idAt]) != "00-" || v[spanAt-1] != '-' || string(v[flagsAt-1:flagsAt+1]) != "-0" {
 		return tc, false
 	}
@@ -60,7 +60,7 @@
 	return tc, ok
 }
 
-// Where a traceparent of version 00 has its parts, and the dashes between them.
+// Offsets and lengths of the parts of a version 00 traceparent, which dashes separate.
 const (
 	idAt      = len("00-")
 	spanAt    = idAt + idHex + 1
@@ -71,7 +71,7 @@
 	spanHex = 2 * len(SpanID{})
 )
 
-// set writes the context as traceparent, version 00.
+// set writes the context as a version 00 traceparent.
 func (t traceContext) set(h *protocol.RequestHeader) {
 	var b [parentLen]byte
 	copy(b[:], "00-")
@@ -87,8 +87,8 @@
 
 var traceparent = []byte(wire.HeaderTraceparent)
 
-// spanIn returns the span, as in SpanID.String, of a request whose traceparent
-// set has written; empty for others.
+// spanIn returns the span, in the form of SpanID.String, from a traceparent that set
+// has written; empty for others.
 func spanIn(h *protocol.RequestHeader) string {
 	v := h.Peek(wire.HeaderTraceparent)
 	if len(v) != parentLen {
--- a/internal/dataplane/trace_test.go
+++ b/internal/dataplane/trace_test.go
@@ -9,8 +9,8 @@
 	"peardrift/internal/wire"
 )
 
-// The quick reading of a traceparent and the library's agree.
-func TestTraceparentsAreReadAlike(t *testing.T) {
+// Checks that the fast traceparent parser agrees with the library's.
+func TestTraceparentParsersAgree(t *testing.T) {
 	is := is.New(t)
 	var h protocol.RequestHeader
 	want := traceContext{newID(), newSpan(), true}
