--- a/internal/wire/dialect.go
+++ b/internal/wire/dialect.go
@@ -5,40 +5,41 @@
 	"strings"
 )
 
-// Dialect names the headers by which callers and targets speak of what a node
-// has to know, where that is not by the project's own interface. An empty name
-// means that nobody speaks of it. The zero value is the project's own.
+// Dialect names the headers that callers and targets use for what a node has to know,
+// where they differ from the project's own interface. An empty name means that no
+// header carries it, unless the field says otherwise. The zero value is the project's
+// own interface.
 type Dialect struct {
-	// Request names what a caller sends; each attempt of a caller has another
-	// one. It is passed on to the target, which echoes it.
+	// Request names the caller's request; each attempt of a caller has another name.
+	// It is passed on to the target, which echoes it.
 	Request string
-	// Chain separates, in the name of a call that a target makes, what the target
-	// was named from the rest. Empty: targets pass on traceparent instead.
+	// Chain separates, in the name of a target's call, the name of the request that
+	// the target runs from the rest. Empty: targets pass on traceparent instead.
 	Chain string
-	// Timeout is how many milliseconds the sender waits. Empty:
+	// Timeout carries how many milliseconds the sender waits. Empty:
 	// HeaderTargetDeadline.
 	Timeout string
-	// Origin tells the target beside which service the request began.
+	// Origin tells the target the service beside which the request began.
 	Origin string
-	// Instance tells the target which of its lifetimes is meant. Another one
-	// answers with StatusMisdirected, and with its own in InstanceIs.
+	// Instance tells the target which of its instances is meant. Another instance
+	// answers with StatusMisdirected and names itself in InstanceIs.
 	Instance   string
 	InstanceIs string
 	// NotRun marks the answers of a target that has not run the request.
 	NotRun string
-	// Signature marks the answers that a target has made itself. Without it, and
-	// where Request is echoed as another one, a success is not passed on.
+	// Signature marks the answers that a target has made itself. A success without it,
+	// or with another name echoed in Request, is not passed on.
 	Signature string
 	// Organisation tells the target which organisation calls. Empty:
 	// HeaderOrganisation.
 	Organisation string
-	// Scheme goes before a caller's API key in Authorization. Empty: DefaultScheme.
+	// Scheme precedes a caller's API key in Authorization. Empty: DefaultScheme.
 	Scheme string
-	// Fractions: Retry-After may have fractions of seconds.
+	// Fractions reports whether Retry-After may have fractions of seconds.
 	Fractions bool
 }
 
-// TimeoutHeader returns the header of Timeout.
+// TimeoutHeader returns the name of the header that carries the timeout.
 func (d *Dialect) TimeoutHeader() string {
 	if d.Timeout == "" {
 		return HeaderTargetDeadline
@@ -46,7 +47,7 @@
 	return d.Timeout
 }
 
-// OrganisationHeader returns the header of Organisation.
+// OrganisationHeader returns the name of the header that carries the organisation.
 func (d *Dialect) OrganisationHeader() string {
 	if d.Organisation == "" {
 		return HeaderOrganisation
@@ -54,7 +55,7 @@
 	return d.Organisation
 }
 
-// KeyScheme returns the scheme of Scheme.
+// KeyScheme returns the authorization scheme of API keys.
 func (d *Dialect) KeyScheme() string {
 	if d.Scheme == "" {
 		return DefaultScheme
@@ -62,8 +63,8 @@
 	return d.Scheme
 }
 
-// Key returns the API key in an Authorization field, nil if there is none. The slice
-// is part of the field.
+// Key returns the API key in an Authorization field, nil if there is none. The result
+// aliases the field.
 func (d *Dialect) Key(field []byte) []byte {
 	scheme := d.KeyScheme()
 	if len(field) <= len(scheme) || field[len(scheme)] != ' ' || !strings.EqualFold(string(field[:len(scheme)]), scheme) {
@@ -72,6 +73,6 @@
 	return bytes.Trim(field[len(scheme):], " ")
 }
 
-// passed returns the headers that go with a request to its target and with an
-// answer to its caller, though they look like internal ones.
-func (d *Dialect) passed() [2]string { return [2]string{d.Request, d.Signature} }
+// passThrough returns the headers that are passed on with a request to its target and
+// with an answer to its caller, although their names have the internal prefix.
+func (d *Dialect) passThrough() [2]string { return [2]string{d.Request, d.Signature} }
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -11,82 +11,83 @@
 	"peardrift/internal/status"
 )
 
-// HeaderPacked carries the fields of a head between nodes, packed. Its name is
-// short because it is sent with each message.
+// HeaderPacked carries the packed header fields of a message between nodes. The name
+// is short because each message has it.
 const HeaderPacked = "P"
 
-// packedHost stands in for the host in a packed request, which the codec wants
-// there.
+// packedHost is the placeholder host of a packed request, since the codec requires
+// one.
 const packedHost = "n"
 
-// Limits of a packed head. A few bytes may name large fields that were sent before:
-// without them a short message would unpack into any amount of memory.
+// Limits of a packed head (a message's header fields). A few bytes may refer to large
+// fields sent before: without the limits a short message could unpack to any amount of
+// memory.
 const (
 	maxPackedFields = 256
 	maxPackedBytes  = 64 << 10
-	// packTable bounds what each end of a connection remembers of the other's
-	// fields, in bytes. The fields that repeat between two nodes take some 700.
+	// packTable is the size in bytes of the HPACK dynamic table at each end of a
+	// connection. The fields that repeat between two nodes take some 700.
 	packTable = 4096
 )
 
-// Packer packs the heads that one end of a connection sends, and unpacks those that
-// it gets: fields sent before on the connection are named in a byte (HPACK, RFC
-// 7541). Both ends see each head once and in order, which HTTP/1.1 warrants; after a
-// failure the connection must be closed, since the two would no longer agree on what
-// was sent before. A call within a chain and its answer, as in the package's test, have
-// 653 bytes of heads; packed they have 300.
+// Packer packs the heads that one end of a connection sends and unpacks those that it
+// receives: a field sent before on the connection is referenced by one byte (HPACK,
+// RFC 7541). Both ends see each head once and in order, which HTTP/1.1 guarantees;
+// after a failure the connection must be closed, since the two tables may differ. The
+// heads of a call within a chain and its answer, as in the package's test, have 653
+// bytes in all; packed they have 300.
 //
 // Not safe for concurrent use: requests and answers alternate on a connection.
 type Packer struct {
-	out  *hpack.Encoder
-	buf  bytes.Buffer
-	last map[string]*sent
-	in   *hpack.Decoder
-	got  []hpack.HeaderField // of the head that is being unpacked
-	size int                 // of got, in bytes
-
-	// Reused from head to head.
+	encoder    *hpack.Encoder
+	buf        bytes.Buffer
+	last       map[string]*lastSent
+	decoder    *hpack.Decoder
+	fields     []hpack.HeaderField // fields of the head being unpacked
+	fieldBytes int                 // size of fields
+
+	// Buffers reused for each head.
 	form, block, name, value []byte
 	line                     struct{ method, uri []byte }
 }
 
-// sent is the field of a name that was sent last.
-type sent struct {
+// lastSent is the last value sent of a field.
+type lastSent struct {
 	value []byte
-	form  string // in which it was sent
+	form  string // encoded form in which it was sent
 }
 
 // NewPacker returns the state of one end of a new connection.
 func NewPacker() *Packer {
-	p := &Packer{last: make(map[string]*sent)}
-	p.out = hpack.NewEncoder(&p.buf)
-	p.in = hpack.NewDecoder(packTable, p.field)
-	p.in.SetMaxStringLength(maxPackedBytes)
+	p := &Packer{last: make(map[string]*lastSent)}
+	p.encoder = hpack.NewEncoder(&p.buf)
+	p.decoder = hpack.NewDecoder(packTable, p.addDecoded)
+	p.decoder.SetMaxStringLength(maxPackedBytes)
 	return p
 }
 
 // PackRequest replaces the fields of a request's head by their packed form. The
-// method, the target and what frames the body stay.
+// method, the request target and the framing of the body stay.
 func (p *Packer) PackRequest(h *protocol.RequestHeader) {
 	p.buf.Reset()
 	h.VisitAll(func(k, v []byte) { p.add(k, v, nil) })
 	p.line.method = append(p.line.method[:0], h.Method()...)
 	p.line.uri = append(p.line.uri[:0], h.RequestURI()...)
-	length, closes := h.ContentLength(), h.ConnectionClose()
+	length, connClose := h.ContentLength(), h.ConnectionClose()
 	h.Reset()
 	h.SetMethodBytes(p.line.method)
 	h.SetRequestURIBytes(p.line.uri)
 	if length > 0 || length == chunked {
 		h.SetContentLength(length)
 	}
-	h.SetConnectionClose(closes)
+	h.SetConnectionClose(connClose)
 	h.SetNoDefaultContentType(true)
 	h.SetHost(packedHost)
-	h.SetArgBytes(packed, p.packedBlock(), protocol.ArgsHasValue)
+	h.SetArgBytes(packedName, p.packedBlock(), protocol.ArgsHasValue)
 }
 
-// UnpackRequest is the inverse of PackRequest. It leaves a head that isn't packed
-// as it is, and reports whether it was.
+// UnpackRequest is the inverse of PackRequest. It does not change a head that isn't
+// packed, and reports whether it was packed.
 func (p *Packer) UnpackRequest(h *protocol.RequestHeader) (bool, error) {
 	b := h.Peek(HeaderPacked)
 	if len(b) == 0 {
@@ -95,9 +96,9 @@
 	if err := p.unpack(b); err != nil {
 		return true, err
 	}
-	h.DelBytes(packed)
+	h.DelBytes(packedName)
 	h.SetNoDefaultContentType(true)
-	p.each(func(k, v []byte) {
+	p.visit(func(k, v []byte) {
 		if string(k) == hostField {
 			h.SetHostBytes(v)
 			return
@@ -107,18 +108,17 @@
 	return true, nil
 }
 
-// PackAnswer is PackRequest for the answer to a request, to whose fields it may
-// refer.
+// PackAnswer packs the head of the answer to req; it may refer to fields of req.
 func (p *Packer) PackAnswer(h *protocol.ResponseHeader, req *protocol.RequestHeader) {
 	p.buf.Reset()
 	h.VisitAll(func(k, v []byte) { p.add(k, v, req) })
-	code, length, closes := h.StatusCode(), h.ContentLength(), h.ConnectionClose()
+	code, length, connClose := h.StatusCode(), h.ContentLength(), h.ConnectionClose()
 	h.Reset()
 	h.SetNoDefaultContentType(true)
 	h.SetNoDefaultDate(true)
 	h.SetStatusCode(code)
 	h.SetContentLength(length)
-	h.SetConnectionClose(closes)
+	h.SetConnectionClose(connClose)
 	h.SetBytesV(HeaderPacked, p.packedBlock())
 }
 
@@ -131,52 +131,52 @@
 	if err := p.unpack(b); err != nil {
 		return err
 	}
-	h.DelBytes(packed)
+	h.DelBytes(packedName)
 	h.SetNoDefaultContentType(true)
-	p.each(func(k, v []byte) {
-		if k[0] != same {
+	p.visit(func(k, v []byte) {
+		if k[0] != sameMark {
 			addTo(h, k, v)
-		} else if name := long(string(k[1:])); len(req.Peek(name)) > 0 {
+		} else if name := expandName(string(k[1:])); len(req.Peek(name)) > 0 {
 			addTo(h, []byte(name), req.Peek(name))
 		}
 	})
 	return nil
 }
 
-// chunked is the codec's length of a body whose length isn't known.
+// chunked is the content length that the codec uses for a body of unknown length.
 const chunked = -1
 
 const (
 	hostField = "Host"
-	// same begins the name of an answer's field that is as in the request. Like
-	// all marks here it occurs in no name of HTTP.
-	same = '='
-	// part begins the name of a part of a field; the name and the part's place
-	// follow in a byte each.
-	part = '/'
+	// sameMark begins the name of an answer's field that equals the request's. Like
+	// all marks here it occurs in no HTTP field name.
+	sameMark = '='
+	// partMark begins the name of a part of a field; the field's short name and the
+	// part's position follow in a byte each.
+	partMark = '/'
 )
 
-var packed = []byte(HeaderPacked)
+var packedName = []byte(HeaderPacked)
 
-// known are the names that nodes send with each call, shortened to a byte: a field
-// whose value never repeats is sent with its name. Nodes of a fleet must agree on
-// their order; new ones go to the end.
-var known = []string{HeaderCall, HeaderReply, HeaderTraceparent, HeaderAttempt}
+// shortNames are field names that nodes send with each call; each is sent as one byte.
+// A field whose value never repeats is sent with its name each time. All nodes of a
+// deployment must agree on the order; new names are appended.
+var shortNames = []string{HeaderCall, HeaderReply, HeaderTraceparent, HeaderAttempt}
 
-// long returns the name that a field was sent under in a byte.
-func long(name string) string {
-	if len(name) == 1 && name[0] >= 1 && int(name[0]) <= len(known) {
-		return known[name[0]-1]
+// expandName returns the full name of a field sent with a one-byte name.
+func expandName(name string) string {
+	if len(name) == 1 && name[0] >= 1 && int(name[0]) <= len(shortNames) {
+		return shortNames[name[0]-1]
 	}
 	return name
 }
 
-// add packs a field, unless it concerns the connection or is the codec's.
+// add packs a field, unless it concerns the connection or the codec writes it.
 func (p *Packer) add(k, v []byte, req *protocol.RequestHeader) {
-	if listed(k, hopByHop) || listed(k, dated) {
+	if containsName(k, hopByHop) || containsName(k, codecFields) {
 		return
 	}
-	for i, n := range known {
+	for i, n := range shortNames {
 		if string(k) != n {
 			continue
 		}
@@ -192,24 +192,24 @@
 	p.addField(k, v, req)
 }
 
-// addField packs a field under the name that stands in p.name.
+// addField packs a field with the name in p.name.
 func (p *Packer) addField(k, v []byte, req *protocol.RequestHeader) {
 	if req != nil && len(v) > 0 && bytes.Equal(req.Peek(string(k)), v) {
 		p.name = append(p.name, 0)
 		copy(p.name[1:], p.name)
-		p.name[0] = same
+		p.name[0] = sameMark
 		v = nil
 	}
 	p.write(v)
 }
 
-// addParts packs a field that consists of parts, of which most repeat, each by
-// itself. Empty ones are left out.
+// addParts packs each part of a field separately, because most parts repeat. It omits
+// empty parts.
 func (p *Packer) addParts(name byte, v []byte) {
 	for i := 0; ; i++ {
 		field, rest, more := bytes.Cut(v, []byte{separator})
 		if len(field) > 0 || !more {
-			p.name = append(p.name[:0], part, name, byte(firstPart+i))
+			p.name = append(p.name[:0], partMark, name, byte(firstPart+i))
 			p.write(field)
 		}
 		if !more {
@@ -219,12 +219,13 @@
 	}
 }
 
-// firstPart is the byte for a field's first part.
+// firstPart is the position byte of a field's first part.
 const firstPart = 'a'
 
-// write packs the field whose name stands in p.name. The other end is to remember it
-// when it is the first of its name, for the name, and when it has the value of the last
-// one. Otherwise the values that never repeat would push out those that do.
+// write packs the field with the name in p.name. The other end adds it to its table if
+// it is the first field of its name, so that the name can be referenced, or if it
+// repeats the last value. Otherwise values that never repeat would evict those that
+// do.
 func (p *Packer) write(value []byte) {
 	last := p.last[string(p.name)]
 	repeated := last != nil && bytes.Equal(last.value, value)
@@ -232,98 +233,99 @@
 	if repeated {
 		f.Value = last.form
 	} else {
-		f.Value = p.halved(value)
+		f.Value = p.packHex(value)
 		f.Sensitive = !p.remember(f.Name, value, f.Value, last) || last != nil
 	}
-	_ = p.out.WriteField(f) // to a buffer, which doesn't fail
+	_ = p.encoder.WriteField(f) // writes to a bytes.Buffer don't fail
 }
 
-// Bounds on what a connection remembers of its callers' fields. Without them a caller
-// that names its fields anew each time would fill the node's memory, through each
-// connection that its requests pass.
+// Limits of the last values kept per connection. Without them a caller that uses new
+// field names for each request would fill the node's memory through each connection
+// that its requests pass.
 const (
 	maxNames      = 64
-	maxRemembered = 256 // bytes of a value
+	maxRemembered = 256 // bytes of a name and its value
 )
 
-// remember keeps the value of a field for the next of its name, where it may.
-func (p *Packer) remember(name string, value []byte, form string, last *sent) bool {
+// remember keeps the value of a field to compare the next one of its name with, within
+// the limits.
+func (p *Packer) remember(name string, value []byte, form string, last *lastSent) bool {
 	if len(name)+len(value) > maxRemembered || last == nil && len(p.last) >= maxNames {
 		return false
 	}
 	if last == nil {
-		last = &sent{}
+		last = &lastSent{}
 		p.last[name] = last
 	}
 	last.value, last.form = append(last.value[:0], value...), form
 	return true
 }
 
-// packedBlock returns what was packed, in a form that a head may carry. It is valid until
-// the next head.
+// packedBlock returns the packed fields in a form that is valid in a header. It is
+// valid until the next head.
 func (p *Packer) packedBlock() []byte {
 	p.block = base64.RawStdEncoding.AppendEncode(p.block[:0], p.buf.Bytes())
 	return p.block
 }
 
-// unpack reads a block's fields into got.
+// unpack decodes a block's fields into p.fields.
 func (p *Packer) unpack(b []byte) error {
 	block, err := base64.RawStdEncoding.AppendDecode(p.block[:0], b)
 	p.block = block
 	if err != nil {
-		return status.Wrap(status.CodeProtocol, err, "a packed head")
+		return status.Wrap(status.CodeProtocol, err, "invalid packed head")
 	}
-	p.got, p.size = p.got[:0], 0
-	if _, err := p.in.Write(block); err != nil {
-		return status.Wrap(status.CodeProtocol, err, "a packed head")
+	p.fields, p.fieldBytes = p.fields[:0], 0
+	if _, err := p.decoder.Write(block); err != nil {
+		return status.Wrap(status.CodeProtocol, err, "invalid packed head")
 	}
-	if err := p.in.Close(); err != nil {
-		return status.Wrap(status.CodeProtocol, err, "a packed head")
+	if err := p.decoder.Close(); err != nil {
+		return status.Wrap(status.CodeProtocol, err, "invalid packed head")
 	}
-	if p.size > maxPackedBytes || len(p.got) > maxPackedFields {
-		return status.New(status.CodeProtocol, "a packed head has more than %d bytes or %d fields", maxPackedBytes, maxPackedFields)
+	if p.fieldBytes > maxPackedBytes || len(p.fields) > maxPackedFields {
+		return status.New(status.CodeProtocol, "packed head exceeds %d bytes or %d fields", maxPackedBytes, maxPackedFields)
 	}
 	return nil
 }
 
-// field takes in one field, until there are too many.
-func (p *Packer) field(f hpack.HeaderField) {
-	p.size += len(f.Name) + len(f.Value)
-	if f.Name != "" && p.size <= maxPackedBytes && len(p.got) <= maxPackedFields {
-		p.got = append(p.got, f)
+// addDecoded collects one decoded field, unless the limits are exceeded.
+func (p *Packer) addDecoded(f hpack.HeaderField) {
+	p.fieldBytes += len(f.Name) + len(f.Value)
+	if f.Name != "" && p.fieldBytes <= maxPackedBytes && len(p.fields) <= maxPackedFields {
+		p.fields = append(p.fields, f)
 	}
 }
 
-// each calls f with the fields of the head, those in parts put together. f must not keep
-// what it gets.
-func (p *Packer) each(f func(name, value []byte)) {
-	for i := 0; i < len(p.got); i++ {
-		name := p.got[i].Name
-		if name[0] == part && len(name) == len("/nx") {
-			n := p.join(i)
-			p.name = append(p.name[:0], long(name[1:2])...)
+// visit calls f with the fields of the head, and joins those sent in parts. f must not
+// keep its arguments.
+func (p *Packer) visit(f func(name, value []byte)) {
+	for i := 0; i < len(p.fields); i++ {
+		name := p.fields[i].Name
+		if name[0] == partMark && len(name) == len("/nx") {
+			n := p.joinParts(i)
+			p.name = append(p.name[:0], expandName(name[1:2])...)
 			i += n - 1
 		} else {
-			p.value = appendWhole(p.value[:0], p.got[i].Value)
-			p.name = append(p.name[:0], long(name)...)
+			p.value = appendUnpackedHex(p.value[:0], p.fields[i].Value)
+			p.name = append(p.name[:0], expandName(name)...)
 		}
 		f(p.name, p.value)
 	}
 }
 
-// join puts the parts that begin at a place of got together in p.value, and returns how
-// many there are.
-func (p *Packer) join(at int) int {
+// joinParts joins in p.value the parts that start at index at of p.fields, and returns
+// their number.
+func (p *Packer) joinParts(at int) int {
 	p.value = p.value[:0]
 	next, n := 0, 0
-	for _, f := range p.got[at:] {
-		if len(f.Name) != len("/nx") || f.Name[:2] != p.got[at].Name[:2] {
+	for _, f := range p.fields[at:] {
+		if len(f.Name) != len("/nx") || f.Name[:2] != p.fields[at].Name[:2] {
 			break
 		}
 		for place := int(f.Name[2]) - firstPart; next < place; next++ {
 			p.value = append(p.value, separator)
 		}
-		p.value = appendWhole(p.value, f.Value)
+		p.value = appendUnpackedHex(p.value, f.Value)
 		n++
 	}
 	return n
@@ -331,22 +333,23 @@
 
 const (
 	// hexMark begins a value that consists of hexadecimal runs, which are sent as
-	// bytes: their number, the bytes, and what stands before the next run.
+	// bytes: each run's length in bytes, the bytes, and the separator before the next
+	// run.
 	hexMark = 1
-	// asIs in place of a number says that the value itself follows.
-	asIs = 0
-	// leastHex is the length from which it is worth it.
-	leastHex = 16
-	maxRun   = 255
+	// literalMark in place of a length means that the value follows unencoded.
+	literalMark = 0
+	// minHexLen is the minimum length of a value for which the encoding pays off.
+	minHexLen = 16
+	maxRun    = 255
 )
 
-// halved returns the form in which a value is sent. Identities are hexadecimal and
-// never repeat; as bytes they have half their length.
-func (p *Packer) halved(v []byte) string {
+// packHex returns the form in which a value is sent. Identities are hexadecimal and
+// never repeat; as bytes they have half the length.
+func (p *Packer) packHex(v []byte) string {
 	if len(v) > 0 && v[0] == hexMark {
-		return string([]byte{hexMark, asIs}) + string(v)
+		return string([]byte{hexMark, literalMark}) + string(v)
 	}
-	if len(v) < leastHex {
+	if len(v) < minHexLen {
 		return string(v)
 	}
 	p.form = append(p.form[:0], hexMark)
@@ -365,7 +368,7 @@
 	}
 }
 
-// hexRun returns how many hexadecimal digits a value begins with.
+// hexRun returns the number of hexadecimal digits that a value begins with.
 func hexRun(v []byte) int {
 	for i := range len(v) {
 		if c := v[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
@@ -375,13 +378,13 @@
 	return len(v)
 }
 
-// appendWhole appends the inverse of halved. What halved doesn't make reads as something,
-// for its reader to judge.
-func appendWhole(b []byte, v string) []byte {
+// appendUnpackedHex appends the inverse of packHex. Input that packHex doesn't produce
+// decodes to some value, which its reader has to validate.
+func appendUnpackedHex(b []byte, v string) []byte {
 	if v == "" || v[0] != hexMark {
 		return append(b, v...)
 	}
-	if len(v) > 1 && v[1] == asIs {
+	if len(v) > 1 && v[1] == literalMark {
 		return append(b, v[2:]...)
 	}
 	for rest := v[1:]; rest != ""; {
--- a/internal/wire/pack_test.go
+++ b/internal/wire/pack_test.go
@@ -17,8 +17,8 @@
 	"peardrift/internal/status"
 )
 
-// call is the head of a call within a chain, as a node sends it.
-func call(i int) *protocol.RequestHeader {
+// newCallHead returns the head of a call within a chain, as a node sends it.
+func newCallHead(i int) *protocol.RequestHeader {
 	h := &protocol.RequestHeader{}
 	h.SetMethod("GET")
 	h.SetRequestURI(fmt.Sprintf("/noka980/%06x", i))
@@ -36,8 +36,8 @@
 	return h
 }
 
-// reply is the head of the answer to it.
-func reply(i int, req *protocol.RequestHeader) *protocol.ResponseHeader {
+// newReplyHead returns the head of the answer to it.
+func newReplyHead(i int, req *protocol.RequestHeader) *protocol.ResponseHeader {
 	h := &protocol.ResponseHeader{}
 	h.SetNoDefaultContentType(true)
 	h.SetStatusCode(200)
@@ -52,62 +52,62 @@
 	return h
 }
 
-func fieldsOf(visit func(func(k, v []byte))) map[string]string {
+func headFields(visit func(func(k, v []byte))) map[string]string {
 	m := map[string]string{}
 	visit(func(k, v []byte) { m[string(k)] += string(v) + "|" })
 	delete(m, "Content-Length")
 	return m
 }
 
-// TestPackedHeadsArriveWhole plays many exchanges on one connection.
-func TestPackedHeadsArriveWhole(t *testing.T) {
+// Exchanges many messages on one connection.
+func TestPackRoundTrip(t *testing.T) {
 	is := is.New(t)
 	client, server := NewPacker(), NewPacker()
 	plain, packed := 0, 0
 	for i := range 200 {
-		req := call(i)
-		want := fieldsOf(req.VisitAll)
+		req := newCallHead(i)
+		want := headFields(req.VisitAll)
 		plain += len(req.Header())
 		var sent protocol.RequestHeader
 		req.CopyTo(&sent)
 		client.PackRequest(&sent)
 		packed += len(sent.Header())
 		is.Equal(string(sent.RequestURI()), string(req.RequestURI()))
-		was, err := server.UnpackRequest(&sent)
+		wasPacked, err := server.UnpackRequest(&sent)
 		is.NoErr(err)
-		is.True(was)
-		is.Equal(fieldsOf(sent.VisitAll), want)
+		is.True(wasPacked)
+		is.Equal(headFields(sent.VisitAll), want)
 
-		resp := reply(i, req)
-		want = fieldsOf(resp.VisitAll)
+		resp := newReplyHead(i, req)
+		want = headFields(resp.VisitAll)
 		plain += len(resp.Header())
 		server.PackAnswer(resp, &sent)
 		packed += len(resp.Header())
 		is.Equal(resp.ContentLength(), 600)
 		is.NoErr(client.UnpackAnswer(resp, req))
-		is.Equal(fieldsOf(resp.VisitAll), want)
+		is.Equal(headFields(resp.VisitAll), want)
 	}
 	t.Logf("%d bytes an exchange, %d packed", plain/200, packed/200)
 	is.True(packed*2 < plain)
 }
 
-func TestHalved(t *testing.T) {
+func TestPackHex(t *testing.T) {
 	is := is.New(t)
 	for _, v := range []string{
 		"", "a", "0123456789abcdef", "0123456789abcdef.0123456789abcdef", "00-" + strings.Repeat("a1", 16) + "-0123456789abcdef-01",
 		"0123456789ABCDEF", "0123456789abcdef.", ".0123456789abcdef", "012345678.9abcdef", "e.21.258.0.878040ea224e7ddd",
 		"\x01", "\x01\x00abc", "\x01\x020123456789abcdef", strings.Repeat("ab", 300),
 	} {
-		is.Equal(string(appendWhole(nil, NewPacker().halved([]byte(v)))), v)
+		is.Equal(string(appendUnpackedHex(nil, NewPacker().packHex([]byte(v)))), v)
 	}
-	is.Equal(len(NewPacker().halved([]byte("0123456789abcdef.0123456789abcdef"))), 20)
+	is.Equal(len(NewPacker().packHex([]byte("0123456789abcdef.0123456789abcdef"))), 20)
 }
 
-// Symptom: a request that crashes its targets takes down twice as many as it may.
-// Events: it comes from the own zone in plain form and from others packed. Cause: a
-// request without a body states no length in one form and 0 in the other, so that the
-// two have different fingerprints and are counted apart.
-func TestPackedRequestsAreFramedAsPlainOnes(t *testing.T) {
+// Guards against different framing of packed and plain requests: a request without a
+// body stated no length in one form and 0 in the other. The two had different
+// fingerprints, so that a request that crashes its targets took down twice as many as
+// allowed.
+func TestPackedRequestFramingMatchesPlain(t *testing.T) {
 	is := is.New(t)
 	parse := func(h *protocol.RequestHeader) *protocol.RequestHeader {
 		got := &protocol.RequestHeader{}
@@ -116,7 +116,7 @@
 	}
 	for _, method := range []string{"GET", "HEAD", "DELETE", "POST", "PUT"} {
 		for _, length := range []int{0, 7, chunked} {
-			h := call(1)
+			h := newCallHead(1)
 			h.SetMethod(method)
 			if length != 0 {
 				h.SetContentLength(length)
@@ -128,38 +128,37 @@
 	}
 }
 
-// Symptom: a node's memory is gone after a few short calls. Events: a peer sends a
-// field of four kilobytes, then heads that name it hundreds of times. Cause: what
-// a head unpacks into was not bounded.
-func TestShortHeadsUnpackIntoLittle(t *testing.T) {
+// Guards against unbounded unpacking: a peer sends a field of four kilobytes, then
+// short heads that refer to it hundreds of times, and exhausts the node's memory.
+func TestUnpackedSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	p := NewPacker()
 	big := hpack.HeaderField{Name: "x", Value: strings.Repeat("v", 3000)}
 	for range 1000 {
-		is.NoErr(p.out.WriteField(big))
+		is.NoErr(p.encoder.WriteField(big))
 	}
 	var h protocol.RequestHeader
-	h.SetBytesKV(packed, p.packedBlock())
+	h.SetBytesKV(packedName, p.packedBlock())
 	is.True(len(h.Peek(HeaderPacked)) < 5000)
-	was, err := NewPacker().UnpackRequest(&h)
-	is.True(was)
+	wasPacked, err := NewPacker().UnpackRequest(&h)
+	is.True(wasPacked)
 	is.Equal(status.CodeOf(err), status.CodeProtocol)
 }
 
-// Symptom: a node's memory grows as long as its connections live. Events: a caller
-// gives each request fields of other names, or long ones. Cause: a connection kept the
-// last value of each name.
-func TestNamesOfCallersAreNotKeptForGood(t *testing.T) {
+// Guards against keeping the last value of every field name: a caller that sends new
+// names or long values with each request would make a connection's memory grow for its
+// lifetime.
+func TestRememberedFieldsAreBounded(t *testing.T) {
 	is := is.New(t)
 	p, peer := NewPacker(), NewPacker()
 	for i := range 1000 {
-		h := call(i)
+		h := newCallHead(i)
 		h.Set(fmt.Sprintf("X-Own-%d", i), strings.Repeat("v", i))
-		want := fieldsOf(h.VisitAll)
+		want := headFields(h.VisitAll)
 		p.PackRequest(h)
 		_, err := peer.UnpackRequest(h)
 		is.NoErr(err)
-		is.Equal(fieldsOf(h.VisitAll), want)
+		is.Equal(headFields(h.VisitAll), want)
 	}
 	kept := 0
 	for k, v := range p.last {
@@ -168,20 +167,20 @@
 	is.True(kept <= maxNames*maxRemembered)
 }
 
-// FuzzUnpack: whatever a peer sends, unpacking ends in a head or a typed failure.
+// FuzzUnpack checks that for any input, unpacking ends in a head or a typed failure.
 func FuzzUnpack(f *testing.F) {
 	p := NewPacker()
-	req := call(1)
+	req := newCallHead(1)
 	p.PackRequest(req)
 	f.Add(string(req.Peek(HeaderPacked)))
 	f.Add("AAAA")
 	f.Add("/////w")
 	f.Fuzz(func(t *testing.T, block string) {
 		p := NewPacker()
-		for range 2 { // what a head leaves behind must not break the next
+		for range 2 { // state left by a head must not break the next one
 			var h protocol.RequestHeader
 			h.SetMethod("GET")
-			h.SetArgBytes(packed, []byte(block), protocol.ArgsHasValue)
+			h.SetArgBytes(packedName, []byte(block), protocol.ArgsHasValue)
 			if _, err := p.UnpackRequest(&h); err != nil && status.CodeOf(err) != status.CodeProtocol {
 				t.Fatalf("untyped failure %v", err)
 			}
@@ -190,11 +189,11 @@
 	})
 }
 
-// BenchmarkPackedExchange is what packing costs a call: its head and its answer's,
-// packed and unpacked once each.
+// BenchmarkPackedExchange measures the cost of packing per call: its head and its
+// answer's, packed and unpacked once each.
 func BenchmarkPackedExchange(b *testing.B) {
 	client, server := NewPacker(), NewPacker()
-	req, sent, want := call(1), protocol.RequestHeader{}, reply(1, call(1))
+	req, sent, want := newCallHead(1), protocol.RequestHeader{}, newReplyHead(1, newCallHead(1))
 	b.ReportAllocs()
 	for b.Loop() {
 		req.CopyTo(&sent)
--- a/internal/wire/strip_test.go
+++ b/internal/wire/strip_test.go
@@ -8,10 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a field that may stand several times arrives once, or one that the
-// codec frames by itself arrives twice. Events: a message with such fields is
-// passed on. Cause: a copy that takes fields for what they aren't.
-func TestCopiesKeepFieldsAsTheyAre(t *testing.T) {
+// Guards against copies that mishandle special fields: a field that may be repeated
+// would arrive once, or one that the codec writes itself would arrive twice.
+func TestCopyPreservesFields(t *testing.T) {
 	is := is.New(t)
 	var from, to protocol.ResponseHeader
 	fields := [][2]string{
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/status"
 )
 
-func TestMetaTravels(t *testing.T) {
+func TestMetaRoundTrip(t *testing.T) {
 	is := is.New(t)
 	in := Meta{
 		Tenant: "khaosan", Class: "morning-feed", Importance: 40, Remaining: 1500 * time.Millisecond,
@@ -26,7 +26,7 @@
 	is.Equal(out, in)
 }
 
-func TestAnswerTravels(t *testing.T) {
+func TestAnswerRoundTrip(t *testing.T) {
 	is := is.New(t)
 	in := Answer{
 		Outcome: request.Refused, Code: status.CodeOverloaded, Below: status.CodeNoTarget, Level: 7 << 16, Chain: 9 << 16,
@@ -37,10 +37,9 @@
 	is.Equal(GetAnswer(&h), in)
 }
 
-// Symptom: a caller raises its own importance, allowance or depth.
-// Events: it sends the headers by which nodes talk, in any spelling.
-// Cause: a face that copies what it was sent.
-func TestInternalHeadersStayOutside(t *testing.T) {
+// Guards against copying internal headers from external input, in any spelling: a
+// caller could raise its own importance, allowance or depth.
+func TestCopyRequestDropsInternalHeaders(t *testing.T) {
 	is := is.New(t)
 	var src, dst protocol.RequestHeader
 	src.DisableNormalizing()
@@ -61,7 +60,7 @@
 	is.True(!strings.Contains(string(dst.Header()), "hostile"))
 }
 
-func TestAnswersOutsideCarryNoInternalHeaders(t *testing.T) {
+func TestCopyAnswerDropsInternalHeaders(t *testing.T) {
 	is := is.New(t)
 	var src, dst protocol.ResponseHeader
 	src.SetStatusCode(201)
@@ -74,8 +73,8 @@
 	is.Equal(GetAnswer(&dst), Answer{}) // claims nothing
 }
 
-// FuzzMeta: whatever a peer sends, the fields stay in their ranges or the
-// failure is typed, and what is accepted travels on unchanged.
+// FuzzMeta checks that for any input the fields are in range or the failure is typed,
+// and that an accepted Meta survives a round trip.
 func FuzzMeta(f *testing.F) {
 	f.Add("40", "1500", "2", "3")
 	f.Add("-1", "99999999999", "x", "")
@@ -101,7 +100,7 @@
 	})
 }
 
-// FuzzAnswer: a malformed answer never claims more than "unknown".
+// FuzzAnswer checks that a malformed answer never claims more than "unknown".
 func FuzzAnswer(f *testing.F) {
 	f.Add("refused", "65536", "1/2")
 	f.Add("Refused", "-1", "/")
