--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,11 +1,11 @@
-// Package status holds the typed failures of peardrift: a stable Code that
-// callers, operators and metrics may rely on, the Outcome that may truthfully
-// be claimed, and how long to wait before coming back.
+// Package status defines the typed failures of peardrift: a stable Code that callers,
+// operators and metrics may rely on, the Outcome that is known, and how long to wait
+// before a retry.
 //
-// Each failure that can reach a caller or an operator is an *Error. Codes are
-// part of the product's interface: they are added, never renamed.
+// Each failure that can reach a caller or an operator is an *Error. Codes are part of
+// the public interface: new ones are added, existing ones are never renamed.
 //
-// An Error is not changed once it is made, and may be read from any goroutine.
+// An Error is immutable and may be read from any goroutine.
 package status
 
 import (
@@ -18,12 +18,12 @@
 	"peardrift/internal/core/request"
 )
 
-// Code names a kind of failure; it is the last part of the problem type URI.
+// Code identifies a kind of failure; it is the last part of the problem type URI.
 type Code string
 
 // The codes, grouped by what the receiver can do about them.
 const (
-	// The request itself is at fault; sending it again unchanged won't help.
+	// The fault is in the request; sending it again unchanged won't help.
 	CodeMalformed      Code = "malformed-request"
 	CodeTooLarge       Code = "request-too-large"
 	CodeUnknownService Code = "unknown-service"
@@ -35,26 +35,26 @@
 	CodeKeyUnknown     Code = "key-unknown"
 	CodeSuspect        Code = "suspected-of-crashing-targets"
 
-	// Refused for now, run nowhere; come back after RetryAfter.
+	// Refused for now and not run; retry after RetryAfter.
 	CodeOverloaded       Code = "overloaded"
 	CodeOverShare        Code = "over-share"
 	CodeOverLimit        Code = "over-rate-limit"
-	CodeLimitUnchecked   Code = "rate-limit-unchecked" // no node that divides the rate could be asked
-	CodeKeyUnchecked     Code = "key-unchecked"        // the node's keys may not be the newest
+	CodeLimitUnchecked   Code = "rate-limit-unchecked" // no node that divides the rate was reachable
+	CodeKeyUnchecked     Code = "key-unchecked"        // the node's API keys may be outdated
 	CodeDeadline         Code = "deadline-too-short"
 	CodeNoTarget         Code = "no-target"
 	CodeDraining         Code = "draining"
 	CodeNotReady         Code = "not-ready"
-	CodeMisdirected      Code = "misdirected" // another service's node is at the address
+	CodeMisdirected      Code = "misdirected" // a node of another service has the address
 	CodeConnectFailed    Code = "connect-failed"
 	CodeRetriesExhausted Code = "retries-exhausted"
 	CodeIsolationBusy    Code = "isolation-busy"
 	CodePlatformDown     Code = "platform-unavailable"
 	CodeInProgress       Code = "in-progress"
-	CodeTargetShed       Code = "target-shed" // the target itself turned it away
+	CodeTargetShed       Code = "target-shed" // the target itself refused it
 	CodeNoRoom           Code = "no-room-for-key"
 
-	// Something ran, or may have run.
+	// The request ran or may have run.
 	CodeDeadlineExceeded Code = "deadline-exceeded"
 	CodeCanceled         Code = "canceled"
 	CodeConnectionLost   Code = "connection-lost"
@@ -68,20 +68,20 @@
 	CodeInvalidSettings Code = "invalid-settings"
 	CodeListen          Code = "cannot-listen"
 	CodeProtocol        Code = "protocol"
-	CodeRowNotServed    Code = "row-not-served" // the row isn't one that nodes read or write for each other
+	CodeRowNotServed    Code = "row-not-served" // not a row that nodes read or write for each other
 	CodeInternal        Code = "internal"
 )
 
-// class marks errors of this module in wrapped chains.
-const class = errs.Tag("peardrift")
+// moduleTag marks errors of this module in wrapped chains.
+const moduleTag = errs.Tag("peardrift")
 
-// Error is a typed failure. The zero Outcome is Unknown, so that a failure
-// claims "not run" only where the code says so on purpose.
+// Error is a typed failure. The zero Outcome is Unknown, so that a failure reports
+// "not run" only where the code sets it explicitly.
 type Error struct {
 	Code       Code
 	Outcome    request.Outcome
 	Detail     string
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: none advised
 	Cause      error         // may be nil
 }
 
@@ -90,9 +90,9 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Refuse returns a failure that claims that nothing ran, with advice on when to
-// come back. Call it only where no attempt passed the point at which some
-// target could have begun.
+// Refuse returns a failure that reports that nothing ran, with the advised delay
+// before a retry. Call it only if no attempt reached the point at which a target could
+// have begun.
 func Refuse(code Code, retryAfter time.Duration, format string, args ...any) *Error {
 	e := New(code, format, args...)
 	e.Outcome = request.Refused
@@ -103,16 +103,16 @@
 // Wrap returns a failure of the given kind with a cause.
 func Wrap(code Code, cause error, format string, args ...any) *Error {
 	e := New(code, format, args...)
-	e.Cause = class.Wrap(cause)
+	e.Cause = moduleTag.Wrap(cause)
 	return e
 }
 
-// Error implements error. The cause stands without the tag, which all causes
-// have and which would stand between any two parts of a longer chain.
+// Error implements error. It omits the tag of the cause, which all causes have and
+// which would be repeated between the parts of a longer chain.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%s: %s", e.Code, e.Detail)
 	cause := e.Cause
-	if tags := errs.Tags(cause); len(tags) > 0 && tags[0] == class {
+	if tags := errs.Tags(cause); len(tags) > 0 && tags[0] == moduleTag {
 		cause = errors.Unwrap(cause)
 	}
 	if cause == nil {
@@ -124,7 +124,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Is makes errors.Is match on the code alone.
+// Is makes errors.Is compare codes only.
 func (e *Error) Is(target error) bool {
 	var t *Error
 	return errors.As(target, &t) && t.Code == e.Code
