--- a/internal/core/inforce/call.go
+++ b/internal/core/inforce/call.go
@@ -8,127 +8,128 @@
 	"peardrift/internal/core/request"
 )
 
-// call is an action whose outcome is awaited.
-type call struct {
+// pendingCall is an action whose outcome has not been reported yet.
+type pendingCall struct {
 	kind     callKind
 	tenant   request.Tenant
-	head     confset.Head     // of callObject: what is loaded
-	peer     request.TargetID // of callHeads
+	head     confset.Head     // for callObject: the set to load
+	peer     request.TargetID // for callKnownHeads
 	deadline time.Duration
 }
 
 type callKind uint8
 
 const (
-	callAsk    callKind = iota // a set from a peer
-	callObject                 // a set from the object store
-	callHead                   // a head row
-	callLedger                 // the list of tenants
-	callHeads                  // the versions that a peer knows
+	callAsk        callKind = iota // fetches a set from a peer
+	callObject                     // fetches a set from the object store
+	callHeadRow                    // reads a head row
+	callTenantList                 // reads the list of tenants
+	callKnownHeads                 // asks a peer for the versions that it knows
 )
 
-// begin notes a call and returns its ID.
-func (s *State) begin(c call) uint64 {
-	s.last++
-	s.calls[s.last] = c
-	return s.last
+// beginCall registers a call and returns its ID.
+func (s *State) beginCall(c pendingCall) uint64 {
+	s.lastCallID++
+	s.calls[s.lastCallID] = c
+	return s.lastCallID
 }
 
-// end forgets a call; ok is false if it is not awaited any more.
-func (s *State) end(id uint64) (c call, ok bool) {
+// endCall removes a call; ok is false if the call is no longer pending.
+func (s *State) endCall(id uint64) (c pendingCall, ok bool) {
 	c, ok = s.calls[id]
 	delete(s.calls, id)
 	return c, ok
 }
 
-// expire fails the calls that were never reported: the control goroutine may
-// have dropped them, or the process was frozen.
-func (s *State) expire(now time.Duration) {
+// expireCalls fails the calls whose deadline passed without a report: the
+// control goroutine may have dropped them, or the process was paused.
+func (s *State) expireCalls(now time.Duration) {
 	var late []uint64
 	for id, c := range s.calls {
 		if now >= c.deadline {
 			late = append(late, id)
 		}
 	}
-	slices.Sort(late) // not in the map's order, which differs from run to run
+	slices.Sort(late) // map order differs from run to run
 	for _, id := range late {
-		s.fail(now, id)
+		s.failCall(now, id)
 	}
 }
 
-// HandleFailure tells that a call got no result.
+// HandleFailure reports that a call failed.
 func (s *State) HandleFailure(now time.Duration, id uint64) []Action {
-	s.fail(now, id)
-	return s.take()
+	s.failCall(now, id)
+	return s.takeActions()
 }
 
-func (s *State) fail(now time.Duration, id uint64) {
-	c, ok := s.end(id)
+func (s *State) failCall(now time.Duration, id uint64) {
+	c, ok := s.endCall(id)
 	if !ok {
 		return
 	}
 	switch c.kind {
 	case callAsk, callObject:
-		s.fetchFailed(now, s.tenants[c.tenant])
-	case callHead:
+		s.handleFetchFailure(now, s.tenants[c.tenant])
+	case callHeadRow:
 		if x := s.tenants[c.tenant]; x != nil {
-			x.poll.busy = false
+			x.poll.inFlight = false
 		}
-	case callLedger:
-		s.ledger.busy = false
+	case callTenantList:
+		s.tenantList.inFlight = false
 	}
 }
 
-// HandleReply gives the outcome of AskPeer.
+// HandleReply reports the outcome of AskPeer.
 func (s *State) HandleReply(now time.Duration, id uint64, r Reply) []Action {
 	c, ok := s.calls[id]
 	switch {
 	case !ok:
-	case c.kind == callHeads:
-		s.end(id)
-		s.headsTold(now, c.peer, r)
+	case c.kind == callKnownHeads:
+		s.endCall(id)
+		s.handleKnownHeads(now, c.peer, r)
 	case c.kind == callAsk:
-		s.end(id)
-		s.fetched(now, s.tenants[c.tenant], r)
+		s.endCall(id)
+		s.handleFetchReply(now, s.tenants[c.tenant], r)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// HandleLoaded gives the outcome of LoadObject.
+// HandleLoaded reports the outcome of LoadObject.
 func (s *State) HandleLoaded(now time.Duration, id uint64, body []byte) []Action {
 	if c, ok := s.calls[id]; ok && c.kind == callObject {
-		s.end(id)
-		s.loaded(now, s.tenants[c.tenant], c.head, body)
+		s.endCall(id)
+		s.handleObject(now, s.tenants[c.tenant], c.head, body)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// HandleHead gives the outcome of ReadHead; a zero head means that there is no
-// row.
+// HandleHead reports the outcome of ReadHead; a zero head means that the row
+// does not exist.
 func (s *State) HandleHead(now time.Duration, id uint64, h confset.Head) []Action {
-	if c, ok := s.calls[id]; ok && c.kind == callHead {
-		s.end(id)
-		s.headRead(now, c.tenant, h)
+	if c, ok := s.calls[id]; ok && c.kind == callHeadRow {
+		s.endCall(id)
+		s.handleHeadRow(now, c.tenant, h)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// HandleTenants gives the outcome of ReadTenants.
+// HandleTenants reports the outcome of ReadTenants.
 func (s *State) HandleTenants(now time.Duration, id uint64, tenants []request.Tenant) []Action {
-	if c, ok := s.calls[id]; ok && c.kind == callLedger {
-		s.end(id)
-		s.ledger.busy, s.ledger.read = false, true
+	if c, ok := s.calls[id]; ok && c.kind == callTenantList {
+		s.endCall(id)
+		s.tenantList.inFlight, s.tenantList.wasRead = false, true
 		for _, t := range tenants {
-			// Whose pollers are others: they hear of a new tenant by its head.
+			// Even if this node is not a poller of the tenant: the other nodes
+			// learn of a new tenant only through its head.
 			if x, ok := s.tenant(t); ok && x.known.Version == 0 {
-				s.readHead(now, t)
+				s.readHeadRow(now, t)
 			}
 		}
-		s.start.listed = slices.Clone(tenants)
-		s.checkPlatformTold(now)
+		s.startup.listedTenants = slices.Clone(tenants)
+		s.checkPlatformRead(now)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// Pending returns how many calls are awaited.
+// Pending returns the number of calls without a reported outcome.
 func (s *State) Pending() int { return len(s.calls) }
--- a/internal/core/inforce/config.go
+++ b/internal/core/inforce/config.go
@@ -2,87 +2,93 @@
 
 import "time"
 
-// Config holds the parameters of a State. All nodes should run with the same.
+// Config holds the parameters of a State. All nodes should use the same values.
 type Config struct {
-	// Fanout is how many children a node of the tree has in the mean. Default 3.
-	// Higher makes the tree flatter, so changes arrive sooner, and loads the
-	// inner nodes of one change more; the mean load stays one send a change.
+	// Fanout is the mean number of children of a node in the tree. Default 3. A
+	// higher value makes the tree flatter, so changes arrive sooner, and
+	// increases the load on the inner nodes of each change; the mean load stays
+	// at one send per change.
 	Fanout int
 
-	// Roots is how many nodes of a region read a new version from the object
-	// store. Default 2. Higher survives more dead roots at once and costs as
-	// many reads for each change.
+	// Roots is the number of nodes per region that read a new version from the
+	// object store. Default 2. A higher value tolerates more dead roots at once
+	// and costs that many reads per change.
 	Roots int
 
-	// Pollers is how many nodes read each head row. Default 2. Higher survives
-	// more dead pollers at once and costs as many reads.
+	// Pollers is the number of nodes that read each head row. Default 2. A
+	// higher value tolerates more dead pollers at once and costs that many
+	// reads.
 	Pollers int
 
-	// PollEvery is how often a poller reads a head row. Default 2 s. Lower
-	// notices changes sooner that no operator's tool announced, and costs reads.
+	// PollEvery is the interval at which a poller reads a head row. Default 2
+	// s. A lower value detects unannounced changes sooner and costs more reads.
 	PollEvery time.Duration
 
-	// PollReads bounds the reads a second of all pollers together: with many
+	// PollReads limits the reads per second of all pollers together: with many
 	// tenants each row is read less often. Default 100.
 	PollReads int
 
-	// Spacing is the least time between two fetches of a tenant's set. Default
-	// 500 ms. Higher takes several changes at once in a busy minute, so costs
-	// fewer messages and installs; each level of the tree may wait for it.
+	// Spacing is the minimum time between two fetches of a tenant's set.
+	// Default 500 ms. A higher value batches changes in busy periods, which
+	// costs fewer messages and installs; each level of the tree may add this
+	// delay.
 	Spacing time.Duration
 
-	// AskTimeout is how long a node waits for a peer's answer. Default 1.5 s. It
-	// must exceed ServeWait by the time for a message there and back. Lower
-	// turns sooner from a peer that is dead, higher waits for a slow one.
+	// AskTimeout is the timeout of a request to a peer. Default 1.5 s. It must
+	// exceed ServeWait by at least one round trip. A lower value abandons a
+	// dead peer sooner, a higher one tolerates a slow peer.
 	AskTimeout time.Duration
 
-	// LoadTimeout is how long a node waits for the platform. Default 5 s.
+	// LoadTimeout is the timeout of a platform call. Default 5 s.
 	LoadTimeout time.Duration
 
-	// ServeWait is how long a node keeps a peer waiting for a version that it
-	// does not hold yet. Default 1 s. Lower sends peers to other sources sooner.
+	// ServeWait is how long a node holds a peer's request for a version that it
+	// does not have yet. Default 1 s. A lower value sends peers to other
+	// sources sooner.
 	ServeWait time.Duration
 
-	// MaxWaiters bounds the peers waiting for one tenant's set. Default 64.
+	// MaxWaiters limits the peers waiting for one tenant's set. Default 64.
 	MaxWaiters int
 
-	// RetryMin and RetryMax bound the wait after all sources failed in turn; it
-	// doubles and is drawn between half and the whole. Defaults 500 ms and 30 s.
-	// Lower recovers sooner, higher spares a platform in trouble.
+	// RetryMin and RetryMax bound the backoff after all sources failed in turn;
+	// the backoff doubles each time, with jitter between half of it and all of
+	// it. Defaults 500 ms and 30 s. Lower values recover sooner, higher ones
+	// spare a failing platform.
 	RetryMin, RetryMax time.Duration
 
-	// ServeRate and ServeBurst bound the bytes of whole sets that a node sends
-	// peers, a second and at once. Defaults 1 KB/s and 256 KB. Lower keeps the
-	// control traffic of a node down when many start beside it, and sends some
-	// of those to the object store. Deltas are not bounded by it.
+	// ServeRate (bytes per second) and ServeBurst (bytes) limit the whole sets
+	// that a node sends to peers. Defaults 1 KB/s and 256 KB. Lower values
+	// limit a node's control traffic when many nodes start at once, and send
+	// some of them to the object store. Deltas are not limited.
 	ServeRate, ServeBurst int
 
-	// StartPeers is how many informed peers tell a starting node the newest
-	// versions. Default 5. Higher makes it less likely that all of them are
-	// behind.
+	// StartPeers is the number of informed peers that report the newest
+	// versions to a starting node. Default 5. A higher value makes it less
+	// likely that all of them are behind.
 	StartPeers int
 
-	// StartWait is how long a starting node waits for the answers of all the
+	// StartWait is how long a starting node waits for answers from all the
 	// peers that it asked. Default 2 s.
 	StartWait time.Duration
 
-	// ColdReads bounds how many starting nodes a second go to the platform
-	// because no peer could tell them. Default 50. Lower spares the platform
-	// when the whole fleet starts at once, and lets the first wait longer.
+	// ColdReads limits how many starting nodes per second read the platform
+	// because no informed peer answered. Default 50. A lower value spares the
+	// platform when the whole fleet starts at once, and makes the first nodes
+	// wait longer.
 	ColdReads int
 
-	// RideFor is how long a node that is behind asks along with heartbeats only,
-	// while the budget is short, before it asks over a connection of its own all
-	// the same. Default 5 s. Lower is surer to be in time and costs bytes when
-	// they are short.
+	// RideFor is how long a node that is behind relies on piggybacking on
+	// heartbeats while its control budget is exhausted, before it opens a
+	// connection anyway. Default 5 s. A lower value bounds the delay more
+	// tightly and costs bytes when they are scarce.
 	RideFor time.Duration
 
-	// HintFor is how long a hint is followed up while the platform can't confirm
+	// HintFor is how long a hint is retried while the platform does not confirm
 	// it. Default 1 m.
 	HintFor time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		Fanout: 3, Roots: 2,
--- a/internal/core/inforce/cost_test.go
+++ b/internal/core/inforce/cost_test.go
@@ -11,8 +11,8 @@
 	"peardrift/internal/core/request"
 )
 
-// fullSet has as many services as the whole target fleet, with four classes and
-// three callees each.
+// fullSet returns a set with the given number of services, each with four
+// classes and three callees.
 func fullSet(services int) confset.Set {
 	s := confset.Set{Tenant: "khaosan", Share: 0.5, Version: 1}
 	name := func(i int) string { return fmt.Sprintf("service-%d", i%services) }
@@ -32,13 +32,13 @@
 	return s
 }
 
-// BenchmarkParent is what finding one's parent costs, once for each fetch.
+// BenchmarkParent measures the parent lookup, done once per fetch.
 func BenchmarkParent(b *testing.B) {
 	for _, n := range []int{100, 1000, 14000} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			peers := manyPeers(n, 1)
 			cfg := DefaultConfig()
-			order := treeOf(confset.Head{Tenant: "khaosan", Version: 7}, 0)
+			order := treeOrdering(confset.Head{Tenant: "khaosan", Version: 7}, 0)
 			for b.Loop() {
 				order.parent(cfg.Roots, cfg.Fanout, peers[n/2].ID, peers)
 			}
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkTick is what a node's clock costs at rest.
+// BenchmarkTick measures Tick on an idle node.
 func BenchmarkTick(b *testing.B) {
 	for _, tenants := range []int{2, 100} {
 		b.Run(fmt.Sprintf("nodes=14000/tenants=%d", tenants), func(b *testing.B) {
@@ -56,7 +56,7 @@
 			for i := range tenants {
 				s.tenant(request.Tenant(fmt.Sprintf("tenant-%d", i)))
 			}
-			s.start.informed = true
+			s.startup.informed = true
 			now := time.Duration(0)
 			for b.Loop() {
 				now += 100 * time.Millisecond
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkWhole is what a starting node costs the peer that it asks, and the
-// memory of what a node holds.
+// BenchmarkWhole measures compressing a whole set for a starting node, and the
+// memory of a held set and its index.
 func BenchmarkWhole(b *testing.B) {
 	for _, services := range []int{8, 100, 760} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -83,10 +83,10 @@
 			runtime.ReadMemStats(&after)
 			x := &tenant{held: p}
 			for b.Loop() {
-				x.whole = nil
+				x.compressedBody = nil
 				x.compressed()
 			}
-			b.ReportMetric(float64(len(x.whole)), "wire-B")
+			b.ReportMetric(float64(len(x.compressedBody)), "wire-B")
 			b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)), "held-B")
 			runtime.KeepAlive(idx)
 		})
--- a/internal/core/inforce/fact.go
+++ b/internal/core/inforce/fact.go
@@ -8,8 +8,8 @@
 	"peardrift/internal/status"
 )
 
-// FactOf returns a head in the form of a gossiped fact: a key that is the same
-// for all versions of a tenant, the version, and a value of at most 64 bytes.
+// FactOf encodes a head as a gossiped fact: a key that is the same for all
+// versions of a tenant, the version, and a value of at most 64 bytes.
 func FactOf(h confset.Head) (key, version uint64, value []byte) {
 	value = make([]byte, 0, len(h.Digest)+len(h.Tenant))
 	value = append(value, h.Digest[:]...)
@@ -17,18 +17,19 @@
 	return xxhash.Sum64String(string(h.Tenant)), uint64(h.Version), value
 }
 
-// HeadOf is the inverse of FactOf. It refuses a fact that FactOf can't have made.
+// HeadOf is the inverse of FactOf. It returns CodeProtocol for a fact that
+// FactOf can't have produced.
 func HeadOf(key, version uint64, value []byte) (confset.Head, error) {
 	var h confset.Head
 	n := len(h.Digest)
 	if len(value) <= n || len(value) > n+confset.MaxTenantName || int64(version) <= 0 {
-		return h, status.New(status.CodeProtocol, "a head of %d bytes and version %d", len(value), int64(version))
+		return h, status.New(status.CodeProtocol, "invalid head fact: value of %d bytes, version %d", len(value), int64(version))
 	}
 	copy(h.Digest[:], value)
 	h.Tenant = request.Tenant(value[n:])
 	h.Version = int64(version)
 	if xxhash.Sum64String(string(h.Tenant)) != key {
-		return confset.Head{}, status.New(status.CodeProtocol, "a head of %q under another key", h.Tenant)
+		return confset.Head{}, status.New(status.CodeProtocol, "head fact of tenant %q has the wrong key", h.Tenant)
 	}
 	return h, nil
 }
--- a/internal/core/inforce/fuzz_test.go
+++ b/internal/core/inforce/fuzz_test.go
@@ -9,8 +9,8 @@
 	"peardrift/internal/core/confset"
 )
 
-// FuzzReply feeds a node what a peer may send, as bytes on the wire: it must not
-// end the process, and nothing but the announced set may come in force.
+// FuzzReply feeds a node arbitrary replies from a peer: it must not panic, and
+// must install only the announced set.
 func FuzzReply(f *testing.F) {
 	pack := func(slots int, version int64) *confset.Packed {
 		set := testSet("khaosan", slots)
@@ -47,13 +47,13 @@
 		peers := manyPeers(3, 1)
 		s := New(DefaultConfig(), peers[0], rand.New(rand.NewPCG(1, 1)), 0)
 		s.SetPeers(peers, peers, true)
-		s.start.informed = true
+		s.startup.informed = true
 		s.Learn(1, next.Head())
 		s.tenants["khaosan"].held = old
-		s.fetched(1, s.tenants["khaosan"], r)
+		s.handleFetchReply(1, s.tenants["khaosan"], r)
 		if v := s.InForce("khaosan"); v == 2 && s.tenants["khaosan"].held.Head() != next.Head() {
-			t.Fatal("another set came in force as version 2")
+			t.Fatal("version 2 in force is not the announced set")
 		}
-		s.headsTold(1, peers[1].ID, r)
+		s.handleKnownHeads(1, peers[1].ID, r)
 	})
 }
--- a/internal/core/inforce/inforce_test.go
+++ b/internal/core/inforce/inforce_test.go
@@ -14,174 +14,166 @@
 	"peardrift/internal/status"
 )
 
-func TestNodesComeToTheAcceptedSet(t *testing.T) {
+func TestNodesConvergeOnAcceptedSet(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(8, t.Fatalf)
-	w.settle(10 * time.Second)
-	for _, n := range w.nodes {
-		is.True(n.state.Ready()) // there is nothing to have in force yet
+	c := newCluster(8, t.Fatalf)
+	c.runFor(10 * time.Second)
+	for _, n := range c.nodes {
+		is.True(n.state.Ready()) // no set has been accepted yet
 	}
-	w.apply("khaosan", 1, 0)
-	w.apply("kalahari", 1, 0)
-	w.settle(10 * time.Second)
-	w.apply("khaosan", 2, 1)
-	w.settle(10 * time.Second)
+	c.apply("khaosan", 1, 0)
+	c.apply("kalahari", 1, 0)
+	c.runFor(10 * time.Second)
+	c.apply("khaosan", 2, 1)
+	c.runFor(10 * time.Second)
 	byDelta := 0
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		is.Equal(n.state.InForce("khaosan"), int64(2))
 		is.Equal(n.state.InForce("kalahari"), int64(1))
 		byDelta += n.state.Stats().ByDelta
 	}
-	is.Equal(byDelta, len(w.nodes)-DefaultConfig().Roots) // all but the roots
+	is.Equal(byDelta, len(c.nodes)-DefaultConfig().Roots) // all but the roots
 }
 
-// Symptom: a node that was replaced serves by a version that the fleet left
-// behind. Events: the platform is down; the new node asks its peers, and the one
-// that answers first was frozen for the last change. Cause: the first answer
-// was taken for the newest.
-func TestStartDuringOutageTakesTheHighest(t *testing.T) {
-	for i := range 100 { // other nodes, and answers in other orders
+// Guards against a replaced node that installs an outdated version: the
+// platform is down, and the peer that answers first was frozen during the last
+// change.
+func TestStartDuringOutageInstallsHighestVersion(t *testing.T) {
+	for i := range 100 { // other nodes and other orders of answers
 		is := is.New(t)
-		w := newWorld(5, t.Fatalf)
-		w.seed = uint64(100 * i)
-		stale, started := w.nodes[i%5], w.nodes[(i%5+1+i/5%4)%5]
-		w.apply("khaosan", 1, 0)
-		w.settle(15 * time.Second)
+		c := newCluster(5, t.Fatalf)
+		c.seed = uint64(100 * i)
+		stale, started := c.nodes[i%5], c.nodes[(i%5+1+i/5%4)%5]
+		c.apply("khaosan", 1, 0)
+		c.runFor(15 * time.Second)
 		stale.frozen = true
-		w.apply("khaosan", 2, 1)
-		w.settle(10 * time.Second)
-		w.down = true
-		w.waiting = nil
+		c.apply("khaosan", 2, 1)
+		c.runFor(10 * time.Second)
+		c.platformDown = true
+		c.queue = nil
 		stale.frozen = false
 		is.Equal(stale.state.InForce("khaosan"), int64(1))
 		started.restart()
-		started.do(started.state.Tick(w.now))
-		for len(w.waiting) > 0 {
-			w.deliver(0)
+		started.execute(started.state.Tick(c.now))
+		for len(c.queue) > 0 {
+			c.deliver(0)
 		}
 		for range 100 {
-			is.True(started.state.InForce("khaosan") != 1) // never the old one
-			w.settle(100 * time.Millisecond)
+			is.True(started.state.InForce("khaosan") != 1) // never the old version
+			c.runFor(100 * time.Millisecond)
 		}
 		is.Equal(started.state.InForce("khaosan"), int64(2))
-		is.Equal(stale.state.InForce("khaosan"), int64(2)) // the thawed one too
+		is.Equal(stale.state.InForce("khaosan"), int64(2)) // so does the node that was frozen
 	}
 }
 
-// Symptom: as above. Events: the node was told the newest version, and the peer
-// that it fetches from can't reach it and answers with what it has. Cause: an
-// older set was better than none, as it is for a node that is only behind.
-func TestStartTakesNothingOlderThanTold(t *testing.T) {
+// Guards against the same downgrade when the node knows the newest version but
+// fetches from a peer that does not have it and replies with an older set.
+func TestStartRejectsOlderThanAnnounced(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2, t.Fatalf)
-	w.apply("khaosan", 1, 0)
-	w.settle(15 * time.Second)
-	old := w.nodes[0].state.tenants["khaosan"]
-	w.nodes[1].restart()
-	s := w.nodes[1].state
+	c := newCluster(2, t.Fatalf)
+	c.apply("khaosan", 1, 0)
+	c.runFor(15 * time.Second)
+	old := c.nodes[0].state.tenants["khaosan"]
+	c.nodes[1].restart()
+	s := c.nodes[1].state
 	want := confset.Head{Tenant: "khaosan", Version: 2}
-	for _, a := range s.Tick(w.now) {
+	for _, a := range s.Tick(c.now) {
 		if ask, ok := a.(AskPeer); ok {
-			s.HandleReply(w.now, ask.ID, Reply{Informed: true, Heads: []confset.Head{want}})
+			s.HandleReply(c.now, ask.ID, Reply{Informed: true, Heads: []confset.Head{want}})
 		}
 	}
-	is.True(s.start.informed)
-	s.fetched(w.now, s.tenants["khaosan"], Reply{Head: old.held.Head(), Whole: old.compressed()})
+	is.True(s.startup.informed)
+	s.handleFetchReply(c.now, s.tenants["khaosan"], Reply{Head: old.held.Head(), Whole: old.compressed()})
 	is.Equal(s.InForce("khaosan"), int64(0))
 	is.True(!s.Ready())
 }
 
-// Symptom: after a power cut nodes take calls and refuse them as of unknown
-// services, or the platform is flooded with reads. Events: all nodes start at
-// once, and each asks others that know nothing either. Cause: "there is no
-// configuration" was believed from nodes that had not been told themselves, or
-// all of them went to the platform for want of an answer.
+// Guards against two faults when all nodes start at once: nodes believe "there
+// is no configuration" from peers that are not informed and refuse calls as of
+// unknown services, or all of them read the platform.
 func TestWholeFleetStartsAtOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(150, t.Fatalf)
-	w.apply("khaosan", 1, 0)
+	c := newCluster(150, t.Fatalf)
+	c.apply("khaosan", 1, 0)
 	for range 100 {
-		w.settle(100 * time.Millisecond)
-		for _, n := range w.nodes {
+		c.runFor(100 * time.Millisecond)
+		for _, n := range c.nodes {
 			is.True(!n.state.Ready() || n.state.InForce("khaosan") == 1)
 		}
 	}
 	reads := 0
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		is.True(n.state.Ready())
 		reads += n.state.Stats().Reads
 	}
-	is.True(reads < len(w.nodes)) // the first few inform the others
+	is.True(reads < len(c.nodes)) // the first few inform the others
 }
 
-// Symptom: a version in force falls after a pause. Events: an answer that was on
-// its way before the pause arrives after a newer one. Cause: what arrives last
-// was taken for the newest.
-func TestOlderSetChangesNothing(t *testing.T) {
+// Guards against a downgrade by an answer that was delayed by a pause and
+// arrives after a newer one.
+func TestOlderSetIsIgnored(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.apply("khaosan", 1, 0)
-	w.settle(5 * time.Second)
-	s := w.nodes[0].state
+	c := newCluster(1, t.Fatalf)
+	c.apply("khaosan", 1, 0)
+	c.runFor(5 * time.Second)
+	s := c.nodes[0].state
 	old := s.tenants["khaosan"].held
-	w.apply("khaosan", 2, 1)
-	w.settle(5 * time.Second)
-	s.fetchDone(w.now, s.tenants["khaosan"], old, ByPeer)
+	c.apply("khaosan", 2, 1)
+	c.runFor(5 * time.Second)
+	s.completeFetch(c.now, s.tenants["khaosan"], old, ByPeer)
 	is.Equal(s.InForce("khaosan"), int64(2))
 	is.Equal(s.Index().Version("khaosan"), int64(2))
 }
 
-// Symptom: the platform comes back and goes down again under reads. Events: a
-// version is known whose object can't be read for ten minutes. Cause: a fetch
-// that failed was made again at once.
+// Guards against immediate retries that overload a recovering platform: the
+// object of a known version can't be read for ten minutes.
 func TestFailedFetchesBackOff(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.settle(5 * time.Second)
-	w.down = true
-	n := w.nodes[0]
-	n.do(n.state.Learn(w.now, confset.Head{Tenant: "khaosan", Version: 1}))
-	w.settle(10 * time.Minute)
-	rounds := n.state.Stats().Failed / sources
-	is.True(rounds >= 20 && rounds <= 60) // one in 15 to 30 s, and a few before
+	c := newCluster(1, t.Fatalf)
+	c.runFor(5 * time.Second)
+	c.platformDown = true
+	n := c.nodes[0]
+	n.execute(n.state.Learn(c.now, confset.Head{Tenant: "khaosan", Version: 1}))
+	c.runFor(10 * time.Minute)
+	rounds := n.state.Stats().Failed / sourceCount
+	is.True(rounds >= 20 && rounds <= 60) // one round per 15 to 30 s, and a few before
 }
 
-// Symptom: a node waits for its parent until its own timeout, for each change.
-// Events: the parent can't get the version that it was asked for. Cause: a
-// peer's question was kept, and never answered.
+// Guards against requests that are never answered because the parent can't get
+// the version: each child would wait until its own timeout, for each change.
 func TestWaitingPeersAreAnswered(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.settle(5 * time.Second)
-	w.down = true
-	s := w.nodes[0].state
+	c := newCluster(1, t.Fatalf)
+	c.runFor(5 * time.Second)
+	c.platformDown = true
+	s := c.nodes[0].state
 	want := confset.Head{Tenant: "khaosan", Version: 1}
-	s.HandleAsk(w.now, 7, Ask{Want: want})
+	s.HandleAsk(c.now, 7, Ask{Want: want})
 	answered := func(actions []Action) bool {
 		return slices.ContainsFunc(actions, func(a Action) bool {
 			answer, ok := a.(Answer)
 			return ok && answer.ID == 7 && answer.Reply.Whole == nil
 		})
 	}
-	is.True(!answered(s.Tick(w.now + DefaultConfig().ServeWait - 1)))
-	is.True(answered(s.Tick(w.now + DefaultConfig().ServeWait)))
+	is.True(!answered(s.Tick(c.now + DefaultConfig().ServeWait - 1)))
+	is.True(answered(s.Tick(c.now + DefaultConfig().ServeWait)))
 	for i := range uint64(2 * DefaultConfig().MaxWaiters) {
-		s.HandleAsk(w.now, i, Ask{Want: want})
+		s.HandleAsk(c.now, i, Ask{Want: want})
 	}
 	is.Equal(len(s.tenants["khaosan"].waiters), DefaultConfig().MaxWaiters)
 	for _, hostile := range []Ask{{}, {Want: confset.Head{Tenant: "khaosan", Version: -1}}, {Want: confset.Head{Version: 1}}} {
-		is.Equal(len(s.HandleAsk(w.now, 9, hostile)), 1) // answered without a set
+		is.Equal(len(s.HandleAsk(c.now, 9, hostile)), 1) // answered without a set
 	}
 }
 
-// Symptom: part of the fleet serves by a set that nobody accepted. Events: a
-// peer answers with another set's bytes, or bytes damaged on the way. Cause: the
-// answer was installed for what it was said to be.
-func TestWrongDigestIsRefused(t *testing.T) {
+// Guards against installing a set that was never accepted: a peer answers with
+// another set's bytes or with corrupted ones.
+func TestDigestMismatchIsRejected(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.settle(5 * time.Second)
-	s := w.nodes[0].state
+	c := newCluster(1, t.Fatalf)
+	c.runFor(5 * time.Second)
+	s := c.nodes[0].state
 	p, err := confset.Pack(testSet("khaosan", 3))
 	is.NoErr(err)
 	body, err := p.Bytes()
@@ -189,49 +181,48 @@
 	h := p.Head()
 	h.Version = 1
 	h.Digest[0] ^= 1
-	for _, a := range s.Learn(w.now, h) {
+	for _, a := range s.Learn(c.now, h) {
 		if load, ok := a.(LoadObject); ok {
-			s.HandleLoaded(w.now, load.ID, body)
+			s.HandleLoaded(c.now, load.ID, body)
 		}
 	}
 	is.Equal(s.InForce("khaosan"), int64(0))
 	is.Equal(s.Stats().Refused, 1)
 }
 
-// Symptom: the platform is flooded with reads, or a node's memory fills. Events:
-// somebody sends hints by the thousand, for versions and tenants that are none.
-// Cause: each hint was followed at once and remembered for good.
-func TestHintsAreBounded(t *testing.T) {
+// Guards against a flood of hints for versions and tenants that don't exist: it
+// must neither cause a read per hint nor fill the node's memory.
+func TestHintCostIsBounded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.apply("khaosan", 1, 0)
-	w.settle(5 * time.Second)
-	s := w.nodes[0].state
+	c := newCluster(1, t.Fatalf)
+	c.apply("khaosan", 1, 0)
+	c.runFor(5 * time.Second)
+	s := c.nodes[0].state
 	reads := s.Stats().Reads
 	for range 1000 {
-		w.nodes[0].do(s.Hint(w.now, "khaosan", 99))
-		for len(w.waiting) > 0 {
-			w.deliver(0)
+		c.nodes[0].execute(s.Hint(c.now, "khaosan", 99))
+		for len(c.queue) > 0 {
+			c.deliver(0)
 		}
 	}
 	is.Equal(s.Stats().Reads, reads+1)
 	for i := range 2 * maxTenants {
-		s.Hint(w.now, request.Tenant("tenant-"+string(rune('a'+i%26))+time.Duration(i).String()), 1)
+		s.Hint(c.now, request.Tenant("tenant-"+string(rune('a'+i%26))+time.Duration(i).String()), 1)
 	}
-	is.True(len(s.order) <= maxTenants)
-	s.Hint(w.now, request.Tenant(make([]byte, confset.MaxTenantName+1)), 1)
-	is.True(len(s.order) <= maxTenants)
+	is.True(len(s.tenantNames) <= maxTenants)
+	s.Hint(c.now, request.Tenant(make([]byte, confset.MaxTenantName+1)), 1)
+	is.True(len(s.tenantNames) <= maxTenants)
 }
 
 func TestHintIsFollowedAtOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(6, t.Fatalf)
-	w.settle(15 * time.Second)
-	w.apply("khaosan", 1, 0)
-	n := w.nodes[3]
-	n.do(n.state.Hint(w.now, "khaosan", 1))
-	for len(w.waiting) > 0 {
-		w.deliver(0) // no time passes
+	c := newCluster(6, t.Fatalf)
+	c.runFor(15 * time.Second)
+	c.apply("khaosan", 1, 0)
+	n := c.nodes[3]
+	n.execute(n.state.Hint(c.now, "khaosan", 1))
+	for len(c.queue) > 0 {
+		c.deliver(0) // without advancing the clock
 	}
 	is.Equal(n.state.InForce("khaosan"), int64(1))
 }
@@ -253,66 +244,67 @@
 	}
 }
 
-// TestAnyInterleaving is the guarantee itself: whatever is lost, late, repeated
-// or cut off, whoever restarts or freezes, with operators that apply at the same
-// time, no version in force falls or is another than the accepted one (checked
-// by world at each install), and when all is well again all come to the newest.
-func TestAnyInterleaving(t *testing.T) {
+// TestRandomInterleavings checks the guarantees under message loss, delay,
+// duplication and partitions, node restarts and freezes, and concurrent applies
+// by operators. No version in force decreases or differs from the accepted one
+// (cluster checks each install), and once the faults end all nodes reach the
+// newest version.
+func TestRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rapid.IntRange(2, 5).Draw(rt, "nodes"), rt.Fatalf)
+		c := newCluster(rapid.IntRange(2, 5).Draw(rt, "nodes"), rt.Fatalf)
 		ops := []*operator{{tenant: "khaosan", slots: 1}, {tenant: "khaosan", slots: 1001}, {tenant: "kalahari", slots: 1}}
-		pick := func() *node { return rapid.SampledFrom(w.nodes).Draw(rt, "node") }
+		pick := func() *node { return rapid.SampledFrom(c.nodes).Draw(rt, "node") }
 		rt.Repeat(map[string]func(*rapid.T){
 			"deliver": func(rt *rapid.T) {
-				if n := len(w.waiting); n > 0 {
-					w.deliver(rapid.IntRange(0, n-1).Draw(rt, "message"))
+				if n := len(c.queue); n > 0 {
+					c.deliver(rapid.IntRange(0, n-1).Draw(rt, "message"))
 				}
 			},
 			"deliver all": func(*rapid.T) {
-				for n := len(w.waiting); n > 0; n-- {
-					w.deliver(0)
+				for n := len(c.queue); n > 0; n-- {
+					c.deliver(0)
 				}
 			},
 			"lose": func(rt *rapid.T) {
-				if n := len(w.waiting); n > 0 {
+				if n := len(c.queue); n > 0 {
 					i := rapid.IntRange(0, n-1).Draw(rt, "message")
-					w.waiting = append(w.waiting[:i:i], w.waiting[i+1:]...)
+					c.queue = append(c.queue[:i:i], c.queue[i+1:]...)
 				}
 			},
 			"repeat": func(rt *rapid.T) {
-				if n := len(w.waiting); n > 0 {
-					w.waiting = append(w.waiting, w.waiting[rapid.IntRange(0, n-1).Draw(rt, "message")])
+				if n := len(c.queue); n > 0 {
+					c.queue = append(c.queue, c.queue[rapid.IntRange(0, n-1).Draw(rt, "message")])
 				}
 			},
-			"time":     func(rt *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond) },
-			"gossip":   func(*rapid.T) { w.gossip(pick(), pick()) },
+			"time":     func(rt *rapid.T) { c.advance(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "ms")) * time.Millisecond) },
+			"gossip":   func(*rapid.T) { c.gossip(pick(), pick()) },
 			"restart":  func(*rapid.T) { pick().restart() },
 			"freeze":   func(*rapid.T) { n := pick(); n.frozen = !n.frozen },
-			"cut off":  func(*rapid.T) { n := pick(); n.side = 1 - n.side },
-			"platform": func(*rapid.T) { w.down = !w.down },
-			"operate":  func(rt *rapid.T) { rapid.SampledFrom(ops).Draw(rt, "operator").step(w) },
+			"cut off":  func(*rapid.T) { n := pick(); n.partition = 1 - n.partition },
+			"platform": func(*rapid.T) { c.platformDown = !c.platformDown },
+			"operate":  func(rt *rapid.T) { rapid.SampledFrom(ops).Draw(rt, "operator").readOrApply(c) },
 			"hint": func(rt *rapid.T) {
 				n := pick()
-				n.do(n.state.Hint(w.now, "khaosan", rapid.Int64Range(0, 5).Draw(rt, "version")))
+				n.execute(n.state.Hint(c.now, "khaosan", rapid.Int64Range(0, 5).Draw(rt, "version")))
 			},
 		})
-		w.down = false
-		for _, n := range w.nodes {
-			n.frozen, n.side = false, 0
+		c.platformDown = false
+		for _, n := range c.nodes {
+			n.frozen, n.partition = false, 0
 		}
-		w.settle(2 * time.Minute)
-		for _, n := range w.nodes {
+		c.runFor(2 * time.Minute)
+		for _, n := range c.nodes {
 			for _, tenant := range []request.Tenant{"khaosan", "kalahari"} {
-				head, _ := w.store.Head(context.Background(), tenant) // a zero record if none was applied
+				head, _ := c.store.Head(context.Background(), tenant) // zero record if none was applied
 				if got := n.state.InForce(tenant); got != head.Version {
-					rt.Fatalf("%s has version %d of %s in force, not %d", n.peer.Addr, got, tenant, head.Version)
+					rt.Fatalf("%s has version %d of %s in force, want %d", n.peer.Addr, got, tenant, head.Version)
 				}
 			}
 		}
 	})
 }
 
-// operator reads the head and later applies on it, so that two of them race.
+// operator reads the head and later applies on it, so that two operators race.
 type operator struct {
 	tenant request.Tenant
 	slots  int
@@ -320,20 +312,20 @@
 	read   bool
 }
 
-func (o *operator) step(w *world) {
+func (o *operator) readOrApply(c *cluster) {
 	ctx := context.Background()
 	if !o.read {
-		head, _ := w.store.Head(ctx, o.tenant) // a zero record if there is none
+		head, _ := c.store.Head(ctx, o.tenant) // zero record if there is none
 		o.base, o.read = head.Version, true
 		return
 	}
 	o.read = false
 	o.slots++
-	before, _ := w.store.Head(ctx, o.tenant)
-	_, err := w.store.Apply(ctx, testSet(o.tenant, o.slots), o.base, "ada")
-	after, _ := w.store.Head(ctx, o.tenant)
+	before, _ := c.store.Head(ctx, o.tenant)
+	_, err := c.store.Apply(ctx, testSet(o.tenant, o.slots), o.base, "ada")
+	after, _ := c.store.Head(ctx, o.tenant)
 	won := after.Version == before.Version+1
 	if won != (o.base == before.Version) || won != (err == nil) {
-		w.fatal("applied on %d at %d: now %d, %v", o.base, before.Version, after.Version, err)
+		c.fatal("applied on base %d at version %d: version now %d, error %v", o.base, before.Version, after.Version, err)
 	}
 }
--- a/internal/core/inforce/message.go
+++ b/internal/core/inforce/message.go
@@ -5,99 +5,104 @@
 	"peardrift/internal/core/request"
 )
 
-// Peer is another node.
+// Peer identifies a node of the fleet.
 type Peer struct {
 	ID     request.TargetID
 	Region string
-	Addr   string // of its control listener
+	Addr   string // address of its control listener
 }
 
-// Ask is what a node asks a peer.
+// Ask is a request to a peer.
 type Ask struct {
-	// Heads asks which versions the peer knows; the other fields are empty.
+	// Heads asks for the versions that the peer knows; the other fields are
+	// then empty.
 	Heads bool `msgpack:"a,omitempty"`
 
-	// Want names the version that the asker has heard of. The peer may answer
+	// Want is the version that the sender has learnt of. The peer may reply
 	// with a newer one.
 	Want confset.Head `msgpack:"w"`
 
-	// Have is the version that the asker holds, 0 for none.
+	// Have is the version that the sender holds, 0 for none.
 	Have int64 `msgpack:"h,omitempty"`
 }
 
-// Reply answers an Ask. One without Delta and Whole says that the peer can't
-// help at the moment.
+// Reply is the response to an Ask. Without Delta and Whole it means that the
+// peer has nothing to send at the moment.
 type Reply struct {
-	// Head is the version that Delta or Whole leads to.
+	// Head is the version that Delta or Whole produces.
 	Head confset.Head `msgpack:"h"`
 
-	// Delta is an encoded confset.Delta since the version that the asker holds.
+	// Delta is an encoded confset.Delta from the version that the requester
+	// holds.
 	Delta []byte `msgpack:"d,omitempty"`
 
-	// Whole is the set's canonical bytes, compressed.
+	// Whole is the canonical encoding of the set, compressed.
 	Whole []byte `msgpack:"w,omitempty"`
 
-	// Informed says that the peer had learnt the newest versions itself when it
-	// told Heads.
+	// Informed reports whether the peer knew the newest versions itself when it
+	// sent Heads.
 	Informed bool `msgpack:"i,omitempty"`
 
-	// Heads answers Ask.Heads.
+	// Heads is the response to Ask.Heads.
 	Heads []confset.Head `msgpack:"n,omitempty"`
 }
 
-// Action is something for the control goroutine to do.
+// Action is an operation for the control goroutine to carry out.
 type Action interface{ action() }
 
-// AskPeer: send Ask to a peer; report by HandleReply or HandleFailure.
+// AskPeer sends Ask to a peer; report the outcome with HandleReply or
+// HandleFailure.
 type AskPeer struct {
 	ID  uint64
 	To  Peer
 	Ask Ask
 }
 
-// LoadObject: fetch the set's bytes from the object store; report by
-// HandleLoaded or HandleFailure.
+// LoadObject reads the set's bytes from the object store; report the outcome
+// with HandleLoaded or HandleFailure.
 type LoadObject struct {
 	ID   uint64
 	Head confset.Head
 }
 
-// ReadHead: read a tenant's head row; report by HandleHead or HandleFailure.
+// ReadHead reads a tenant's head row; report the outcome with HandleHead or
+// HandleFailure.
 type ReadHead struct {
 	ID     uint64
 	Tenant request.Tenant
 }
 
-// ReadTenants: read the share ledger, which lists the tenants; report by
-// HandleTenants or HandleFailure.
+// ReadTenants reads the row of shares, which lists the tenants; report the
+// outcome with HandleTenants or HandleFailure.
 type ReadTenants struct{ ID uint64 }
 
-// Answer: send Reply to the peer whose Ask was passed to HandleAsk with this ID.
+// Answer sends Reply to the peer whose Ask was passed to HandleAsk with this
+// ID.
 type Answer struct {
 	ID    uint64
 	Reply Reply
 }
 
-// Install: publish the index to traffic. Head is what changed in it, By the way by
-// which it came.
+// Install publishes the index to the traffic path. Head is the set that
+// changed, By is the source that it came from.
 type Install struct {
 	Head  confset.Head
 	Index *confset.Index
 	By    Source
 }
 
-// Source is the way by which a set came to this node.
+// Source is where a set came from.
 type Source string
 
 const (
-	ByWatch     Source = "watch"     // offered: read at the platform, which told of it
-	ByParent    Source = "parent"    // given by the parent in the watch
-	ByHeartbeat Source = "heartbeat" // a delta along with a peer's heartbeat
-	ByPeer      Source = "peer"      // asked for over a connection of its own
-	ByObject    Source = "object"    // read at the object store
+	ByWatch     Source = "watch"     // read from the platform by this node, see Offer
+	ByParent    Source = "parent"    // pushed by the parent in the watch, see Give
+	ByHeartbeat Source = "heartbeat" // a delta piggybacked on a peer's heartbeat
+	ByPeer      Source = "peer"      // fetched from a peer over a separate connection
+	ByObject    Source = "object"    // read from the object store
 )
 
-// Spread: gossip the head as a fact.
+// Spread gossips the head as a fact.
 type Spread struct{ Head confset.Head }
 
 func (AskPeer) action()     {}
--- a/internal/core/inforce/offer.go
+++ b/internal/core/inforce/offer.go
@@ -7,67 +7,68 @@
 	"peardrift/internal/core/request"
 )
 
-// Offer takes an accepted set that this node has read at the platform itself. It
-// is put in force at once if it is newer, also by a node that has not been told
-// the newest versions yet: no other could know better than the platform.
+// Offer handles an accepted set that this node has read from the platform. A
+// newer set is installed at once, even if the node is not informed yet: no peer
+// can know more than the platform.
 func (s *State) Offer(now time.Duration, p *confset.Packed) []Action {
 	x, ok := s.tenant(p.Head().Tenant)
 	if !ok {
-		return s.take()
+		return s.takeActions()
 	}
 	s.install(now, x, p, ByWatch)
-	if !s.start.informed && x.held != nil {
-		s.becomeInformed(now)
+	if !s.startup.informed && x.held != nil {
+		s.markInformed(now)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// OfferNone takes in that the platform, asked by this node itself, has no accepted
-// set.
+// OfferNone handles the platform's answer that no set has been accepted.
 func (s *State) OfferNone(now time.Duration) []Action {
-	if !s.start.informed {
-		s.becomeInformed(now)
+	if !s.startup.informed {
+		s.markInformed(now)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// Base returns the version from which a tenant's next delta has to start; 0 asks
-// for the whole set.
+// Base returns the version that a tenant's next delta must start from; 0
+// requests the whole set.
 func (s *State) Base(t request.Tenant) int64 {
 	x := s.tenants[t]
-	if x == nil || x.wrong {
+	if x == nil || x.deltaRejected {
 		return 0
 	}
-	return x.version()
+	return x.heldVersion()
 }
 
-// Since returns what a peer lacks that holds a version of a tenant's set, nil if
-// nothing newer is held here or the peer has to be sent elsewhere.
+// Since returns the changes for a peer that holds the given version of a
+// tenant's set. It returns nil if this node has nothing newer, or if the whole
+// set would exceed the limit on whole sets.
 func (s *State) Since(now time.Duration, t request.Tenant, base int64) *Reply {
 	x := s.tenants[t]
-	if x == nil || x.version() <= base {
+	if x == nil || x.heldVersion() <= base {
 		return nil
 	}
-	r := s.reply(now, x, base)
+	r := s.buildReply(now, x, base)
 	if len(r.Delta)+len(r.Whole) == 0 {
 		return nil
 	}
 	return &r
 }
 
-// Give takes a set that a peer has given unasked for by a version. A node that has
-// not been told the newest versions yet takes none: the peer may be behind.
+// Give handles a set that the parent pushed in the watch, without a request for
+// that version. A node that is not informed yet ignores it: the parent may be
+// behind.
 func (s *State) Give(now time.Duration, t request.Tenant, r Reply) []Action {
 	x, ok := s.tenant(t)
-	if !ok || !s.start.informed {
-		return s.take()
+	if !ok || !s.startup.informed {
+		return s.takeActions()
 	}
-	p, err := s.read(x, r)
+	p, err := s.verifyReply(x, r)
 	switch {
 	case err != nil:
-		s.refuse(x)
+		s.rejectDelta(x)
 	case p != nil:
 		s.install(now, x, p, ByParent)
 	}
-	return s.take()
+	return s.takeActions()
 }
--- a/internal/core/inforce/offer_test.go
+++ b/internal/core/inforce/offer_test.go
@@ -10,7 +10,7 @@
 	"peardrift/internal/core/confset"
 )
 
-func offered(t *testing.T, version int64) *confset.Packed {
+func packedSet(t *testing.T, version int64) *confset.Packed {
 	p, err := confset.Pack(confset.Set{Tenant: "t", Version: version, Share: 1, Services: []confset.Service{
 		{Name: "a", Slots: 1, Connections: 1, Routes: []confset.Route{{
 			Name: "r", Host: "x", Prefix: "/", Weight: int(version), Deadline: time.Second, Runs: 1,
@@ -22,47 +22,46 @@
 	return p
 }
 
-// Symptom: a node serves by an older version than before. Events: its watch of the
-// store gets a read that lags behind. Cause: what was read last is taken for what
-// is newest.
-func TestOffersOnlyRise(t *testing.T) {
+// Guards against a downgrade: the watch of the store gets a stale read, and the
+// last set read is taken for the newest.
+func TestOfferNeverLowersVersion(t *testing.T) {
 	is := is.New(t)
 	s := New(DefaultConfig(), Peer{ID: 1}, rand.New(rand.NewPCG(1, 2)), 0)
 	is.True(!s.Ready())
-	s.Offer(0, offered(t, 5))
-	is.True(s.Ready()) // nobody could tell it anything newer than the store
+	s.Offer(0, packedSet(t, 5))
+	is.True(s.Ready()) // no peer can know more than the store
 	is.Equal(s.InForce("t"), int64(5))
-	s.Offer(1, offered(t, 4))
+	s.Offer(1, packedSet(t, 4))
 	is.Equal(s.InForce("t"), int64(5))
 	spread := 0
-	for _, a := range s.Offer(2, offered(t, 7)) {
+	for _, a := range s.Offer(2, packedSet(t, 7)) {
 		if _, ok := a.(Spread); ok {
 			spread++
 		}
 	}
 	is.Equal(s.InForce("t"), int64(7))
-	is.Equal(spread, 1) // the others are told, also those that the store turns away
+	is.Equal(spread, 1) // the others learn of it, even those that the store rejects
 }
 
-// Guards against a node that has asked the platform itself and asks again as one that
-// starts.
-func TestAPlatformWithoutASetInforms(t *testing.T) {
+// Guards against a node that has read the platform itself and still asks as a
+// starting node.
+func TestOfferNoneMarksNodeInformed(t *testing.T) {
 	is := is.New(t)
 	s := New(DefaultConfig(), Peer{ID: 1}, rand.New(rand.NewPCG(1, 1)), 0)
 	s.SetPeers([]Peer{{ID: 1}}, []Peer{{ID: 1}}, true)
 	s.OfferNone(0)
 	is.True(s.Ready())
-	s.tickStart(time.Hour)
-	is.Equal(len(s.take()), 0)
+	s.tickStartup(time.Hour)
+	is.Equal(len(s.takeActions()), 0)
 }
 
-// Guards against a parent that is behind bringing back an old set to a node that starts.
-func TestANodeThatStartsTakesNoSetFromItsParent(t *testing.T) {
+// Guards against a lagging parent that sends an old set to a starting node.
+func TestStartingNodeRejectsParentSet(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.apply("khaosan", 1, 0)
-	w.settle(5 * time.Second)
-	given := w.nodes[0].state.Since(w.now, "khaosan", 0)
+	c := newCluster(1, t.Fatalf)
+	c.apply("khaosan", 1, 0)
+	c.runFor(5 * time.Second)
+	given := c.nodes[0].state.Since(c.now, "khaosan", 0)
 	is.True(given != nil)
 	s := New(DefaultConfig(), Peer{ID: 9}, rand.New(rand.NewPCG(1, 1)), 0)
 	s.Give(0, "khaosan", *given)
@@ -70,18 +69,19 @@
 	s.OfferNone(0)
 	s.Give(0, "khaosan", *given)
 	is.Equal(s.InForce("khaosan"), int64(1))
-	is.Equal(s.Since(0, "khaosan", 1) == nil, true) // nothing newer
+	is.Equal(s.Since(0, "khaosan", 1) == nil, true) // nothing newer to send
 }
 
-// Guards against a delta being asked for again from the version at which one was wrong.
-func TestAfterAWrongDeltaTheWholeSetIsAskedFor(t *testing.T) {
+// Guards against requesting a delta again from a version for which one was
+// rejected.
+func TestRejectedDeltaTriggersWholeSet(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, t.Fatalf)
-	w.apply("khaosan", 1, 0)
-	w.settle(5 * time.Second)
-	s := w.nodes[0].state
+	c := newCluster(1, t.Fatalf)
+	c.apply("khaosan", 1, 0)
+	c.runFor(5 * time.Second)
+	s := c.nodes[0].state
 	is.Equal(s.Base("khaosan"), int64(1))
-	s.Give(w.now, "khaosan", Reply{Head: confset.Head{Tenant: "khaosan", Version: 2}, Delta: []byte{1}})
+	s.Give(c.now, "khaosan", Reply{Head: confset.Head{Tenant: "khaosan", Version: 2}, Delta: []byte{1}})
 	is.Equal(s.InForce("khaosan"), int64(1))
 	is.Equal(s.Base("khaosan"), int64(0))
 }
--- a/internal/core/inforce/ride_test.go
+++ b/internal/core/inforce/piggyback_test.go
@@ -12,9 +12,10 @@
 	"peardrift/internal/core/request"
 )
 
-// riders returns two nodes without budget that hold version 1 of two tenants, and
-// the versions 1 to 4 of the first one's set, each known from the one before.
-func riders(t testing.TB) (a, b *State, versions []*confset.Packed) {
+// nodesOverBudget returns two nodes with an exhausted budget that hold version
+// 1 of two tenants, and versions 1 to 4 of the first tenant's set, each with
+// the history of the previous one.
+func nodesOverBudget(t testing.TB) (a, b *State, versions []*confset.Packed) {
 	peers := manyPeers(2, 1)
 	pack := func(tenant request.Tenant, v int64) *confset.Packed {
 		set := testSet(tenant, int(2*v))
@@ -44,42 +45,40 @@
 			x := s.tenants[p.Head().Tenant]
 			s.install(1, x, p, ByWatch)
 		}
-		s.start.informed = true
+		s.startup.informed = true
 		a, b = b, s
 	}
 	return a, b, versions
 }
 
-// Symptom: in a busy minute a node is behind until it can pay for connections.
-// Events: its budget is short; a peer with which it exchanges heartbeats has a
-// newer version, of which it has not heard. Cause: what changed, and the head,
-// travel in messages of their own only.
-func TestShortNodesRide(t *testing.T) {
+// Guards against a node that stays behind until it can afford connections: its
+// budget is exhausted, and a peer with which it exchanges heartbeats has a
+// newer version that the node has not heard of.
+func TestNodesOverBudgetPiggyback(t *testing.T) {
 	is := is.New(t)
-	a, b, versions := riders(t)
+	a, b, versions := nodesOverBudget(t)
 	const now = time.Minute
 	b.install(now, b.tenants["khaosan"], versions[2], ByWatch)
 	for _, action := range a.Learn(now, versions[1].Head()) {
 		_, asks := action.(AskPeer)
-		is.True(!asks) // it waits for a heartbeat
+		is.True(!asks) // waits for a heartbeat
 	}
 	answer := b.RideAnswer(a.RideAsk(200), 700)
 	again := b.RideAnswer(a.RideAsk(200), 700)
 	a.RideTake(now, answer)
 	is.Equal(a.InForce("khaosan"), int64(3))
 	is.Equal(a.Stats().ByRide, 1)
-	a.RideTake(now, again) // it comes again
+	a.RideTake(now, again) // duplicate answer
 	is.Equal(a.Stats(), Stats{Installed: 3, ByRide: 1})
 	is.Equal(b.RideAnswer(a.RideAsk(200), 700), nil) // nothing newer
 	is.Equal(b.RideAnswer(a.RideAsk(0), 700), nil)   // no room
 }
 
-// Symptom: a node stays behind though its peers ask and answer. Events: its
-// neighbours are as far behind, or lost what they held. Cause: it goes on waiting
-// for heartbeats.
-func TestRidingIsGivenUp(t *testing.T) {
+// Guards against a node that waits for heartbeats forever: its peers are as far
+// behind as it is, or have lost their state.
+func TestPiggybackTimesOut(t *testing.T) {
 	is := is.New(t)
-	a, _, versions := riders(t)
+	a, _, versions := nodesOverBudget(t)
 	const now = time.Minute
 	a.Learn(now, versions[1].Head())
 	asked := func(actions []Action) (n int) {
@@ -91,23 +90,22 @@
 		}
 		return n
 	}
-	a.tenants["khaosan"].attempt = parentTries // not the root that it may be
+	a.tenants["khaosan"].failures = parentAttempts // skips the parents, as the node may be a root
 	a.Tick(now + DefaultConfig().Spacing)
 	is.Equal(asked(a.Tick(now+DefaultConfig().RideFor-1)), 0)
 	is.Equal(asked(a.Tick(now+DefaultConfig().RideFor+DefaultConfig().Spacing)), 1)
 }
 
-// Symptom: a node goes back, crashes, or holds what nobody accepted. Events: an
-// answer for another base, with another digest, or of other tenants rides along.
-// Cause: it is believed.
-func TestWrongRidesChangeNothing(t *testing.T) {
+// Guards against downgrades, panics and unaccepted sets caused by a piggybacked
+// answer with another base, another digest or other tenants.
+func TestInvalidPiggybackIsIgnored(t *testing.T) {
 	is := is.New(t)
-	a, _, versions := riders(t)
+	a, _, versions := nodesOverBudget(t)
 	d, _ := versions[1].Since(1)
 	delta, err := d.Encode()
 	is.NoErr(err)
 	right := versions[1].Head().Digest
-	for _, p := range []part{
+	for _, p := range []tenantDelta{
 		{Tenant: 1, Version: 2, Digest: right[:], Delta: delta[:len(delta)-1]},
 		{Tenant: 1, Version: 2, Digest: make([]byte, len(right)), Delta: delta},
 		{Tenant: 1, Version: 2, Digest: right[:3], Delta: delta},
@@ -117,33 +115,33 @@
 		{Tenant: 2, Version: 2, Digest: right[:], Delta: delta},
 		{Tenant: 1, Version: 1, Digest: right[:], Delta: delta},
 	} {
-		a.RideTake(time.Minute, encode([]part{p}))
+		a.RideTake(time.Minute, encodeArray([]tenantDelta{p}))
 		is.Equal(a.InForce("khaosan"), int64(1))
 		is.Equal(a.InForce("kalahari"), int64(1))
 	}
-	a.RideTake(time.Minute, encode([]part{{Tenant: 1, Version: 2, Digest: right[:], Delta: delta}}))
+	a.RideTake(time.Minute, encodeArray([]tenantDelta{{Tenant: 1, Version: 2, Digest: right[:], Delta: delta}}))
 	is.Equal(a.InForce("khaosan"), int64(2))
 }
 
-// FuzzRide: whatever rides along, a node neither ends nor takes another set than
-// the one that was announced.
-func FuzzRide(f *testing.F) {
-	a, b, versions := riders(f)
+// FuzzPiggyback: no piggybacked message makes a node panic or install a set
+// other than the announced one.
+func FuzzPiggyback(f *testing.F) {
+	a, b, versions := nodesOverBudget(f)
 	question := a.RideAsk(200)
 	b.install(1, b.tenants["khaosan"], versions[1], ByWatch)
 	f.Add(question)
 	f.Add(b.RideAnswer(question, 700))
-	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}) // announces four thousand million parts
+	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}) // array header announcing 2^32-1 elements
 	f.Fuzz(func(t *testing.T, body []byte) {
-		a, b, versions := riders(t)
+		a, b, versions := nodesOverBudget(t)
 		a.Learn(time.Minute, versions[1].Head())
 		b.install(1, b.tenants["khaosan"], versions[3], ByWatch)
 		a.RideTake(time.Minute, body)
 		if a.InForce("khaosan") == 2 && a.tenants["khaosan"].held.Head() != versions[1].Head() {
-			t.Fatal("another set came in force as version 2")
+			t.Fatal("version 2 in force is not the announced set")
 		}
 		if len(b.RideAnswer(body, 700)) > 700 {
-			t.Fatal("an answer exceeds its room")
+			t.Fatal("answer exceeds the available room")
 		}
 	})
 }
--- a/internal/core/inforce/poll.go
+++ b/internal/core/inforce/poll.go
@@ -7,85 +7,87 @@
 	"peardrift/internal/core/request"
 )
 
-// poll is when a row was and will be read.
+// poll schedules the reads of one row.
 type poll struct {
-	busy bool
-	next time.Duration
-	read bool // once at least
-	mine bool // this node was among the pollers last time
+	inFlight bool
+	nextRead time.Duration
+	wasRead  bool // has been read at least once
+	isPoller bool // this node was a poller at the last check
 }
 
-// tickPolls reads the rows that fall to this node.
+// tickPolls reads the rows that this node polls and that are due.
 //
-// All pollers together make (tenants+1) * Pollers / interval reads a second,
+// All pollers together make (tenants+1) * Pollers / interval reads per second,
 // whatever the number of nodes; the interval is PollEvery until that would
 // exceed PollReads.
 func (s *State) tickPolls(now time.Duration) {
-	if !s.complete {
+	if !s.peersComplete {
 		return
 	}
-	rows := len(s.order) + 1
+	rows := len(s.tenantNames) + 1
 	interval := max(s.cfg.PollEvery, time.Second*time.Duration(rows*s.cfg.Pollers)/time.Duration(s.cfg.PollReads))
-	if s.due(now, &s.ledger, "", interval) {
-		s.readLedger(now)
+	if s.pollDue(now, &s.tenantList, "", interval) {
+		s.readTenantList(now)
 	}
-	for _, t := range s.order {
-		if s.due(now, &s.tenants[t].poll, t, interval) {
-			s.readHead(now, t)
+	for _, t := range s.tenantNames {
+		if s.pollDue(now, &s.tenants[t].poll, t, interval) {
+			s.readHeadRow(now, t)
 		}
 	}
 }
 
-// due reports whether a row is to be read now, and by this node.
-func (s *State) due(now time.Duration, p *poll, t request.Tenant, interval time.Duration) bool {
-	if p.busy || now < p.next {
+// pollDue reports whether this node has to read a row now, and schedules the
+// next check.
+func (s *State) pollDue(now time.Duration, p *poll, t request.Tenant, interval time.Duration) bool {
+	if p.inFlight || now < p.nextRead {
 		return false
 	}
-	p.next = now + interval
-	p.mine = pollersOf(t).among(s.cfg.Pollers, s.self.ID, s.peers)
-	return p.mine
+	p.nextRead = now + interval
+	p.isPoller = pollerOrdering(t).isAmongFirst(s.cfg.Pollers, s.self.ID, s.peers)
+	return p.isPoller
 }
 
-func (s *State) readHead(now time.Duration, t request.Tenant) {
+func (s *State) readHeadRow(now time.Duration, t request.Tenant) {
 	p := &s.tenants[t].poll
-	if p.busy {
+	if p.inFlight {
 		return
 	}
-	p.busy = true
+	p.inFlight = true
 	s.stats.Reads++
-	s.do(ReadHead{ID: s.begin(call{kind: callHead, tenant: t, deadline: now + s.cfg.LoadTimeout}), Tenant: t})
+	s.emit(ReadHead{ID: s.beginCall(pendingCall{kind: callHeadRow, tenant: t, deadline: now + s.cfg.LoadTimeout}), Tenant: t})
 }
 
-func (s *State) readLedger(now time.Duration) {
-	if s.ledger.busy {
+func (s *State) readTenantList(now time.Duration) {
+	if s.tenantList.inFlight {
 		return
 	}
-	s.ledger.busy = true
+	s.tenantList.inFlight = true
 	s.stats.Reads++
-	s.do(ReadTenants{ID: s.begin(call{kind: callLedger, deadline: now + s.cfg.LoadTimeout})})
+	s.emit(ReadTenants{ID: s.beginCall(pendingCall{kind: callTenantList, deadline: now + s.cfg.LoadTimeout})})
 }
 
-// followHint reads the head of a tenant whose newer version somebody claims, at
-// most once in RetryMin, so that hints by the thousand cost no more.
+// followHint reads the head row of a tenant with an unconfirmed newer version,
+// at most once per RetryMin, so that a flood of hints costs no more reads.
 func (s *State) followHint(now time.Duration, t request.Tenant, x *tenant) {
-	if x.hint.version <= x.known.Version || now >= x.hint.until || x.poll.busy || now < x.hint.next {
+	if x.hint.version <= x.known.Version || now >= x.hint.until || x.poll.inFlight || now < x.hint.nextRead {
 		return
 	}
-	x.hint.next = now + s.cfg.RetryMin
-	s.readHead(now, t)
+	x.hint.nextRead = now + s.cfg.RetryMin
+	s.readHeadRow(now, t)
 }
 
-// headRead takes a head row; a zero head means that there is none.
-func (s *State) headRead(now time.Duration, t request.Tenant, h confset.Head) {
+// handleHeadRow handles a head row; a zero head means that the row does not
+// exist.
+func (s *State) handleHeadRow(now time.Duration, t request.Tenant, h confset.Head) {
 	x := s.tenants[t]
 	if x == nil {
 		return
 	}
-	x.poll.busy, x.poll.read = false, true
+	x.poll.inFlight, x.poll.wasRead = false, true
 	if h.Version > 0 && h.Tenant == t {
 		s.learn(now, h)
 	} else {
-		s.forget(t)
+		s.removeIfUnknown(t)
 	}
-	s.checkPlatformTold(now)
+	s.checkPlatformRead(now)
 }
--- a/internal/core/inforce/serve.go
+++ b/internal/core/inforce/serve.go
@@ -10,9 +10,9 @@
 	"peardrift/internal/status"
 )
 
-var errOtherDigest = status.New(status.CodeProtocol, "two sets of one version")
+var errDigestConflict = status.New(status.CodeProtocol, "two sets with the same version")
 
-// waiter is a peer that asked for a version that is not held yet.
+// waiter is a pending request for a version that is not held yet.
 type waiter struct {
 	id    uint64
 	want  int64
@@ -20,17 +20,17 @@
 	until time.Duration
 }
 
-// bucket bounds bytes a second.
-type bucket struct {
-	tokens int
-	at     time.Duration
+// tokenBucket limits bytes per second.
+type tokenBucket struct {
+	tokens     int
+	refilledAt time.Duration
 }
 
-func (b *bucket) take(now time.Duration, n, rate, burst int) bool {
-	if now > b.at {
-		gained := int((now - b.at).Seconds() * float64(rate))
+func (b *tokenBucket) take(now time.Duration, n, rate, burst int) bool {
+	if now > b.refilledAt {
+		gained := int((now - b.refilledAt).Seconds() * float64(rate))
 		if gained > 0 {
-			b.tokens, b.at = min(b.tokens+gained, burst), now
+			b.tokens, b.refilledAt = min(b.tokens+gained, burst), now
 		}
 	}
 	if n > b.tokens {
@@ -40,43 +40,43 @@
 	return true
 }
 
-// HandleAsk takes a peer's question; the id is the caller's, for Answer. It is
-// answered now, or when the version that the peer wants is in force here, or
-// without a set after ServeWait.
+// HandleAsk handles a peer's request; the caller chooses the ID, which Answer
+// carries. The answer follows at once, or when the wanted version is in force
+// here, or without a set after ServeWait.
 func (s *State) HandleAsk(now time.Duration, id uint64, a Ask) []Action {
-	s.ask(now, id, a)
-	return s.take()
+	s.handleAsk(now, id, a)
+	return s.takeActions()
 }
 
-func (s *State) ask(now time.Duration, id uint64, a Ask) {
+func (s *State) handleAsk(now time.Duration, id uint64, a Ask) {
 	if a.Heads {
-		s.do(Answer{ID: id, Reply: Reply{Informed: s.start.informed, Heads: s.Known()}})
+		s.emit(Answer{ID: id, Reply: Reply{Informed: s.startup.informed, Heads: s.Known()}})
 		return
 	}
 	s.learn(now, a.Want)
 	x := s.tenants[a.Want.Tenant]
 	switch {
 	case x == nil || a.Want.Version <= 0:
-		s.do(Answer{ID: id})
-	case x.version() >= a.Want.Version:
-		s.answer(now, x, a.Have, id)
+		s.emit(Answer{ID: id})
+	case x.heldVersion() >= a.Want.Version:
+		s.sendReply(now, x, a.Have, id)
 	case len(x.waiters) >= s.cfg.MaxWaiters:
-		s.do(Answer{ID: id})
+		s.emit(Answer{ID: id})
 	default:
 		x.waiters = append(x.waiters, waiter{id: id, want: a.Want.Version, have: a.Have, until: now + s.cfg.ServeWait})
 	}
 }
 
-// answerWaiters answers those whose version is in force now, and those who have
-// waited for too long with what there is.
+// answerWaiters answers the requests whose version is now in force, and those
+// that have timed out with the newest version available.
 func (s *State) answerWaiters(now time.Duration, x *tenant) {
 	kept := x.waiters[:0]
 	for _, w := range x.waiters {
 		switch {
-		case x.version() >= w.want || now >= w.until && x.version() > w.have:
-			s.answer(now, x, w.have, w.id)
+		case x.heldVersion() >= w.want || now >= w.until && x.heldVersion() > w.have:
+			s.sendReply(now, x, w.have, w.id)
 		case now >= w.until:
-			s.do(Answer{ID: w.id})
+			s.emit(Answer{ID: w.id})
 		default:
 			kept = append(kept, w)
 		}
@@ -84,16 +84,16 @@
 	x.waiters = kept
 }
 
-func (s *State) answer(now time.Duration, x *tenant, have int64, id uint64) {
-	s.do(Answer{ID: id, Reply: s.reply(now, x, have)})
+func (s *State) sendReply(now time.Duration, x *tenant, have int64, id uint64) {
+	s.emit(Answer{ID: id, Reply: s.buildReply(now, x, have)})
 }
 
-// reply returns what changed since the version that the peer holds, or the whole
-// set if that is not known here, within the budget for whole sets.
-func (s *State) reply(now time.Duration, x *tenant, have int64) Reply {
+// buildReply returns the changes since the version that the peer holds, or the
+// whole set if the changes are unknown and the limit on whole sets allows it.
+func (s *State) buildReply(now time.Duration, x *tenant, have int64) Reply {
 	r := Reply{Head: x.held.Head(), Delta: x.deltaSince(have)}
 	if r.Delta == nil {
-		if body := x.compressed(); s.serve.take(now, len(body), s.cfg.ServeRate, s.cfg.ServeBurst) {
+		if body := x.compressed(); s.wholeSetBucket.take(now, len(body), s.cfg.ServeRate, s.cfg.ServeBurst) {
 			r.Whole = body
 		}
 	}
@@ -103,27 +103,29 @@
 	return r
 }
 
-// largeDelta is the size in bytes from which a delta is compared with the whole
-// set, which is sent compressed.
-const largeDelta = 4 << 10
+// largeDeltaSize is the size in bytes above which a delta is compared with the
+// whole set, which is sent compressed.
+const largeDeltaSize = 4 << 10
 
-// deltaSince returns an encoded delta, nil if the whole set is to be sent.
+// deltaSince returns an encoded delta, nil if the whole set should be sent
+// instead.
 func (x *tenant) deltaSince(have int64) []byte {
 	d, ok := x.held.Since(have)
 	if !ok || have == 0 {
 		return nil
 	}
 	body, err := d.Encode()
-	if err != nil || len(body) > largeDelta && len(body) > len(x.compressed()) {
+	if err != nil || len(body) > largeDeltaSize && len(body) > len(x.compressed()) {
 		return nil
 	}
 	return body
 }
 
-// compressed returns the held set's bytes, compressed once for each version.
+// compressed returns the compressed bytes of the held set, computed once per
+// version.
 func (x *tenant) compressed() []byte {
-	if x.whole != nil {
-		return x.whole
+	if x.compressedBody != nil {
+		return x.compressedBody
 	}
 	body, err := x.held.Bytes()
 	if err != nil {
@@ -134,23 +136,23 @@
 	if err != nil {
 		return nil
 	}
-	// Writing to a buffer does not fail.
+	// Writes to a bytes.Buffer never fail.
 	_, _ = w.Write(body)
 	_ = w.Close()
-	x.whole = buf.Bytes()
-	return x.whole
+	x.compressedBody = buf.Bytes()
+	return x.compressedBody
 }
 
-// expand is the inverse of compressed, bounded: a few bytes may expand to
-// gigabytes.
-func expand(body []byte) ([]byte, error) {
+// decompress is the inverse of compressed. Its output is limited: a few bytes
+// may decompress to gigabytes.
+func decompress(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
 	out, err := io.ReadAll(io.LimitReader(r, confset.MaxEncoded+1))
 	if err != nil {
-		return nil, status.Wrap(status.CodeProtocol, err, "a set that can't be expanded")
+		return nil, status.Wrap(status.CodeProtocol, err, "cannot decompress set")
 	}
 	if len(out) > confset.MaxEncoded {
-		return nil, status.New(status.CodeTooLarge, "a set of over %d bytes", confset.MaxEncoded)
+		return nil, status.New(status.CodeTooLarge, "set exceeds %d bytes", confset.MaxEncoded)
 	}
 	return out, nil
 }
--- a/internal/core/inforce/state.go
+++ b/internal/core/inforce/state.go
@@ -10,85 +10,86 @@
 	"peardrift/internal/core/request"
 )
 
-// State is one node's configuration in force.
+// State is the configuration state of one node.
 type State struct {
 	cfg  Config
 	self Peer
 	rng  *rand.Rand
 
-	tenants map[request.Tenant]*tenant
-	order   []request.Tenant // sorted, so that actions come in one order
-	index   *confset.Index
+	tenants     map[request.Tenant]*tenant
+	tenantNames []request.Tenant // sorted, for a deterministic order of actions
+	index       *confset.Index
 
-	peers    []Peer // all, this node may be among them
-	near     []Peer // those of the own region
-	others   int    // peers without this node
-	complete bool   // peers are all there are
+	peers         []Peer // all nodes; may include this node
+	regionPeers   []Peer // nodes of this node's region
+	otherCount    int    // number of peers without this node
+	peersComplete bool   // peers lists the whole fleet
 
-	start  start
-	ledger poll // of the list of tenants
-	serve  bucket
+	startup        startup
+	tenantList     poll // schedule of reads of the tenant list
+	wholeSetBucket tokenBucket
 
-	budget   *budget.Bucket // nil: unbounded
-	rideFrom int            // the tenant that the next one begins with
+	budget      *budget.Bucket // nil: unlimited
+	nextQueried int            // index of the first tenant in the next piggybacked query
 
-	calls map[uint64]call
-	last  uint64 // ID of the latest call
-	out   []Action
-	stats Stats
+	calls      map[uint64]pendingCall
+	lastCallID uint64
+	actions    []Action
+	stats      Stats
 }
 
-// tenant is what is known of one tenant's set.
+// tenant is the state of one tenant's set.
 type tenant struct {
-	known confset.Head    // the highest version heard of
-	held  *confset.Packed // the one in force, nil if none
-	poll  poll
-	hint  hint
-	floor int64 // what was known when this node had been told; nothing older is taken
+	known      confset.Head    // the highest version known
+	held       *confset.Packed // the set in force, nil if none
+	poll       poll
+	hint       hint
+	minVersion int64 // the version known when this node became informed; older ones are rejected
 
-	fetching bool
-	attempt  int // failed fetches in a row
-	next     time.Duration
-	waiters  []waiter
-	wrong    bool          // the last delta was refused
-	behind   time.Duration // since when it is behind, or the last version came
-	whole    []byte        // compressed, of held; nil until asked for
+	fetching       bool
+	failures       int // consecutive failed fetches
+	nextFetch      time.Duration
+	waiters        []waiter
+	deltaRejected  bool          // the next fetch requests the whole set
+	behindSince    time.Duration // when the tenant fell behind or the last version was installed
+	compressedBody []byte        // compressed held set; nil until needed
 }
 
-// hint is a version that somebody claims to be accepted.
+// hint is an unconfirmed claim that a version was accepted.
 type hint struct {
-	version int64
-	until   time.Duration
-	next    time.Duration // when the head may be read for it
+	version  int64
+	until    time.Duration
+	nextRead time.Duration // earliest time of the next read of the head row
 }
 
-// Stats counts what happened since the start.
+// Stats counts events since the start of the process.
 type Stats struct {
 	Installed int // versions put in force
 	ByDelta   int // of these, by a delta from a peer
-	ByWhole   int // by a whole set from a peer
-	ByObject  int // by the object store
-	Refused   int // sets and heads that were not what they were said to be
-	Failed    int // fetches without result
-	Reads     int // of the platform's table
-	Answered  int // asks answered with a delta or a whole set
-	ByRide    int // of the versions installed, by a delta that came with a heartbeat
+	ByWhole   int // of these, by a whole set from a peer
+	ByObject  int // of these, from the object store
+	Refused   int // rejected sets and heads
+	Failed    int // failed fetches
+	Reads     int // reads of the platform's table
+	Answered  int // requests answered with a delta or a whole set
+	ByRide    int // of the installed versions, by a piggybacked delta
 }
 
-// New returns the state of a node that starts. The random source must not be
+// New returns the state of a starting node. The random source must not be
 // shared.
 func New(cfg Config, self Peer, rng *rand.Rand, now time.Duration) *State {
 	return &State{
 		cfg: cfg, self: self, rng: rng,
-		tenants: make(map[request.Tenant]*tenant),
-		index:   confset.NewIndex(),
-		calls:   make(map[uint64]call),
-		start:   start{told: make(map[request.TargetID]bool)},
-		serve:   bucket{tokens: cfg.ServeBurst, at: now},
+		tenants:        make(map[request.Tenant]*tenant),
+		index:          confset.NewIndex(),
+		calls:          make(map[uint64]pendingCall),
+		startup:        startup{answered: make(map[request.TargetID]bool)},
+		wholeSetBucket: tokenBucket{tokens: cfg.ServeBurst, refilledAt: now},
 	}
 }
 
-// Index returns the sets in force; it may be published to other goroutines.
+// Index returns the index of the sets in force; it may be published to other
+// goroutines.
 func (s *State) Index() *confset.Index { return s.index }
 
 // Stats returns the counters.
@@ -97,15 +98,15 @@
 // InForce returns the version of a tenant's set in force, 0 if none.
 func (s *State) InForce(t request.Tenant) int64 {
 	if x := s.tenants[t]; x != nil {
-		return x.version()
+		return x.heldVersion()
 	}
 	return 0
 }
 
-// Known returns the heads heard of, sorted by tenant.
+// Known returns the known heads, sorted by tenant.
 func (s *State) Known() []confset.Head {
 	var out []confset.Head
-	for _, name := range s.order {
+	for _, name := range s.tenantNames {
 		if h := s.tenants[name].known; h.Version > 0 {
 			out = append(out, h)
 		}
@@ -113,25 +114,25 @@
 	return out
 }
 
-// Ready reports whether the node was told the newest versions and has all of
-// them in force, or had so at some time: a node that falls behind later serves
-// on with what it has.
-func (s *State) Ready() bool { return s.start.ready }
+// Ready reports whether the node has at some time had all of the newest
+// versions in force, as they were when it became informed. A node that falls
+// behind later keeps serving with what it has.
+func (s *State) Ready() bool { return s.startup.ready }
 
-// SetPeers tells the nodes that are alive, all and those of the own region; the
-// own node may be among them. complete says that these are all: a node that
-// still joins would take itself for a poller or root. The slices are kept and
-// must not be modified.
-func (s *State) SetPeers(all, near []Peer, complete bool) {
-	s.peers, s.near, s.complete = all, near, complete
-	s.others = len(all)
+// SetPeers sets the live nodes, all of them and those of this node's region;
+// both may include this node. complete says whether the list is the whole
+// fleet: with a partial list a joining node would take itself for a poller or
+// root. The slices are kept and must not be modified.
+func (s *State) SetPeers(all, region []Peer, complete bool) {
+	s.peers, s.regionPeers, s.peersComplete = all, region, complete
+	s.otherCount = len(all)
 	if slices.ContainsFunc(all, func(p Peer) bool { return p.ID == s.self.ID }) {
-		s.others--
+		s.otherCount--
 	}
 }
 
-// someone draws one of the other nodes; there must be one.
-func (s *State) someone() Peer {
+// randomPeer returns a random other node; there must be at least one.
+func (s *State) randomPeer() Peer {
 	for {
 		if p := s.peers[s.rng.IntN(len(s.peers))]; p.ID != s.self.ID {
 			return p
@@ -139,14 +140,14 @@
 	}
 }
 
-// Learn takes a head that other nodes hold for accepted.
+// Learn handles a head that other nodes report as accepted.
 func (s *State) Learn(now time.Duration, h confset.Head) []Action {
 	s.learn(now, h)
-	return s.take()
+	return s.takeActions()
 }
 
-// Hint takes an unproven claim that a version was accepted: the head row is
-// read before anything else happens.
+// Hint handles an unconfirmed claim that a version was accepted: the head row
+// is read before anything else happens.
 func (s *State) Hint(now time.Duration, t request.Tenant, version int64) []Action {
 	x, ok := s.tenant(t)
 	if ok && version > x.known.Version {
@@ -154,71 +155,73 @@
 		x.hint.until = now + s.cfg.HintFor
 		s.followHint(now, t, x)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// Tick makes what is due happen.
+// Tick runs everything that is due: timeouts, startup, polls, fetches and
+// answers.
 func (s *State) Tick(now time.Duration) []Action {
-	s.expire(now)
-	s.tickStart(now)
+	s.expireCalls(now)
+	s.tickStartup(now)
 	s.tickPolls(now)
-	for _, name := range slices.Clone(s.order) {
+	for _, name := range slices.Clone(s.tenantNames) {
 		x := s.tenants[name]
 		s.followHint(now, name, x)
-		s.fetch(now, x)
+		s.fetchIfDue(now, x)
 		s.answerWaiters(now, x)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// take returns the actions gathered so far.
-func (s *State) take() []Action {
-	out := s.out
-	s.out = nil
+// takeActions returns the pending actions and clears them.
+func (s *State) takeActions() []Action {
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-func (s *State) do(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-// maxTenants bounds what hints and heads of any origin may make a node keep.
+// maxTenants limits the tenants that hints and heads from any source can make a
+// node keep.
 const maxTenants = 1024
 
-// tenant returns what is known of a tenant, creating it; ok is false if there
-// can be no such tenant.
+// tenant returns the state of a tenant and creates it if needed; ok is false
+// for an invalid name or too many tenants.
 func (s *State) tenant(name request.Tenant) (x *tenant, ok bool) {
 	if x, ok := s.tenants[name]; ok {
 		return x, true
 	}
-	if len(name) == 0 || len(name) > confset.MaxTenantName || len(s.order) >= maxTenants {
+	if len(name) == 0 || len(name) > confset.MaxTenantName || len(s.tenantNames) >= maxTenants {
 		s.stats.Refused++
 		return nil, false
 	}
 	x = &tenant{known: confset.Head{Tenant: name}}
 	s.tenants[name] = x
-	i, _ := slices.BinarySearch(s.order, name)
-	s.order = slices.Insert(s.order, i, name)
+	i, _ := slices.BinarySearch(s.tenantNames, name)
+	s.tenantNames = slices.Insert(s.tenantNames, i, name)
 	return x, true
 }
 
-// forget drops a tenant that turned out to have no set.
-func (s *State) forget(name request.Tenant) {
-	if i, found := slices.BinarySearch(s.order, name); found && s.tenants[name].known.Version == 0 {
+// removeIfUnknown removes a tenant of which no version is known.
+func (s *State) removeIfUnknown(name request.Tenant) {
+	if i, found := slices.BinarySearch(s.tenantNames, name); found && s.tenants[name].known.Version == 0 {
 		delete(s.tenants, name)
-		s.order = slices.Delete(s.order, i, i+1)
+		s.tenantNames = slices.Delete(s.tenantNames, i, i+1)
 	}
 }
 
-// version returns the version in force, 0 if none.
-func (x *tenant) version() int64 {
+// heldVersion returns the version in force, 0 if none.
+func (x *tenant) heldVersion() int64 {
 	if x.held == nil {
 		return 0
 	}
 	return x.held.Head().Version
 }
 
-// learn notes a head if it is newer. Two heads of one version can't both be
-// accepted; the one heard first stays, so that they don't chase each other
-// through the fleet, and the digest decides when the set is fetched.
+// learn records a head if it is newer. Two heads with the same version can't
+// both be accepted: the first one received stays, so that they don't replace
+// each other across the fleet, and the digest decides when the set is fetched.
 func (s *State) learn(now time.Duration, h confset.Head) {
 	if h.Version <= 0 {
 		return
@@ -233,34 +236,33 @@
 	if h.Version <= x.known.Version {
 		return
 	}
-	if x.version() >= x.known.Version {
-		x.behind = now
+	if x.heldVersion() >= x.known.Version {
+		x.behindSince = now
 	}
 	x.known = h
-	x.attempt, x.next = 0, min(x.next, now+s.cfg.Spacing)
-	s.do(Spread{Head: h})
-	s.fetch(now, x)
+	x.failures, x.nextFetch = 0, min(x.nextFetch, now+s.cfg.Spacing)
+	s.emit(Spread{Head: h})
+	s.fetchIfDue(now, x)
 }
 
-// install puts a set in force. It is the one place that does.
+// install puts a set in force. No other function does.
 //
-// Symptom of its absence: after an outage or a pause a node serves by an older
-// version again, seen as a version in force that falls. An answer that was on
-// its way before the pause arrives after a newer one. Only a higher version
-// passes here, so whatever arrives late changes nothing.
+// It accepts only a higher version, so a late answer changes nothing. Otherwise
+// an answer delayed by an outage or a pause could arrive after a newer one and
+// lower the version in force.
 func (s *State) install(now time.Duration, x *tenant, p *confset.Packed, by Source) {
 	h := p.Head()
-	if h.Version <= x.version() {
+	if h.Version <= x.heldVersion() {
 		return
 	}
 	if x.held != nil {
 		p = p.Following(x.held)
 	}
-	x.held, x.whole, x.wrong = p, nil, false
-	x.behind = now
+	x.held, x.compressedBody, x.deltaRejected = p, nil, false
+	x.behindSince = now
 	s.index = s.index.With(p.Set())
 	s.stats.Installed++
-	s.do(Install{Head: h, Index: s.index, By: by})
+	s.emit(Install{Head: h, Index: s.index, By: by})
 	s.learn(now, h)
 	s.answerWaiters(now, x)
 	s.checkReady()
--- a/internal/core/inforce/tree.go
+++ b/internal/core/inforce/tree.go
@@ -9,55 +9,57 @@
 	"peardrift/internal/core/request"
 )
 
-// salt names one order of the members: that of a tenant's version, or of its
-// pollers.
-type salt struct {
+// ordering identifies one pseudo-random order of the members: that of a
+// tenant's version, or that of its pollers.
+type ordering struct {
 	tenant  uint64
 	version uint64
-	extra   uint64
+	variant uint64
 }
 
-func saltOf(t request.Tenant, version int64, extra int) salt {
-	return salt{tenant: xxhash.Sum64String(string(t)), version: uint64(version), extra: uint64(extra)}
+func newOrdering(t request.Tenant, version int64, variant int) ordering {
+	return ordering{tenant: xxhash.Sum64String(string(t)), version: uint64(version), variant: uint64(variant)}
 }
 
-// position places a member in the order.
-func (s salt) position(id request.TargetID) uint64 { return id.Order(s.tenant, s.version, s.extra) }
+// position returns a member's position in the order.
+func (o ordering) position(id request.TargetID) uint64 {
+	return id.Order(o.tenant, o.version, o.variant)
+}
 
-// among reports whether self is one of the first n in the order. Most nodes see
-// n predecessors after a few peers; only the first ones look at all of them.
-func (s salt) among(n int, self request.TargetID, peers []Peer) bool {
-	mine := s.position(self)
+// isAmongFirst reports whether self is one of the first n in the order. Most
+// nodes find n predecessors after a few peers; only the first ones scan all of
+// them.
+func (o ordering) isAmongFirst(n int, self request.TargetID, peers []Peer) bool {
+	own := o.position(self)
 	for _, p := range peers {
 		if n <= 0 {
 			return false
 		}
-		if s.position(p.ID) < mine {
+		if o.position(p.ID) < own {
 			n--
 		}
 	}
 	return n > 0
 }
 
-// parent returns whom self asks: the member nearest to the position that is
-// fanout times closer to zero than its own. ok is false for a root, one of the
-// first n.
+// parent returns the peer that self asks: the member nearest to self's position
+// divided by fanout. ok is false for a root, one of the first n.
 //
-// A parent's position is always below its child's, whatever either of them
-// knows of the members. So nodes with different views never wait for each other
-// in a circle.
-func (s salt) parent(n, fanout int, self request.TargetID, peers []Peer) (best Peer, ok bool) {
-	mine := s.position(self)
-	aim := mine / uint64(fanout)
+// A parent's position is always below its child's, whatever members either of
+// them knows. So nodes with different membership views never wait for each
+// other in a cycle.
+func (o ordering) parent(n, fanout int, self request.TargetID, peers []Peer) (best Peer, ok bool) {
+	own := o.position(self)
+	target := own / uint64(fanout)
 	before := 0
 	nearest := uint64(math.MaxUint64)
 	for _, p := range peers {
-		at := s.position(p.ID)
-		if at >= mine {
+		at := o.position(p.ID)
+		if at >= own {
 			continue
 		}
 		before++
-		if d := distance(at, aim); d < nearest {
+		if d := distance(at, target); d < nearest {
 			nearest, best = d, p
 		}
 	}
@@ -71,9 +73,11 @@
 	return b - a
 }
 
-// treeOf is the order in which a version travels; attempt numbers other trees
-// for those whose parent did not help.
-func treeOf(h confset.Head, attempt int) salt { return saltOf(h.Tenant, h.Version, attempt) }
+// treeOrdering returns the order that defines the tree of a version; each
+// attempt uses another tree, for nodes whose parent did not help.
+func treeOrdering(h confset.Head, attempt int) ordering {
+	return newOrdering(h.Tenant, h.Version, attempt)
+}
 
-// pollersOf is the order of a tenant's pollers.
-func pollersOf(t request.Tenant) salt { return saltOf(t, -1, 0) }
+// pollerOrdering returns the order that selects a tenant's pollers.
+func pollerOrdering(t request.Tenant) ordering { return newOrdering(t, -1, 0) }
