--- a/internal/core/confset/confset_test.go
+++ b/internal/core/confset/confset_test.go
@@ -54,7 +54,7 @@
 	}
 	track, _ := idx.Service("claimtrack.kalahari")
 	_, ok = track.Match("GET", "/claims")
-	is.New(t).True(!ok) // a prefix that ends with a slash needs it
+	is.New(t).True(!ok) // a prefix with a trailing slash requires it
 }
 
 func TestIndex(t *testing.T) {
@@ -69,7 +69,7 @@
 	next.Services = next.Services[:1]
 	next.Services[0].Calls = nil
 	_, ok := other.With(next).Service("claimtrack.kalahari")
-	is.True(!ok) // a set replaces its tenant's earlier one whole
+	is.True(!ok) // a set replaces all of its tenant's previous one
 	info, _ := other.Service("settleworks.kalahari")
 	is.True(info.Accepts("khaosan") && info.Accepts("kalahari") && !info.Accepts("other"))
 	var none *Index
@@ -110,7 +110,7 @@
 		"services[1].name", "services[1].calls[1]",
 	} {
 		if !slices.Contains(fields, want) {
-			t.Errorf("no problem of %s in %v", want, fields)
+			t.Errorf("no problem for %s in %v", want, fields)
 		}
 	}
 }
@@ -125,13 +125,13 @@
 	is.NoErr(err)
 	_, digestB, err := Encode(b)
 	is.NoErr(err)
-	is.Equal(digestA, digestB) // order and version are no part of the content
+	is.Equal(digestA, digestB) // order and version are not part of the content
 	got, err := Decode(bodyA, digestA, 3)
 	is.NoErr(err)
 	is.Equal(got, Canonical(a))
 	bodyA[len(bodyA)/2] ^= 1
 	_, err = Decode(bodyA, digestA, 3)
-	is.True(err != nil) // a changed byte is noticed
+	is.True(err != nil) // a changed byte is detected
 	back, err := ParseDigest(digestA.String())
 	is.NoErr(err)
 	is.Equal(back, digestA)
@@ -149,5 +149,5 @@
 		{Field: "services[settleworks].classes[approve].importance", Old: "95", New: "99"},
 		{Field: "share", Old: "0.5", New: "0.25"},
 	})
-	is.True(len(Diff(Set{}, b)) > 10) // all of a first set is new
+	is.True(len(Diff(Set{}, b)) > 10) // everything in a first set is new
 }
--- a/internal/core/confset/diff.go
+++ b/internal/core/confset/diff.go
@@ -17,10 +17,10 @@
 	New   string `json:"new,omitempty"` // empty: not in the new set
 }
 
-// Diff returns what differs between two sets, in the order of the fields.
-// Versions are not compared.
+// Diff returns the differences between two sets, sorted by field. Versions are
+// not compared.
 func Diff(from, to Set) []Difference {
-	a, b := fieldsOf(from), fieldsOf(to)
+	a, b := flattenFields(from), flattenFields(to)
 	var out []Difference
 	for _, field := range slices.Sorted(maps.Keys(union(a, b))) {
 		if a[field] != b[field] {
@@ -36,8 +36,9 @@
 	return all
 }
 
-// fieldsOf flattens a set to its fields in words; what is empty is left out.
-func fieldsOf(s Set) map[string]string {
+// flattenFields flattens a set to a map from field to text; empty fields are
+// left out.
+func flattenFields(s Set) map[string]string {
 	out := make(map[string]string)
 	if s.Tenant == "" {
 		return out
@@ -60,7 +61,8 @@
 	return out
 }
 
-// putOrganisation tells that keys changed by a checksum over all of them.
+// putOrganisation represents the keys by their count and a checksum over all of
+// them, so that a change of keys is visible.
 func putOrganisation(out map[string]string, at string, o Organisation) {
 	sum := sha256.New()
 	for _, k := range canonicalOrganisation(o).Keys {
--- a/internal/core/confset/doc.go
+++ b/internal/core/confset/doc.go
@@ -1,16 +1,15 @@
-// Package confset is the model of a tenant's configuration set: what its
-// operators declare about their services, request classes and share.
+// Package confset models a tenant's configuration set: what its operators
+// declare about their services, request classes and share.
 //
-// A Set is always whole: it is validated as a whole (Validate reports all
-// problems at once), kept as a whole under the digest of its canonical bytes
-// (Encode, DigestOf), and replaces the tenant's earlier set as a whole. What
-// travels between nodes may be a Delta, which is applied only if the result
-// has the digest that was announced.
+// A Set is validated as a whole (Validate reports all problems at once), stored
+// as a whole under the digest of its canonical encoding (Encode), and replaces
+// the tenant's previous set as a whole. Nodes may exchange a Delta instead,
+// which is applied only if the result has the announced digest.
 //
-// Callers: the operators' tool builds a Set from files, validates and encodes
-// it; a node decodes it, and compiles the sets of all tenants into an Index
-// that the traffic path reads.
+// The operators' tool builds a Set from files, validates and encodes it. A node
+// decodes it and compiles the sets of all tenants into an Index for the traffic
+// path.
 //
-// Concurrency: a Set is a plain value that its owner must not change once it
-// has handed it on. An Index is immutable and may be read from any goroutine.
+// A Set is a plain value that must not be changed once it has been handed on.
+// An Index is immutable and safe for concurrent reads.
 package confset
--- a/internal/core/confset/encode.go
+++ b/internal/core/confset/encode.go
@@ -14,44 +14,46 @@
 	"peardrift/internal/status"
 )
 
-// MaxEncoded bounds the canonical bytes of a set.
+// MaxEncoded is the maximum size of a set's canonical encoding, in bytes.
 const MaxEncoded = 4 << 20
 
-// format is the first field of canonical bytes and of what a digest is over.
-const format = 1
+// formatVersion is the first field of the canonical encoding, and part of the
+// input of the digest.
+const formatVersion = 1
 
 // Digest identifies a set's content: the SHA-256 over its tenant, its share and
 // the SHA-256 of each of its services in the order of their names. So a change
-// of one service costs the hashing of that one, and a node that does not know
-// some field of a newer version still verifies what it was sent.
+// of one service requires hashing only that service, and a node that does not
+// know a field of a newer format still verifies what it receives.
 type Digest [sha256.Size]byte
 
 // String returns the digest as 64 hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// IsZero reports whether the digest was never set.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// ParseDigest is the inverse of String.
+// ParseDigest is the inverse of String. It returns CodeProtocol for invalid
+// text.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(d) {
-		return d, status.New(status.CodeProtocol, "%q is no digest", s)
+		return d, status.New(status.CodeProtocol, "%q is not a digest", s)
 	}
 	copy(d[:], b)
 	return d, nil
 }
 
-// Head names one accepted set: what nodes tell each other of it.
+// Head identifies an accepted set; nodes announce it to each other.
 type Head struct {
 	Tenant  request.Tenant
 	Version int64
 	Digest  Digest
 }
 
-// whole is the form of a set's canonical bytes.
-type whole struct {
+// encodedSet is the layout of a set's canonical encoding.
+type encodedSet struct {
 	Format   int                  `msgpack:"f"`
 	Tenant   request.Tenant       `msgpack:"t"`
 	Share    float64              `msgpack:"s"`
@@ -60,7 +62,7 @@
 	Organisations []msgpack.RawMessage `msgpack:"o,omitempty"` // by name
 }
 
-// Encode returns the canonical bytes of a set, without its version, and its
+// Encode returns the canonical encoding of a set, without its version, and its
 // digest.
 func Encode(s Set) ([]byte, Digest, error) {
 	p, err := Pack(s)
@@ -72,21 +74,21 @@
 }
 
 // Decode is the inverse of Encode for a set that was accepted as the given
-// version. It refuses bytes with another digest and sets that are not valid.
+// version. It returns an error if the digest differs or the set is invalid.
 func Decode(body []byte, want Digest, version int64) (Set, error) {
-	var w whole
-	if err := unmarshal(body, &w); err != nil {
+	var encoded encodedSet
+	if err := unmarshal(body, &encoded); err != nil {
 		return Set{}, err
 	}
-	p, err := unpack(w, Head{Tenant: w.Tenant, Version: version, Digest: want})
+	p, err := unpack(encoded, Head{Tenant: encoded.Tenant, Version: version, Digest: want})
 	if err != nil {
 		return Set{}, err
 	}
 	return p.Set(), nil
 }
 
-// Canonical returns a copy of s in which everything whose order has no meaning
-// is sorted: sets that mean the same have the same canonical form.
+// Canonical returns a copy of s with all lists sorted whose order has no
+// meaning: equivalent sets have the same canonical form.
 func Canonical(s Set) Set {
 	s.Services = slices.Clone(s.Services)
 	for i := range s.Services {
@@ -111,8 +113,8 @@
 	return s
 }
 
-// marshal encodes deterministically: struct fields in their order, integers in
-// their shortest form.
+// marshal encodes deterministically: struct fields in declaration order,
+// integers in their shortest form.
 func marshal(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -125,10 +127,10 @@
 
 func unmarshal(body []byte, v any) error {
 	if len(body) > MaxEncoded {
-		return status.New(status.CodeTooLarge, "%d bytes, at most %d are allowed", len(body), MaxEncoded)
+		return status.New(status.CodeTooLarge, "encoding has %d bytes, at most %d are allowed", len(body), MaxEncoded)
 	}
 	if err := mpack.Unmarshal(body, v); err != nil {
-		return status.Wrap(status.CodeProtocol, err, "undecodable set")
+		return status.Wrap(status.CodeProtocol, err, "cannot decode set")
 	}
 	return nil
 }
--- a/internal/core/confset/index.go
+++ b/internal/core/confset/index.go
@@ -9,15 +9,15 @@
 	"peardrift/internal/core/request"
 )
 
-// Index holds the sets of all tenants in the form in which traffic asks for
-// them. It is immutable; the zero value and nil are empty indexes.
+// Index holds the sets of all tenants in compiled form for lookups by the
+// traffic path. It is immutable; the zero value and nil are empty indexes.
 type Index struct {
 	services map[request.Service]*ServiceInfo
 	tenants  map[request.Tenant]tenantInfo
 	routes   map[string][]*RouteInfo // by host, longest prefix first
 
 	organisations map[request.Organisation]*OrganisationInfo
-	callers       map[request.Tenant]callers
+	byKey         map[request.Tenant]organisationsByKey
 }
 
 type tenantInfo struct {
@@ -26,7 +26,7 @@
 	organisations []Organisation
 }
 
-// NewIndex compiles validated sets, at most one for each tenant.
+// NewIndex compiles validated sets, at most one per tenant.
 func NewIndex(sets ...Set) *Index {
 	idx := &Index{}
 	for _, s := range sets {
@@ -35,9 +35,9 @@
 	return idx
 }
 
-// With returns an index in which the tenant's set is replaced by s; the
-// receiver is not changed. Services that stay the same are compiled anew, so
-// counters must be kept by name and not by *ServiceInfo.
+// With returns an index in which s replaces the tenant's set; the receiver is
+// not changed. Unchanged services are compiled again too, so counters must be
+// keyed by name and not by *ServiceInfo.
 func (x *Index) With(s Set) *Index {
 	next := &Index{
 		services: make(map[request.Service]*ServiceInfo, len(s.Services)),
@@ -56,12 +56,12 @@
 		info := newServiceInfo(s.Tenant, svc)
 		next.services[info.Name] = info
 	}
-	next.routes = routesOf(next.services)
-	next.organise()
+	next.routes = compileRoutes(next.services)
+	next.compileOrganisations()
 	return next
 }
 
-// Service looks up a service by the name that callers address, for example
+// Service looks up a service by the name that callers use, for example
 // "feed.khaosan". It does not allocate.
 func (x *Index) Service(name request.Service) (*ServiceInfo, bool) {
 	if x == nil {
@@ -71,7 +71,8 @@
 	return info, ok
 }
 
-// Share returns the tenant's share of contended capacity, 0 if it has no set.
+// Share returns the tenant's share of capacity under contention, 0 if it has no
+// set.
 func (x *Index) Share(t request.Tenant) float64 {
 	if x == nil {
 		return 0
@@ -103,7 +104,7 @@
 	return slices.Sorted(maps.Keys(x.services))
 }
 
-// ServiceInfo is one compiled service. Its fields are read only.
+// ServiceInfo is a compiled service. Its fields are read-only.
 type ServiceInfo struct {
 	Name        request.Service
 	Tenant      request.Tenant
@@ -126,12 +127,12 @@
 		Classes:     slices.Clone(s.Classes),
 		Routes:      s.Routes,
 	}
-	slices.SortStableFunc(info.Classes, byPrecedence)
+	slices.SortStableFunc(info.Classes, compareClasses)
 	return info
 }
 
-// byPrecedence puts longer paths first, then classes that name a method.
-func byPrecedence(a, b Class) int {
+// compareClasses orders longer paths first, then classes that name a method.
+func compareClasses(a, b Class) int {
 	return cmp.Or(
 		cmp.Compare(len(b.Path), len(a.Path)),
 		cmp.Compare(a.Path, b.Path),
@@ -142,12 +143,12 @@
 // Match returns the class of a request by its method and its decoded path
 // without the query. It does not allocate.
 //
-// A path that a target may resolve to another one ("//", "/./", "/../", no
-// leading slash) matches nothing. Otherwise a caller could send an
-// at-most-once request as "/feed/../payouts", have it classed as a plain read,
-// and run it twice; nobody would notice before the second payout.
+// A path that a target may normalise to another one ("//", "/./", "/../", no
+// leading slash) matches nothing. Otherwise a caller could send an at-most-once
+// request as "/feed/../payouts" and have it classified as a plain read, so it
+// could run twice, unnoticed until the second payout.
 func (s *ServiceInfo) Match(method, path string) (*Class, bool) {
-	if !isClean(path) {
+	if !isCleanPath(path) {
 		return nil, false
 	}
 	for i := range s.Classes {
@@ -159,7 +160,7 @@
 	return nil, false
 }
 
-// Class looks up a class by its name. It does not allocate.
+// Class looks up a class by name. It does not allocate.
 func (s *ServiceInfo) Class(name request.Class) (*Class, bool) {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -174,12 +175,12 @@
 	return t == s.Tenant || slices.Contains(s.Allow, t)
 }
 
-// MayCall reports whether this service declares calls to the named one.
+// MayCall reports whether this service declares calls to the named service.
 func (s *ServiceInfo) MayCall(name request.Service) bool {
 	return slices.Contains(s.Calls, name)
 }
 
-// hasPathPrefix reports whether prefix covers whole segments of path.
+// hasPathPrefix reports whether prefix matches whole segments of path.
 func hasPathPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
@@ -187,9 +188,9 @@
 	return len(path) == len(prefix) || strings.HasSuffix(prefix, "/") || path[len(prefix)] == '/'
 }
 
-// isClean reports whether path starts with a slash and has no empty, "." or
+// isCleanPath reports whether path starts with a slash and has no empty, "." or
 // ".." segment except an empty last one.
-func isClean(path string) bool {
+func isCleanPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
 	}
--- a/internal/core/confset/organisation.go
+++ b/internal/core/confset/organisation.go
@@ -14,36 +14,37 @@
 	"peardrift/internal/status"
 )
 
-// Organisation is who calls: it holds API keys, a rank and a rate limit. Unlike a
-// tenant it declares nothing. Where a set has organisations, each request from
+// Organisation is a caller with API keys, a rank and a rate limit. Unlike a
+// tenant it declares no services. If a set has organisations, each request from
 // outside needs a key of one of them, unless its route is anonymous.
 type Organisation struct {
-	// Name is what targets are told of the organisation, unique in the set.
+	// Name is the name that is passed to targets, unique in the set.
 	Name request.Organisation `msgpack:"n"`
 
-	// Keys are the digests of its API keys. A key itself is kept nowhere.
+	// Keys are the digests of its API keys. The keys themselves are not stored.
 	Keys []KeyDigest `msgpack:"k,omitempty"`
 
-	// Rank goes before a route's importance: the requests of an organisation of
-	// a higher number are refused before those of a lower one. 0 to MaxRank.
+	// Rank takes precedence over a route's importance: requests of
+	// organisations with a higher rank number are refused before those with a
+	// lower one. 0 to MaxRank.
 	Rank int `msgpack:"p,omitempty"`
 
-	// Rate is how many requests a second it may send, over all nodes; 0: any
-	// number.
+	// Rate is the limit in requests per second over all nodes; 0 means
+	// unlimited.
 	Rate float64 `msgpack:"r,omitempty"`
 
-	// Burst is how many requests beyond its rate it may send at once. Only with a
-	// rate.
+	// Burst is the number of requests that it may send at once beyond its rate.
+	// It only applies with a rate.
 	Burst float64 `msgpack:"b,omitempty"`
 }
 
-// Bounds of what organisations may declare.
+// Limits of organisations.
 const (
 	MaxOrganisations     = 10_000
-	MaxKeys              = 64 // of an organisation
+	MaxKeys              = 64 // per organisation
 	MaxRank              = 9
 	MaxRate              = 10_000_000
-	maxOrganisationBytes = 200 // of a name, so that it fits a header
+	maxOrganisationBytes = 200 // of a name, so that it fits in a header
 )
 
 // KeyDigest is the SHA-256 digest of an API key.
@@ -52,70 +53,73 @@
 // DigestKey returns the digest of an API key. It does not allocate.
 func DigestKey(key []byte) KeyDigest { return sha256.Sum256(key) }
 
-// NewKey draws an API key of 160 random bits.
+// NewKey returns a new API key of 160 random bits.
 func NewKey() string {
 	var b [20]byte
 	_, _ = rand.Read(b[:]) // documented never to fail
 	return strings.ToLower(base32.StdEncoding.EncodeToString(b[:]))
 }
 
-// keyPrefix names the hash in the written form of a digest.
+// keyPrefix names the hash function in the text form of a digest.
 const keyPrefix = "sha256-"
 
 // String returns the digest as operators write it: "sha256-" and 64 hexadecimal
 // digits.
 func (d KeyDigest) String() string { return keyPrefix + hex.EncodeToString(d[:]) }
 
-// ParseKeyDigest is the inverse of String. Its failure doesn't repeat the text, which
-// may be a key that was put in a digest's place.
+// ParseKeyDigest is the inverse of String. Its error does not contain the text,
+// which may be a key entered in place of a digest.
 func ParseKeyDigest(s string) (KeyDigest, error) {
 	var d KeyDigest
 	b, err := hex.DecodeString(strings.TrimPrefix(s, keyPrefix))
 	if err != nil || len(b) != len(d) || !strings.HasPrefix(s, keyPrefix) {
-		return d, status.New(status.CodeInvalidSet, "not the digest of a key: must be %s and %d hexadecimal digits", keyPrefix, 2*len(d))
+		return d, status.New(status.CodeInvalidSet, "invalid key digest: must be %s and %d hexadecimal digits", keyPrefix, 2*len(d))
 	}
 	copy(d[:], b)
 	return d, nil
 }
 
-// OrganisationInfo is one compiled organisation. Its fields are read only.
+// OrganisationInfo is a compiled organisation. Its fields are read-only.
 type OrganisationInfo struct {
 	Name request.Organisation
-	// ID tells it from those of the same name in other tenants' sets.
+	// ID distinguishes it from organisations of the same name in other tenants'
+	// sets.
 	ID    request.Organisation
 	Rank  int
 	Rate  float64
 	Burst float64
 }
 
-// Importance returns that of a request of the organisation on a route of the given
-// importance. Ranks divide the scale evenly, and the route's importance orders the
-// requests within a rank.
+// Importance returns the importance of a request of the organisation on a route
+// of the given importance. Ranks divide the scale evenly, and the route's
+// importance orders the requests within a rank.
 func (o *OrganisationInfo) Importance(route request.Importance) request.Importance {
 	const perRank = int(request.MaxImportance) / (MaxRank + 1)
 	within := int(route) * perRank / (int(request.MaxImportance) + 1)
 	return request.Importance((MaxRank-o.Rank)*perRank + within)
 }
 
-// callers are the organisations that may call a tenant's services.
-type callers map[KeyDigest]*OrganisationInfo
+// organisationsByKey maps key digests to the organisations that may call a
+// tenant's services.
+type organisationsByKey map[KeyDigest]*OrganisationInfo
 
-// Keyed reports whether requests from outside to a tenant's services need a key.
+// Keyed reports whether requests from outside to a tenant's services need a
+// key.
 func (x *Index) Keyed(t request.Tenant) bool {
 	if x == nil {
 		return false
 	}
-	_, ok := x.callers[t]
+	_, ok := x.byKey[t]
 	return ok
 }
 
-// ByKey returns the organisation that holds a key for a tenant's services. It does not
-// allocate.
+// ByKey returns the organisation that holds a key for a tenant's services. It
+// does not allocate.
 func (x *Index) ByKey(t request.Tenant, key []byte) (*OrganisationInfo, bool) {
 	if x == nil || len(key) == 0 {
 		return nil, false
 	}
-	o, ok := x.callers[t][DigestKey(key)]
+	o, ok := x.byKey[t][DigestKey(key)]
 	return o, ok
 }
 
@@ -138,16 +142,16 @@
 	}
 }
 
-// organise compiles the organisations that the sets of an index declare.
-func (x *Index) organise() {
+// compileOrganisations compiles the organisations of all sets in the index.
+func (x *Index) compileOrganisations() {
 	x.organisations = make(map[request.Organisation]*OrganisationInfo)
-	x.callers = make(map[request.Tenant]callers)
+	x.byKey = make(map[request.Tenant]organisationsByKey)
 	for name, t := range x.tenants {
 		if len(t.organisations) == 0 {
 			continue
 		}
-		held := make(callers)
-		x.callers[name] = held
+		byKey := make(organisationsByKey)
+		x.byKey[name] = byKey
 		for _, o := range t.organisations {
 			info := &OrganisationInfo{
 				Name: o.Name, ID: request.Organisation(name) + "/" + o.Name,
@@ -155,7 +159,7 @@
 			}
 			x.organisations[info.ID] = info
 			for _, k := range o.Keys {
-				held[k] = info
+				byKey[k] = info
 			}
 		}
 	}
@@ -169,52 +173,52 @@
 
 func compareOrganisations(a, b Organisation) int { return cmp.Compare(a.Name, b.Name) }
 
-// organisations checks the organisations of a set. A problem names the place of a
-// key, never the key or its digest.
-func (v *validator) organisations(list []Organisation) {
-	root := at{service: -1, class: -1, item: -1}
+// checkOrganisations validates the organisations of a set. Problems name the
+// position of a key, never the key or its digest.
+func (v *validator) checkOrganisations(list []Organisation) {
+	root := fieldPath{service: -1, class: -1, index: -1}
 	if len(list) > MaxOrganisations {
-		v.fail(root.field("organisations"), "must have at most %d organisations", MaxOrganisations)
+		v.report(root.withKey("organisations"), "must have at most %d organisations", MaxOrganisations)
 		return
 	}
 	names := make(map[request.Organisation]bool, len(list))
 	holders := make(map[KeyDigest]request.Organisation)
 	for i, o := range list {
-		field := root.field("organisations").element(i)
-		if !isOrganisation(string(o.Name)) {
-			v.fail(field, "name must have 1 to %d printable characters without spaces", maxOrganisationBytes)
+		field := root.withKey("organisations").withIndex(i)
+		if !isOrganisationName(string(o.Name)) {
+			v.report(field, "name must have 1 to %d printable characters without spaces", maxOrganisationBytes)
 		}
 		if names[o.Name] {
-			v.fail(field, "name %q is already that of another organisation", o.Name)
+			v.report(field, "name %q is already used by another organisation", o.Name)
 		}
 		names[o.Name] = true
-		v.organisation(field, o)
+		v.checkOrganisation(field, o)
 		for j, k := range o.Keys {
 			if other, ok := holders[k]; ok {
-				v.fail(field, "keys[%d] is already a key of organisation %q", j, other)
+				v.report(field, "keys[%d] is already a key of organisation %q", j, other)
 			}
 			holders[k] = o.Name
 		}
 	}
 }
 
-func (v *validator) organisation(field at, o Organisation) {
+func (v *validator) checkOrganisation(path fieldPath, o Organisation) {
 	if len(o.Keys) > MaxKeys {
-		v.fail(field, "must have at most %d keys", MaxKeys)
+		v.report(path, "must have at most %d keys", MaxKeys)
 	}
 	if o.Rank < 0 || o.Rank > MaxRank {
-		v.fail(field, "rank must be 0 to %d", MaxRank)
+		v.report(path, "rank must be 0 to %d", MaxRank)
 	}
-	if !(o.Rate >= 0 && o.Rate <= MaxRate) { // also refuses NaN
-		v.fail(field, "rate must be 0 to %d", MaxRate)
+	if !(o.Rate >= 0 && o.Rate <= MaxRate) { // also rejects NaN
+		v.report(path, "rate must be 0 to %d", MaxRate)
 	}
 	if !(o.Burst >= 0 && o.Burst <= MaxRate) || math.IsInf(o.Burst, 0) {
-		v.fail(field, "burst must be 0 to %d", MaxRate)
+		v.report(path, "burst must be 0 to %d", MaxRate)
 	}
 }
 
-// isOrganisation reports whether a name may stand in a header.
-func isOrganisation(s string) bool {
+// isOrganisationName reports whether a name is valid in a header.
+func isOrganisationName(s string) bool {
 	if s == "" || len(s) > maxOrganisationBytes {
 		return false
 	}
--- a/internal/core/confset/organisation_test.go
+++ b/internal/core/confset/organisation_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-func TestKeysLeadToTheirOrganisation(t *testing.T) {
+func TestLookupByKey(t *testing.T) {
 	is := is.New(t)
 	idx := NewIndex(withOrganisations(3))
 	is.True(idx.Keyed("kalahari"))
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestOrganisationsAreChecked(t *testing.T) {
-	for name, breaks := range map[string]func(*Set){
+func TestValidateOrganisations(t *testing.T) {
+	for name, mutate := range map[string]func(*Set){
 		"one key in two organisations":  func(s *Set) { s.Organisations[2].Keys = s.Organisations[0].Keys[:1] },
 		"one key twice in organisation": func(s *Set) { s.Organisations[2].Keys = append(s.Organisations[2].Keys, s.Organisations[2].Keys[0]) },
 		"negative rate":                 func(s *Set) { s.Organisations[0].Rate = -1 },
@@ -71,22 +71,23 @@
 		"rank":                          func(s *Set) { s.Organisations[2].Rank = MaxRank + 1 },
 	} {
 		s := withOrganisations(3)
-		breaks(&s)
+		mutate(&s)
 		ps := Validate(s)
 		if len(ps) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
 		for _, p := range ps {
 			if !strings.HasPrefix(p.Field, "organisations[") || strings.Contains(p.Message, "key-") || strings.Contains(p.Message, "sha256") {
-				t.Errorf("%s: told as %v", name, p)
+				t.Errorf("%s: reported as %v", name, p)
 			}
 		}
 	}
 	is.New(t).Equal(len(Validate(withOrganisations(3))), 0)
 }
 
-// A key that is taken away travels as the one organisation that held it.
-func TestAChangedKeyTravelsAlone(t *testing.T) {
+// Guards against a removed key that causes more than its organisation to be
+// sent.
+func TestKeyChangeSendsOneOrganisation(t *testing.T) {
 	is := is.New(t)
 	old := mustPack(t, withOrganisations(3))
 	next := withOrganisations(4)
@@ -115,18 +116,19 @@
 	is.True(!strings.Contains(string(whole), "key-b"))
 }
 
-func TestSetsWithoutOrganisationsKeepTheirDigest(t *testing.T) {
+func TestDigestWithoutOrganisationsIsStable(t *testing.T) {
 	is := is.New(t)
 	s := testSet()
 	s.Organisations = []Organisation{}
 	is.Equal(mustPack(t, s).Head().Digest, mustPack(t, testSet()).Head().Digest)
-	is.Equal(mustPack(t, testSet()).Head().Digest.String(), digestBefore)
+	is.Equal(mustPack(t, testSet()).Head().Digest.String(), digestWithoutOrganisations)
 }
 
-// digestBefore is the digest of testSet before sets had organisations.
-const digestBefore = "6e686c9b18799096e2807cd57e993e6cc662838dd5d7738b6fbc5389c94d3d2c"
+// digestWithoutOrganisations is the digest of testSet from before sets had
+// organisations.
+const digestWithoutOrganisations = "6e686c9b18799096e2807cd57e993e6cc662838dd5d7738b6fbc5389c94d3d2c"
 
-func TestImportanceGoesByRankFirst(t *testing.T) {
+func TestImportanceOrdersByRankFirst(t *testing.T) {
 	is := is.New(t)
 	high, low := OrganisationInfo{Rank: 0}, OrganisationInfo{Rank: 1}
 	is.True(high.Importance(0) > low.Importance(request.MaxImportance))
@@ -140,7 +142,7 @@
 	}
 }
 
-func TestKeyDigestIsWrittenAndRead(t *testing.T) {
+func TestKeyDigestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	d := DigestKey([]byte("key-a"))
 	back, err := ParseKeyDigest(d.String())
--- a/internal/core/confset/packed.go
+++ b/internal/core/confset/packed.go
@@ -13,44 +13,44 @@
 	"peardrift/internal/status"
 )
 
-// Packed is an accepted set with its encoded services and, for each of them, up
-// to which version it may have changed last: enough to tell a peer that holds
-// an older version what changed since. It is immutable; the sets of successive
-// versions share the services that did not change.
+// Packed is an accepted set with its encoded services. For each service it has
+// an upper bound of the version that changed it last, which is enough to
+// compute a delta for a peer that holds an older version. It is immutable; the
+// sets of successive versions share the unchanged services.
 type Packed struct {
-	head    Head
-	share   float64
-	parts   []*part       // by name
-	removed []removedPart // by name
+	head            Head
+	share           float64
+	services        []*packedService // sorted by name
+	removedServices []removal        // sorted by name
 
-	organisations        []*packedOrganisation // by name
-	removedOrganisations []removedPart         // by name
+	organisations        []*packedOrganisation // sorted by name
+	removedOrganisations []removal             // sorted by name
 
-	floor int64 // nothing is known of what changed up to this version
+	historyStart int64 // changes up to this version are unknown
 }
 
-// part is one service.
-type part struct {
+// packedService is one service of a set in encoded form.
+type packedService struct {
 	service Service
 	body    []byte
 	digest  Digest
-	// changed is an upper bound of the version in which the service changed
+	// lastChanged is an upper bound of the version that changed the service
 	// last. A node that went from version 3 to 7 at once can't know which of
-	// them changed a service; it says 7, and a peer at 5 may get a service that
-	// it has already.
-	changed int64
-	past    []pastBody // what the service was before, newest first
+	// them changed a service; it records 7, and a peer at 5 may get a service
+	// that it has already.
+	lastChanged int64
+	history     []previousBody // previous encodings, newest first
 }
 
-type removedPart struct {
+type removal struct {
 	name    string
-	changed int64
+	version int64
 }
 
-// Pack encodes a set.
+// Pack encodes a set. It returns CodeTooLarge for a set that is too large.
 func Pack(s Set) (*Packed, error) {
 	s = Canonical(s)
-	p := &Packed{head: Head{Tenant: s.Tenant, Version: s.Version}, share: s.Share, floor: s.Version}
+	p := &Packed{head: Head{Tenant: s.Tenant, Version: s.Version}, share: s.Share, historyStart: s.Version}
 	size := 0
 	for _, svc := range s.Services {
 		body, err := marshal(svc)
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		size += len(body)
-		p.parts = append(p.parts, &part{service: svc, body: body, digest: sha256.Sum256(body), changed: s.Version})
+		p.services = append(p.services, &packedService{service: svc, body: body, digest: sha256.Sum256(body), lastChanged: s.Version})
 	}
 	var more int
 	var err error
@@ -69,49 +69,51 @@
 		return nil, status.New(status.CodeTooLarge,
 			"the set has %d bytes encoded, at most %d are allowed", size, MaxEncoded/2)
 	}
-	p.head.Digest = p.digest()
+	p.head.Digest = p.computeDigest()
 	return p, nil
 }
 
-// Unpack reads canonical bytes that must be the set that want names.
+// Unpack decodes a canonical encoding. It returns an error if the result is not
+// the set that want identifies.
 func Unpack(body []byte, want Head) (*Packed, error) {
-	var w whole
-	if err := unmarshal(body, &w); err != nil {
+	var encoded encodedSet
+	if err := unmarshal(body, &encoded); err != nil {
 		return nil, err
 	}
-	return unpack(w, want)
+	return unpack(encoded, want)
 }
 
-func unpack(w whole, want Head) (*Packed, error) {
-	if w.Format != format {
-		return nil, status.New(status.CodeProtocol, "a set in format %d", w.Format)
+func unpack(encoded encodedSet, want Head) (*Packed, error) {
+	if encoded.Format != formatVersion {
+		return nil, status.New(status.CodeProtocol, "unsupported set format %d", encoded.Format)
 	}
-	if w.Tenant != want.Tenant {
-		return nil, status.New(status.CodeProtocol, "the set of %s belongs to %s", want.Tenant, w.Tenant)
+	if encoded.Tenant != want.Tenant {
+		return nil, status.New(status.CodeProtocol, "expected a set of %s, got one of %s", want.Tenant, encoded.Tenant)
 	}
-	p := &Packed{head: want, share: w.Share, floor: want.Version}
-	for _, raw := range w.Services {
-		part, err := newPart(raw, want.Version)
+	p := &Packed{head: want, share: encoded.Share, historyStart: want.Version}
+	for _, raw := range encoded.Services {
+		packed, err := newPackedService(raw, want.Version)
 		if err != nil {
 			return nil, err
 		}
-		p.parts = append(p.parts, part)
+		p.services = append(p.services, packed)
 	}
 	var err error
-	if p.organisations, err = unpackOrganisations(w.Organisations, want.Version); err != nil {
+	if p.organisations, err = unpackOrganisations(encoded.Organisations, want.Version); err != nil {
 		return nil, err
 	}
 	return p, p.verify()
 }
 
-func newPart(raw msgpack.RawMessage, version int64) (*part, error) {
-	p := &part{body: slices.Clone(raw), digest: sha256.Sum256(raw), changed: version}
+func newPackedService(raw msgpack.RawMessage, version int64) (*packedService, error) {
+	p := &packedService{body: slices.Clone(raw), digest: sha256.Sum256(raw), lastChanged: version}
 	return p, unmarshal(raw, &p.service)
 }
 
-// verify refuses a set with another digest than its head's, or an invalid one.
+// verify returns an error if the digest differs from the head's, or if the set
+// is invalid.
 func (p *Packed) verify() error {
-	if got := p.digest(); got != p.head.Digest {
+	if got := p.computeDigest(); got != p.head.Digest {
 		return status.New(status.CodeProtocol, "version %d of %s has digest %v, want %v",
 			p.head.Version, p.head.Tenant, got, p.head.Digest)
 	}
@@ -122,31 +124,31 @@
 	return nil
 }
 
-func (p *Packed) digest() Digest {
+func (p *Packed) computeDigest() Digest {
 	h := sha256.New()
 	var number [8]byte
-	for _, n := range [...]uint64{format, math.Float64bits(p.share), uint64(len(p.parts)), uint64(len(p.head.Tenant))} {
+	for _, n := range [...]uint64{formatVersion, math.Float64bits(p.share), uint64(len(p.services)), uint64(len(p.head.Tenant))} {
 		binary.BigEndian.PutUint64(number[:], n)
 		h.Write(number[:])
 	}
 	h.Write([]byte(p.head.Tenant))
-	for _, part := range p.parts {
-		h.Write(part.digest[:])
+	for _, packed := range p.services {
+		h.Write(packed.digest[:])
 	}
-	sumOrganisations(h, p.organisations)
+	hashOrganisations(h, p.organisations)
 	var d Digest
 	h.Sum(d[:0])
 	return d
 }
 
-// Head returns what names the set.
+// Head returns the head that identifies the set.
 func (p *Packed) Head() Head { return p.head }
 
-// Set returns the set as a value; its services must not be changed.
+// Set returns the set as a value; its services must not be modified.
 func (p *Packed) Set() Set {
-	s := Set{Tenant: p.head.Tenant, Version: p.head.Version, Share: p.share, Services: make([]Service, len(p.parts))}
-	for i, part := range p.parts {
-		s.Services[i] = part.service
+	s := Set{Tenant: p.head.Tenant, Version: p.head.Version, Share: p.share, Services: make([]Service, len(p.services))}
+	for i, packed := range p.services {
+		s.Services[i] = packed.service
 	}
 	for _, o := range p.organisations {
 		s.Organisations = append(s.Organisations, o.organisation)
@@ -154,60 +156,60 @@
 	return s
 }
 
-// Bytes returns the canonical bytes.
+// Bytes returns the canonical encoding.
 func (p *Packed) Bytes() ([]byte, error) {
-	w := whole{
-		Format: format, Tenant: p.head.Tenant, Share: p.share,
-		Services: make([]msgpack.RawMessage, len(p.parts)), Organisations: bodiesOf(p.organisations),
+	encoded := encodedSet{
+		Format: formatVersion, Tenant: p.head.Tenant, Share: p.share,
+		Services: make([]msgpack.RawMessage, len(p.services)), Organisations: bodiesOf(p.organisations),
 	}
-	for i, part := range p.parts {
-		w.Services[i] = part.body
+	for i, packed := range p.services {
+		encoded.Services[i] = packed.body
 	}
-	return marshal(w)
+	return marshal(encoded)
 }
 
-// Delta is what changed between a version that a peer holds and a newer one.
+// Delta holds the changes from a version that a peer holds to a newer one.
 type Delta struct {
 	Tenant   request.Tenant       `msgpack:"t"`
 	Since    int64                `msgpack:"f"`
 	Version  int64                `msgpack:"o"`
 	Share    float64              `msgpack:"s"`
-	Services []msgpack.RawMessage `msgpack:"v,omitempty"` // new ones and changed ones
+	Services []msgpack.RawMessage `msgpack:"v,omitempty"` // new and changed services
 	Removed  []string             `msgpack:"r,omitempty"`
-	Patches  []Patch              `msgpack:"p,omitempty"` // changed services, as a change of what the peer holds
+	Patches  []Patch              `msgpack:"p,omitempty"` // changed services, as changes to what the peer holds
 
-	Organisations        []msgpack.RawMessage `msgpack:"g,omitempty"` // new ones and changed ones
+	Organisations        []msgpack.RawMessage `msgpack:"g,omitempty"` // new and changed organisations
 	RemovedOrganisations []string             `msgpack:"x,omitempty"`
 }
 
-// Since returns what changed after a version, as far as it is known here; the
-// peer finds out by the digest. ok is false if that version is newer than this
-// set or older than what is known.
+// Since returns the changes after a version, as far as they are known here; the
+// receiver verifies the result by its digest. ok is false if that version is
+// newer than this set or older than the known history.
 func (p *Packed) Since(version int64) (d Delta, ok bool) {
-	if version < p.floor || version > p.head.Version {
+	if version < p.historyStart || version > p.head.Version {
 		return Delta{}, false
 	}
 	d = Delta{Tenant: p.head.Tenant, Since: version, Version: p.head.Version, Share: p.share}
-	for _, part := range p.parts {
-		if part.changed <= version {
+	for _, packed := range p.services {
+		if packed.lastChanged <= version {
 			continue
 		}
-		if patch, ok := part.patchFrom(version); ok {
+		if patch, ok := packed.patchFrom(version); ok {
 			d.Patches = append(d.Patches, patch)
 		} else {
-			d.Services = append(d.Services, part.body)
+			d.Services = append(d.Services, packed.body)
 		}
 	}
-	for _, r := range p.removed {
-		if r.changed > version {
+	for _, r := range p.removedServices {
+		if r.version > version {
 			d.Removed = append(d.Removed, r.name)
 		}
 	}
-	p.organisationsSince(version, &d)
+	p.addOrganisationChanges(version, &d)
 	return d, true
 }
 
-// Encode returns the delta's bytes.
+// Encode returns the encoded delta.
 func (d Delta) Encode() ([]byte, error) { return marshal(d) }
 
 // DecodeDelta is the inverse of Delta.Encode.
@@ -216,90 +218,92 @@
 	return d, unmarshal(body, &d)
 }
 
-// With applies a delta and verifies that the result is the set that want names.
+// With applies a delta and verifies that the result is the set that want
+// identifies.
 func (p *Packed) With(d Delta, want Head) (*Packed, error) {
 	if d.Tenant != p.head.Tenant || want.Tenant != d.Tenant || d.Since != p.head.Version || d.Version != want.Version {
-		return nil, status.New(status.CodeProtocol, "a delta of %s from %d to %d for version %d of %s to reach %d of %s",
+		return nil, status.New(status.CodeProtocol, "delta of %s from version %d to %d does not lead from version %d of %s to version %d of %s",
 			d.Tenant, d.Since, d.Version, p.head.Version, p.head.Tenant, want.Version, want.Tenant)
 	}
-	next := &Packed{head: want, share: d.Share, floor: p.floor}
-	changed := make(map[string]*part, len(d.Services))
+	next := &Packed{head: want, share: d.Share, historyStart: p.historyStart}
+	changed := make(map[string]*packedService, len(d.Services))
 	for _, raw := range d.Services {
-		part, err := newPart(raw, d.Version)
+		packed, err := newPackedService(raw, d.Version)
 		if err != nil {
 			return nil, err
 		}
-		changed[part.service.Name] = part
+		changed[packed.service.Name] = packed
 	}
 	for i := range d.Patches {
-		part, err := p.patched(&d.Patches[i], d.Version)
+		packed, err := p.applyPatch(&d.Patches[i], d.Version)
 		if err != nil {
 			return nil, err
 		}
-		changed[part.service.Name] = part
+		changed[packed.service.Name] = packed
 	}
 	organisations, err := unpackOrganisations(d.Organisations, d.Version)
 	if err != nil {
 		return nil, err
 	}
-	next.merge(p, changed, nameSet(d.Removed))
+	next.mergeServices(p, changed, nameSet(d.Removed))
 	next.mergeOrganisations(p, organisations, nameSet(d.RemovedOrganisations))
 	return next, next.verify()
 }
 
-// Following returns p with what is known from an older version of the same
-// tenant: of services that did not change since, the bounds of that version.
-// Without it, who read the whole set could not tell anybody what changed in it.
+// Following returns p with the change history of an older version of the same
+// tenant: services that did not change since keep the bounds of that version.
+// Without it, a node that read a whole set could not send deltas to it.
 func (p *Packed) Following(old *Packed) *Packed {
-	next := &Packed{head: p.head, share: p.share, floor: old.floor}
-	changed := make(map[string]*part, len(p.parts))
-	for _, have := range p.parts {
-		part := *have
-		changed[part.service.Name] = &part
+	next := &Packed{head: p.head, share: p.share, historyStart: old.historyStart}
+	changed := make(map[string]*packedService, len(p.services))
+	for _, have := range p.services {
+		packed := *have
+		changed[packed.service.Name] = &packed
 	}
 	gone := make(map[string]bool)
-	for _, have := range old.parts {
+	for _, have := range old.services {
 		if _, ok := changed[have.service.Name]; !ok {
 			gone[have.service.Name] = true
 		}
 	}
-	next.merge(old, changed, gone)
-	next.mergeOrganisations(old, p.organisations, p.goneFrom(old))
+	next.mergeServices(old, changed, gone)
+	next.mergeOrganisations(old, p.organisations, p.organisationsRemovedSince(old))
 	return next
 }
 
-// merge fills a set with what an older one has, but for what changed.
-func (p *Packed) merge(old *Packed, changed map[string]*part, gone map[string]bool) {
-	p.parts = make([]*part, 0, len(old.parts)+len(changed))
-	for _, have := range old.parts {
+// mergeServices builds the services from an older set's and the changed and
+// removed ones.
+func (p *Packed) mergeServices(old *Packed, changed map[string]*packedService, gone map[string]bool) {
+	p.services = make([]*packedService, 0, len(old.services)+len(changed))
+	for _, have := range old.services {
 		name := have.service.Name
 		if next, ok := changed[name]; ok {
 			if next.digest == have.digest {
-				next = have // sent though it is the same: its bound stays lower
+				next = have // sent although unchanged: keep the lower bound
 			} else {
-				next.follow(have)
+				next.recordPrevious(have)
 			}
-			p.parts = append(p.parts, next)
+			p.services = append(p.services, next)
 			delete(changed, name)
 		} else if !gone[name] {
-			p.parts = append(p.parts, have)
+			p.services = append(p.services, have)
 		}
 	}
 	for _, next := range changed {
-		p.parts = append(p.parts, next)
+		p.services = append(p.services, next)
 	}
-	slices.SortFunc(p.parts, func(a, b *part) int { return cmp.Compare(a.service.Name, b.service.Name) })
-	p.keepRemoved(old, gone)
+	slices.SortFunc(p.services, func(a, b *packedService) int { return cmp.Compare(a.service.Name, b.service.Name) })
+	p.recordRemoved(old, gone)
 }
 
-// keepRemoved remembers which services are gone, with the new version for those
-// that went now.
-func (p *Packed) keepRemoved(old *Packed, gone map[string]bool) {
-	p.removed = removedSince(old.removed, gone, p.head.Version, p.has)
+// recordRemoved records which services are removed, at the new version for
+// those removed now.
+func (p *Packed) recordRemoved(old *Packed, gone map[string]bool) {
+	p.removedServices = mergeRemovals(old.removedServices, gone, p.head.Version, p.hasService)
 }
 
-func (p *Packed) has(name string) bool {
-	_, ok := slices.BinarySearchFunc(p.parts, name, func(q *part, name string) int {
+func (p *Packed) hasService(name string) bool {
+	_, ok := slices.BinarySearchFunc(p.services, name, func(q *packedService, name string) int {
 		return cmp.Compare(q.service.Name, name)
 	})
 	return ok
--- a/internal/core/confset/packed_organisation.go
+++ b/internal/core/confset/packed_organisation.go
@@ -10,14 +10,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// packedOrganisation is one organisation in its encoded form. Like a service's, its
-// bound on when it changed last tells what a peer lacks, so that a key that is added
-// or taken away travels as the one organisation that holds it.
+// packedOrganisation is one organisation in encoded form. As with services,
+// lastChanged determines what a delta contains, so a key that is added or
+// removed is sent as the one organisation that holds it.
 type packedOrganisation struct {
 	organisation Organisation
 	body         []byte
 	digest       Digest
-	changed      int64
+	lastChanged  int64
 }
 
 func (p *packedOrganisation) name() string { return string(p.organisation.Name) }
@@ -31,7 +31,7 @@
 			return nil, 0, err
 		}
 		size += len(body)
-		out = append(out, &packedOrganisation{organisation: o, body: body, digest: sha256.Sum256(body), changed: version})
+		out = append(out, &packedOrganisation{organisation: o, body: body, digest: sha256.Sum256(body), lastChanged: version})
 	}
 	return out, size, nil
 }
@@ -39,7 +39,7 @@
 func unpackOrganisations(raws []msgpack.RawMessage, version int64) ([]*packedOrganisation, error) {
 	out := make([]*packedOrganisation, 0, len(raws))
 	for _, raw := range raws {
-		p := &packedOrganisation{body: slices.Clone(raw), digest: sha256.Sum256(raw), changed: version}
+		p := &packedOrganisation{body: slices.Clone(raw), digest: sha256.Sum256(raw), lastChanged: version}
 		if err := unmarshal(raw, &p.organisation); err != nil {
 			return nil, err
 		}
@@ -48,9 +48,9 @@
 	return out, nil
 }
 
-// sumOrganisations adds the organisations to a set's digest. A set without any keeps
-// the digest that it had before there were organisations.
-func sumOrganisations(h hash.Hash, list []*packedOrganisation) {
+// hashOrganisations adds the organisations to a set's digest. A set without
+// organisations keeps the digest that it had before organisations existed.
+func hashOrganisations(h hash.Hash, list []*packedOrganisation) {
 	if len(list) == 0 {
 		return
 	}
@@ -70,23 +70,23 @@
 	return out
 }
 
-// organisationsSince adds to a delta what changed in the organisations after a
-// version.
-func (p *Packed) organisationsSince(version int64, d *Delta) {
+// addOrganisationChanges adds the changes of organisations after a version to a
+// delta.
+func (p *Packed) addOrganisationChanges(version int64, d *Delta) {
 	for _, o := range p.organisations {
-		if o.changed > version {
+		if o.lastChanged > version {
 			d.Organisations = append(d.Organisations, o.body)
 		}
 	}
 	for _, r := range p.removedOrganisations {
-		if r.changed > version {
+		if r.version > version {
 			d.RemovedOrganisations = append(d.RemovedOrganisations, r.name)
 		}
 	}
 }
 
-// mergeOrganisations fills a set with the organisations of an older one, but for
-// those that changed or are gone.
+// mergeOrganisations builds the organisations from an older set's and the
+// changed and removed ones.
 func (p *Packed) mergeOrganisations(old *Packed, changed []*packedOrganisation, gone map[string]bool) {
 	next := make(map[string]*packedOrganisation, len(changed))
 	for _, o := range changed {
@@ -107,7 +107,7 @@
 		p.organisations = append(p.organisations, o)
 	}
 	slices.SortFunc(p.organisations, func(a, b *packedOrganisation) int { return cmp.Compare(a.name(), b.name()) })
-	p.removedOrganisations = removedSince(old.removedOrganisations, gone, p.head.Version, p.hasOrganisation)
+	p.removedOrganisations = mergeRemovals(old.removedOrganisations, gone, p.head.Version, p.hasOrganisation)
 }
 
 func (p *Packed) hasOrganisation(name string) bool {
@@ -117,8 +117,9 @@
 	return ok
 }
 
-// goneFrom returns the names of the older set's organisations that p lacks.
-func (p *Packed) goneFrom(old *Packed) map[string]bool {
+// organisationsRemovedSince returns the names of the older set's organisations
+// that p lacks.
+func (p *Packed) organisationsRemovedSince(old *Packed) map[string]bool {
 	gone := make(map[string]bool)
 	for _, have := range old.organisations {
 		if !p.hasOrganisation(have.name()) {
@@ -128,19 +129,19 @@
 	return gone
 }
 
-// removedSince adds what is gone as of a version to what was removed before and is
-// not back.
-func removedSince(before []removedPart, gone map[string]bool, version int64, has func(string) bool) []removedPart {
-	var out []removedPart
+// mergeRemovals returns the earlier removals that are still in effect, and the
+// removals at the given version.
+func mergeRemovals(before []removal, gone map[string]bool, version int64, has func(string) bool) []removal {
+	var out []removal
 	for _, r := range before {
 		if !gone[r.name] && !has(r.name) {
 			out = append(out, r)
 		}
 	}
 	for name := range gone {
-		out = append(out, removedPart{name: name, changed: version})
+		out = append(out, removal{name: name, version: version})
 	}
-	slices.SortFunc(out, func(a, b removedPart) int { return cmp.Compare(a.name, b.name) })
+	slices.SortFunc(out, func(a, b removal) int { return cmp.Compare(a.name, b.name) })
 	return out
 }
 
--- a/internal/core/confset/packed_test.go
+++ b/internal/core/confset/packed_test.go
@@ -13,7 +13,8 @@
 	"peardrift/internal/core/request"
 )
 
-// largeSet has as many services as the whole target fleet.
+// largeSet returns a set with the given number of services, three callees and
+// four classes each.
 func largeSet(services int) Set {
 	s := Set{Tenant: "khaosan", Share: 0.5, Version: 1}
 	for i := range services {
@@ -42,10 +43,10 @@
 	return p
 }
 
-// Symptom: a node serves with a set that nobody accepted. Events: sets change,
-// services come and go; nodes skip versions and learn from each other by deltas.
-// Cause: a delta for another base, or one that lacks a change, was applied.
-func TestDeltasReachTheSetOrSaySo(t *testing.T) {
+// Guards against a node that installs a set that was never accepted: nodes skip
+// versions and learn from each other by deltas, and a delta for another base,
+// or one that lacks a change, is applied.
+func TestDeltaYieldsAnnouncedSetOrFails(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		history := drawHistory(rt)
 		nodes := make([]*Packed, rapid.IntRange(2, 4).Draw(rt, "nodes"))
@@ -56,7 +57,7 @@
 			i := rapid.IntRange(0, len(nodes)-1).Draw(rt, "node")
 			j := rapid.IntRange(0, len(nodes)-1).Draw(rt, "peer")
 			if rapid.Bool().Draw(rt, "whole") {
-				whole := readWhole(rt, nodes[i], history)
+				whole := unpackLaterVersion(rt, nodes[i], history)
 				nodes[i] = whole.Following(nodes[i])
 				if !equalSets(nodes[i].Set(), whole.Set()) {
 					rt.Fatalf("version %d is %v, want %v", whole.head.Version, nodes[i].Set(), whole.Set())
@@ -70,7 +71,7 @@
 			want := history[d.Version-1]
 			next, err := nodes[i].With(d, want.head)
 			if err != nil {
-				continue // noticed by the digest: fetched whole instead
+				continue // detected by the digest: fetched whole instead
 			}
 			if got := next.Set(); !equalSets(got, want.Set()) {
 				rt.Fatalf("version %d is %v, want %v", d.Version, got, want.Set())
@@ -80,7 +81,7 @@
 	})
 }
 
-// drawHistory returns successive versions of a set of up to five services.
+// drawHistory generates successive versions of a set of up to five services.
 func drawHistory(rt *rapid.T) []*Packed {
 	s := testSet()
 	s.Services = s.Services[:1]
@@ -110,7 +111,7 @@
 	return out
 }
 
-// drawOrganisations changes one of some organisations, or takes it away.
+// drawOrganisations changes, adds or removes one organisation.
 func drawOrganisations(rt *rapid.T, list []Organisation) []Organisation {
 	name := rapid.SampledFrom([]request.Organisation{"a", "b", "c"}).Draw(rt, "organisation")
 	list = slices.DeleteFunc(slices.Clone(list), func(o Organisation) bool { return o.Name == name })
@@ -121,8 +122,9 @@
 	return list
 }
 
-// readWhole fetches some version that is not older, by its bytes.
-func readWhole(rt *rapid.T, have *Packed, history []*Packed) *Packed {
+// unpackLaterVersion decodes the whole set of a random version that is not
+// older.
+func unpackLaterVersion(rt *rapid.T, have *Packed, history []*Packed) *Packed {
 	want := history[rapid.Int64Range(have.head.Version, int64(len(history))).Draw(rt, "version")-1]
 	body, err := want.Bytes()
 	if err != nil {
@@ -141,7 +143,7 @@
 	return errX == nil && errY == nil && string(x) == string(y) && a.Version == b.Version
 }
 
-func TestWrongDeltaIsRefused(t *testing.T) {
+func TestWrongDeltaIsRejected(t *testing.T) {
 	is := is.New(t)
 	old := testSet()
 	next := testSet()
@@ -162,7 +164,7 @@
 		is.True(err != nil)
 	}
 	_, ok := to.Since(3)
-	is.True(!ok) // packed as version 4, it can't know what changed before
+	is.True(!ok) // packed as version 4 without the earlier history
 	d, ok = got.Since(3)
 	is.True(ok)
 	is.Equal(len(d.Services), 0)
@@ -195,8 +197,8 @@
 	}
 }
 
-// BenchmarkDelta is what one change of one service costs a node: to answer a
-// peer, to apply the answer, and to compile the index.
+// BenchmarkDelta measures what a change of one service costs a node: answering
+// a peer, applying the answer, and compiling the index.
 func BenchmarkDelta(b *testing.B) {
 	s := largeSet(benchServices)
 	from := mustPack(b, s)
--- a/internal/core/confset/patch_test.go
+++ b/internal/core/confset/patch_test.go
@@ -6,14 +6,14 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a busy minute of configuration costs a node more than its budget for
-// control. Events: one number of a large service changes, again and again; peers
-// are one version behind or a few. Cause: the whole service travels each time.
-func TestSmallChangeTravelsAsPatch(t *testing.T) {
+// Guards against sending a whole service for a small change: when one number of
+// a large service changes repeatedly, this exceeds a node's control budget.
+// Peers are one or more versions behind.
+func TestSmallChangeIsSentAsPatch(t *testing.T) {
 	is := is.New(t)
 	set := largeSet(20)
 	held := []*Packed{mustPack(t, set)}
-	for v := int64(2); v <= 2+maxPast; v++ {
+	for v := int64(2); v <= 2+maxHistory; v++ {
 		set.Version = v
 		set.Services[7].Slots++
 		next := mustPack(t, set)
@@ -28,32 +28,32 @@
 	for i, from := range held[:len(held)-1] {
 		d, ok := newest.Since(from.head.Version)
 		is.True(ok)
-		is.Equal(len(d.Patches), min(i, 1)) // the first one is longer ago than what is kept
+		is.Equal(len(d.Patches), min(i, 1)) // the oldest is further back than the history kept
 		body, err := d.Encode()
 		is.NoErr(err)
 		got, err := from.With(d, newest.head)
 		is.NoErr(err)
 		is.Equal(got.Set(), newest.Set())
-		is.True(i == 0 || 2*len(body) < len(newest.parts[7].body))
+		is.True(i == 0 || 2*len(body) < len(newest.services[7].body))
 	}
 }
 
-// Symptom: a node crashes, or holds a set that nobody accepted. Events: a peer
-// sends a patch that does not fit. Cause: its bounds or its base are believed.
-func TestPatchThatDoesNotFitIsRefused(t *testing.T) {
+// Guards against a panic or an unaccepted set when a peer sends a patch with
+// invalid bounds or for another base.
+func TestInvalidPatchIsRejected(t *testing.T) {
 	is := is.New(t)
 	set := largeSet(5)
 	from := mustPack(t, set)
 	set.Version = 2
 	set.Services[1].Slots++
 	to := mustPack(t, set)
-	good := difference(from.parts[1].body, to.parts[1].body)
+	good := diffBodies(from.services[1].body, to.services[1].body)
 	good.Name = set.Services[1].Name
 	d := Delta{Tenant: set.Tenant, Since: 1, Version: 2, Share: set.Share, Patches: []Patch{good}}
 	got, err := from.With(d, to.Head())
 	is.NoErr(err)
 	is.Equal(got.Set(), to.Set())
-	size := len(from.parts[1].body)
+	size := len(from.services[1].body)
 	for _, bad := range []Patch{
 		{Name: "unheard-of", Begin: good.Begin, End: good.End, Middle: good.Middle},
 		{Name: good.Name, Begin: -1, End: good.End, Middle: good.Middle},
--- a/internal/core/confset/route.go
+++ b/internal/core/confset/route.go
@@ -9,9 +9,9 @@
 	"peardrift/internal/core/request"
 )
 
-// Route leads requests for a host and a path to the service that declares it.
-// Several services may declare the same route, each with its weight; they then
-// share its requests and must declare everything else alike.
+// Route directs requests for a host and a path prefix to the service that
+// declares it. Several services may declare the same route, each with its
+// weight; they then share its requests and must agree on all other fields.
 type Route struct {
 	// Name is the class of the route's requests, unique in the set.
 	Name request.Class `msgpack:"n"`
@@ -19,68 +19,69 @@
 	// Host is the name in the Host header, without a port, in lower case.
 	Host string `msgpack:"h"`
 
-	// Prefix begins and ends with a slash. Of the routes of a host, the one with
-	// the longest prefix that begins the path is taken; the path is compared as
-	// it was sent, undecoded.
+	// Prefix begins and ends with a slash. The longest prefix of the host's
+	// routes that matches the path wins; the path is compared as sent,
+	// undecoded.
 	Prefix string `msgpack:"p"`
 
-	// Weight is the service's part of the requests, in relation to the weights
+	// Weight is the service's share of the requests, relative to the weights
 	// that other services declare for the route.
 	Weight int `msgpack:"w"`
 
-	// Importance orders refusal: a lower one is refused earlier.
+	// Importance orders refusal: requests of lower importance are refused
+	// earlier.
 	Importance request.Importance `msgpack:"i"`
 
-	// Deadline is the longest time that a caller is kept waiting.
+	// Deadline is the longest time that a caller waits.
 	Deadline time.Duration `msgpack:"d"`
 
-	// Objective is the time within which an answer is worth most to the caller;
-	// 0 if none is declared.
+	// Objective is the target response time, within which an answer is worth
+	// most to the caller; 0 if none is declared.
 	Objective time.Duration `msgpack:"o,omitempty"`
 
-	// Runs is on how many targets one request may run, at least 1.
+	// Runs is the number of targets on which one request may run, at least 1.
 	Runs int `msgpack:"r"`
 
-	// Once: the request must never run twice, so it isn't sent again once it may
-	// have run. Unlike an at-most-once class it needs no key: what a caller sends
-	// again is a new request.
+	// Once requests must never run twice, so they are not retried once they may
+	// have run. Unlike an at-most-once class they need no key: a repeated call
+	// is a new request.
 	Once bool `msgpack:"u,omitempty"`
 
-	// MaxBody bounds a request's body in bytes.
+	// MaxBody is the maximum size of a request's body in bytes.
 	MaxBody int64 `msgpack:"b"`
 
-	// Anonymous: requests need no key, where others do.
+	// Anonymous requests need no key, even where others do.
 	Anonymous bool `msgpack:"a,omitempty"`
 }
 
-// Bounds of what routes may declare.
+// Limits of routes.
 const (
-	MaxRoutes = 4096 // of a service
+	MaxRoutes = 4096 // per service
 	MaxWeight = 1_000_000
 )
 
-// RouteInfo is one compiled route. Its fields are read only.
+// RouteInfo is a compiled route. Its fields are read-only.
 type RouteInfo struct {
 	Host   string
 	Prefix string
-	Class  Class // what the route declares of a request
+	Class  Class // the route's declarations for its requests
 	Parts  []Part
-	Total  int // sum of the parts' weights
+	Total  int // sum of the weights of Parts
 }
 
-// Part is a service that shares a route's requests.
+// Part is one of the services that share a route's requests.
 type Part struct {
 	Service *ServiceInfo
 	Weight  int
 }
 
-// class returns a route's declarations in the form in which traffic asks for
-// them. The extra attempts are those on targets that turned the request away
-// too, which is why there are more of them than runs.
-func (r *Route) class() Class {
+// toClass converts a route's declarations to a class, the form that the traffic
+// path uses. It has more attempts than runs, as attempts include those on
+// targets that refused the request.
+func (r *Route) toClass() Class {
 	c := Class{
 		Name: r.Name, Path: r.Prefix, Importance: r.Importance, Deadline: r.Deadline,
-		Objective: r.Objective, Attempts: r.Runs + routeAttempts, Runs: r.Runs,
+		Objective: r.Objective, Attempts: r.Runs + extraRouteAttempts, Runs: r.Runs,
 		Repeat: Repeatable, MaxBody: r.MaxBody, Anonymous: r.Anonymous,
 	}
 	if r.Once {
@@ -89,12 +90,13 @@
 	return c
 }
 
-// routeAttempts is how many targets beyond its runs may turn a request away
-// before it is refused: one that leaves, and one that is full.
-const routeAttempts = 2
+// extraRouteAttempts is how many targets beyond its runs may refuse a request
+// before it fails: one that is leaving, and one that is full.
+const extraRouteAttempts = 2
 
-// sameAs reports whether two services declare a route alike.
-func (r Route) sameAs(o Route) bool {
+// equalExceptWeight reports whether two services declare the same route, apart
+// from its weight.
+func (r Route) equalExceptWeight(o Route) bool {
 	r.Weight = o.Weight
 	return r == o
 }
@@ -113,21 +115,22 @@
 	return nil, false
 }
 
-// Routed reports whether requests are led by routes, not by services' names.
+// Routed reports whether requests are routed by host and path instead of by
+// service name.
 func (x *Index) Routed() bool { return x != nil && len(x.routes) > 0 }
 
-// routesOf compiles the routes that the services of an index declare.
-func routesOf(services map[request.Service]*ServiceInfo) map[string][]*RouteInfo {
-	type place struct{ host, prefix string }
-	found := make(map[place]*RouteInfo)
+// compileRoutes compiles the routes of all services of an index, by host.
+func compileRoutes(services map[request.Service]*ServiceInfo) map[string][]*RouteInfo {
+	type routeKey struct{ host, prefix string }
+	found := make(map[routeKey]*RouteInfo)
 	for _, info := range services {
 		for i := range info.Routes {
 			r := &info.Routes[i]
-			at := place{r.Host, r.Prefix}
-			have := found[at]
+			key := routeKey{r.Host, r.Prefix}
+			have := found[key]
 			if have == nil {
-				have = &RouteInfo{Host: r.Host, Prefix: r.Prefix, Class: r.class()}
-				found[at] = have
+				have = &RouteInfo{Host: r.Host, Prefix: r.Prefix, Class: r.toClass()}
+				found[key] = have
 			}
 			have.Parts = append(have.Parts, Part{Service: info, Weight: r.Weight})
 			have.Total += r.Weight
@@ -146,47 +149,47 @@
 	return hosts
 }
 
-// routes checks a service's routes against each other and against those that
-// other services declared before.
-func (v *validator) routes(field at, routes []Route, known map[request.Class]Route) {
+// checkRoutes validates a service's routes against each other and against those
+// of the services checked before.
+func (v *validator) checkRoutes(field fieldPath, routes []Route, known map[request.Class]Route) {
 	if len(routes) > MaxRoutes {
-		v.fail(field.field("routes"), "must have at most %d routes", MaxRoutes)
+		v.report(field.withKey("routes"), "must have at most %d routes", MaxRoutes)
 		return
 	}
 	here := make(map[request.Class]bool, len(routes))
 	for i, r := range routes {
 		field.class = i
 		if here[r.Name] {
-			v.fail(field.field("name"), "%q is declared twice", r.Name)
+			v.report(field.withKey("name"), "%q is declared twice", r.Name)
 		}
 		here[r.Name] = true
-		if have, ok := known[r.Name]; ok && !have.sameAs(r) {
-			v.fail(field.field("name"), "%q is declared otherwise by another service", r.Name)
+		if have, ok := known[r.Name]; ok && !have.equalExceptWeight(r) {
+			v.report(field.withKey("name"), "%q is declared differently by another service", r.Name)
 		}
 		known[r.Name] = r
-		at := [2]string{r.Host, r.Prefix}
-		if have, ok := v.places[at]; ok && have != r.Name {
-			v.fail(field.field("prefix"), "%q takes the same requests as %q", r.Name, have)
+		key := [2]string{r.Host, r.Prefix}
+		if have, ok := v.routeNames[key]; ok && have != r.Name {
+			v.report(field.withKey("prefix"), "%q matches the same requests as %q", r.Name, have)
 		}
-		v.places[at] = r.Name
-		v.route(field, r)
+		v.routeNames[key] = r.Name
+		v.checkRoute(field, r)
 	}
 }
 
-func (v *validator) route(field at, r Route) {
+func (v *validator) checkRoute(field fieldPath, r Route) {
 	if r.Name == "" || len(r.Name) > MaxPathLength {
-		v.fail(field.field("name"), "must have 1 to %d bytes", MaxPathLength)
+		v.report(field.withKey("name"), "must have 1 to %d bytes", MaxPathLength)
 	}
 	if r.Host == "" || r.Host != strings.ToLower(r.Host) || strings.ContainsAny(r.Host, ":/ ") {
-		v.fail(field.field("host"), "%q must be a host name in lower case", r.Host)
+		v.report(field.withKey("host"), "%q must be a host name in lower case", r.Host)
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") || len(r.Prefix) > MaxPathLength {
-		v.fail(field.field("prefix"), "must begin and end with a slash and have at most %d bytes", MaxPathLength)
+		v.report(field.withKey("prefix"), "must begin and end with a slash and have at most %d bytes", MaxPathLength)
 	}
-	within(v, field.field("weight"), r.Weight, 0, MaxWeight)
-	within(v, field.field("importance"), r.Importance, 0, request.MaxImportance)
-	within(v, field.field("deadline"), r.Deadline, MinDeadline, MaxDeadline)
-	within(v, field.field("objective"), r.Objective, 0, MaxDeadline)
-	within(v, field.field("runs"), r.Runs, 1, MaxAttempts)
-	within(v, field.field("maxBody"), r.MaxBody, 0, MaxBodyLimit)
+	checkRange(v, field.withKey("weight"), r.Weight, 0, MaxWeight)
+	checkRange(v, field.withKey("importance"), r.Importance, 0, request.MaxImportance)
+	checkRange(v, field.withKey("deadline"), r.Deadline, MinDeadline, MaxDeadline)
+	checkRange(v, field.withKey("objective"), r.Objective, 0, MaxDeadline)
+	checkRange(v, field.withKey("runs"), r.Runs, 1, MaxAttempts)
+	checkRange(v, field.withKey("maxBody"), r.MaxBody, 0, MaxBodyLimit)
 }
--- a/internal/core/confset/route_test.go
+++ b/internal/core/confset/route_test.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-func TestLongestPrefixOfTheHostIsTaken(t *testing.T) {
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	idx := NewIndex(routedSet())
 	r, ok := idx.Route("x.example", "/p/q/r")
@@ -43,9 +43,9 @@
 	is.True(!NewIndex().Routed())
 }
 
-// A set with routes travels between nodes like any other: encoded, verified, and
-// as a difference.
-func TestRoutesTravel(t *testing.T) {
+// Checks that a set with routes is encoded, verified and sent as a delta like
+// any other.
+func TestRoutesSurviveEncodingAndDelta(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Validate(routedSet())), 0)
 	old, err := Pack(routedSet())
@@ -69,9 +69,9 @@
 	is.Equal(r.Total, 130)
 }
 
-func TestRoutesAreChecked(t *testing.T) {
+func TestValidateRoutes(t *testing.T) {
 	is := is.New(t)
-	for name, break_ := range map[string]func(*Set){
+	for name, mutate := range map[string]func(*Set){
 		"no slash":       func(s *Set) { s.Services[0].Routes[0].Prefix = "/a" },
 		"bare":           func(s *Set) { s.Services[0].Routes[0].Prefix = "a/" },
 		"no host":        func(s *Set) { s.Services[0].Routes[0].Host = "" },
@@ -83,7 +83,7 @@
 		"told otherwise": func(s *Set) { s.Services[1].Routes[0].Once = true },
 	} {
 		set := routedSet()
-		break_(&set)
+		mutate(&set)
 		if len(Validate(set)) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
--- a/internal/core/confset/set.go
+++ b/internal/core/confset/set.go
@@ -8,53 +8,56 @@
 
 // Set is the complete configuration of one tenant.
 //
-// The encoded names of its services' fields are single letters, as sets travel
-// between nodes under a tight budget; they are added, never given another
-// meaning, and a reader skips those that it doesn't know.
+// The encoded field names of its services are single letters, as nodes exchange
+// sets under a tight byte budget. New names may be added, but none changes its
+// meaning, and a decoder skips unknown ones.
 type Set struct {
 	Tenant request.Tenant
 
-	// Version is given by the acceptance of the set, 1 for a tenant's first
-	// one, and only rises. It is not part of the encoded set, so that the same
-	// content has the same digest whichever version it is accepted as.
+	// Version is assigned when the set is accepted, starts at 1 and only
+	// increases. It is not part of the encoding, so the same content has the
+	// same digest in each version.
 	Version int64
 
-	// Share is the fraction of the shared capacity that the tenant may draw on
-	// while there is contention, above 0 and at most 1. Idle capacity is lent.
+	// Share is the fraction of the shared capacity that the tenant may use
+	// under contention, above 0 and at most 1. Idle capacity is available to
+	// all tenants.
 	Share float64
 
 	Services []Service
 
-	// Organisations are those that may call; none: callers need no keys.
+	// Organisations are the organisations that may call; if there are none,
+	// callers need no keys.
 	Organisations []Organisation
 }
 
 // Service declares one service and the requests it receives.
 type Service struct {
-	// Name is the service's name inside its tenant, a DNS label.
+	// Name is the service's name within its tenant, a DNS label.
 	Name string `msgpack:"n"`
 
-	// Slots is how many requests one target runs at the same time.
+	// Slots is the number of requests that one target runs concurrently.
 	Slots int `msgpack:"s"`
 
-	// Connections is how many connections one target accepts.
+	// Connections is the number of connections that one target accepts.
 	Connections int `msgpack:"c"`
 
-	// Calls names the services that this one calls, as "service.tenant".
+	// Calls lists the services that this one calls, as "service.tenant".
 	Calls []request.Service `msgpack:"l,omitempty"`
 
-	// Allow names the other tenants whose requests this service accepts.
+	// Allow lists the other tenants whose requests this service accepts.
 	Allow []request.Tenant `msgpack:"w,omitempty"`
 
-	// Classes says what a request is by its method and path.
+	// Classes classify requests by method and path.
 	Classes []Class `msgpack:"k"`
 
-	// Routes lead requests here by host and path. Where a set declares any,
-	// callers name hosts, not services, and services need no classes.
+	// Routes direct requests to this service by host and path. If a set
+	// declares any, callers address hosts instead of services, and services
+	// need no classes.
 	Routes []Route `msgpack:"r,omitempty"`
 }
 
-// Class declares one kind of request.
+// Class declares a class of requests.
 type Class struct {
 	// Name is unique in its service.
 	Name request.Class `msgpack:"n"`
@@ -63,36 +66,39 @@
 	Method string `msgpack:"m,omitempty"`
 
 	// Path is a prefix of whole path segments: "/a" matches "/a" and "/a/b",
-	// not "/ab". The longest matching prefix wins, and among equally long ones
-	// the class that names a method.
+	// not "/ab". The longest matching prefix wins; among equally long ones, a
+	// class that names a method wins.
 	Path string `msgpack:"p"`
 
-	// Importance orders refusal: a lower one is refused earlier.
+	// Importance orders refusal: requests of lower importance are refused
+	// earlier.
 	Importance request.Importance `msgpack:"i"`
 
-	// Deadline is how long a request of this class may take when it enters
+	// Deadline is the time limit of a request of this class that arrives
 	// without a shorter deadline of its own. DefaultDeadline if not declared.
 	Deadline time.Duration `msgpack:"d"`
 
-	// Attempts is how many attempts the whole request may spend beyond the
-	// first ones, over its whole chain and not for each hop. DefaultAttempts if
-	// not declared; 0 declares that nothing is tried again.
+	// Attempts is the retry budget of the request: attempts beyond the first
+	// ones, over its whole call chain and not per hop. DefaultAttempts if not
+	// declared; 0 disables retries.
 	Attempts int `msgpack:"a"`
 
 	// AtMostOnce requests carry an idempotency key and never run twice.
 	AtMostOnce bool `msgpack:"o,omitempty"`
 
-	// Remember is how long the key of an at-most-once request is kept.
+	// Remember is the retention time of an at-most-once request's key.
 	// DefaultRemember if not declared; 0 for other classes.
 	Remember time.Duration `msgpack:"r,omitempty"`
 
-	// MaxBody bounds a request's body in bytes. DefaultMaxBody if not declared.
+	// MaxBody is the maximum size of a request's body in bytes. DefaultMaxBody
+	// if not declared.
 	MaxBody int64 `msgpack:"b"`
 
-	// Anonymous: a request needs no key, where others do.
+	// Anonymous requests need no key, even where others do.
 	Anonymous bool `msgpack:"y,omitempty"`
 
-	// The rest is of routes only, and never encoded with a class.
+	// The remaining fields are set for routes only and never encoded with a
+	// class.
 
 	// Objective is the time within which an answer is worth most; 0 if none.
 	Objective time.Duration `msgpack:"-"`
@@ -100,7 +106,8 @@
 	// Repeat says whether a request may run more than once.
 	Repeat Repeat `msgpack:"-"`
 
-	// Runs is on how many targets a request may run; 0: as its attempts allow.
+	// Runs is the number of targets on which a request may run; 0: limited by
+	// its attempts only.
 	Runs int `msgpack:"-"`
 }
 
@@ -108,15 +115,15 @@
 type Repeat uint8
 
 const (
-	// ByMethod: as the method's definition says (RFC 9110, 9.2.2).
+	// ByMethod follows the method's definition (RFC 9110, 9.2.2).
 	ByMethod Repeat = iota
 	// Repeatable requests may run more than once, whatever their method.
 	Repeatable
-	// Once: never, whatever their method.
+	// Once requests never run twice, whatever their method.
 	Once
 )
 
-// What a class has where its operators declare nothing.
+// Defaults of classes.
 const (
 	DefaultDeadline       = 2 * time.Second
 	DefaultAttempts       = 6
@@ -124,7 +131,7 @@
 	DefaultMaxBody  int64 = 1 << 20
 )
 
-// FullName returns the name by which callers address a service.
+// FullName returns the name that callers use for a service.
 func FullName(service string, tenant request.Tenant) request.Service {
 	return request.Service(service + "." + string(tenant))
 }
