--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,10 +1,10 @@
-// Package link relays TCP connections to one address and breaks them on
-// purpose: at a given byte of a request or an answer, all at once, or by making
-// the open ones go silent while new ones work.
+// Package link is a TCP proxy for one address that injects faults: it breaks a
+// connection at a given byte of a request or an answer, breaks all connections
+// at once, or silences the open connections while new ones work.
 //
-// It stands for the network between two processes, and for the sight that a
-// peer has of a process that dies. It is for tests, the product's and bench's. A Link
-// is safe for concurrent use.
+// It simulates network faults between two processes, and the death of a process
+// as its peer sees it. It is for tests of the product and of bench. A Link is
+// safe for concurrent use.
 package link
 
 import (
@@ -14,63 +14,63 @@
 	"peardrift/internal/status"
 )
 
-// Way is a direction through a link.
+// Way is a direction of traffic.
 type Way int
 
-// The directions: from the side that connects, and back.
+// Directions: from the connecting side to the address, and back.
 const (
 	Request Way = iota
 	Answer
 )
 
-// String returns the direction's name in test names.
+// String returns the direction's name, used in test names.
 func (w Way) String() string { return [...]string{"request", "answer"}[w] }
 
-// How is the manner in which a connection breaks.
+// How is how a connection breaks.
 type How int
 
 const (
-	// Reset ends both sides with a TCP reset.
+	// Reset closes both sides with a TCP reset.
 	Reset How = iota
-	// Finish ends both sides in order, as a process does that exits between
-	// two writes.
+	// Finish closes both sides normally, like a process that exits between two
+	// writes.
 	Finish
-	// Silence drops all further bytes and ends of stream, on both sides.
+	// Silence drops all further bytes and ends of stream in both directions.
 	Silence
-	// Stall is silence that takes no further bytes either, so that writers block
-	// when the buffers on their side are full.
+	// Stall is like Silence but also stops reading, so writers block once their
+	// buffers are full.
 	Stall
 	// Kill resets all connections and refuses new ones until Up.
 	Kill
 )
 
-// String returns the manner's name in test names.
+// String returns the fault's name, used in test names.
 func (h How) String() string { return [...]string{"reset", "finish", "silence", "stall", "kill"}[h] }
 
-// Cut breaks the connection that carries a certain byte.
+// Cut breaks the connection that carries a given byte.
 type Cut struct {
 	Way   Way
-	After int // bytes of that way that still pass, over all connections
+	After int // bytes in that direction that still pass, over all connections
 	How   How
 }
 
-// Link relays connections to one address.
+// Link proxies connections to one address.
 type Link struct {
-	to   string
-	addr string
-
-	mu     sync.Mutex
-	ln     net.Listener // nil while down
-	pairs  map[*pair]struct{}
-	cut    *Cut
-	struck chan struct{}
-	passed [2]int
-	closed bool
+	upstreamAddr string
+	addr         string
+
+	mu          sync.Mutex
+	listener    net.Listener // nil while connections are refused
+	conns       map[*proxiedConn]struct{}
+	cut         *Cut
+	cutDone     chan struct{}
+	passedBytes [2]int
+	closed      bool
 }
 
-// Listen starts a link to an address.
-func Listen(to string) (*Link, error) {
-	l := &Link{to: to, addr: "127.0.0.1:0", pairs: make(map[*pair]struct{})}
+// Listen starts a link to an address, on a free port of the loopback interface.
+func Listen(upstreamAddr string) (*Link, error) {
+	l := &Link{upstreamAddr: upstreamAddr, addr: "127.0.0.1:0", conns: make(map[*proxiedConn]struct{})}
 	if err := l.Up(); err != nil {
 		return nil, err
 	}
@@ -80,84 +80,85 @@
 // Addr returns the address to connect to.
 func (l *Link) Addr() string { return l.addr }
 
-// Arm counts bytes from zero and lets c strike when its byte comes. The channel
-// is closed when it has struck.
+// Arm resets the byte counts and applies c when its byte is reached. The
+// returned channel is closed when c has been applied.
 func (l *Link) Arm(c Cut) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.struck, l.passed = &c, make(chan struct{}), [2]int{}
-	return l.struck
+	l.cut, l.cutDone, l.passedBytes = &c, make(chan struct{}), [2]int{}
+	return l.cutDone
 }
 
-// Disarm takes an armed cut back, counts from zero, and lets connections in.
+// Disarm cancels an armed cut, resets the byte counts, and accepts connections
+// again.
 func (l *Link) Disarm() error {
 	l.mu.Lock()
-	l.cut, l.passed = nil, [2]int{}
+	l.cut, l.passedBytes = nil, [2]int{}
 	l.mu.Unlock()
 	return l.Up()
 }
 
-// Passed returns the bytes that went through since Arm or Disarm.
+// Passed returns the bytes forwarded in a direction since Arm or Disarm.
 func (l *Link) Passed(w Way) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.passed[w]
+	return l.passedBytes[w]
 }
 
-// Open returns the connections that the connecting side has not closed.
+// Open returns the number of connections that the connecting side has not
+// closed.
 func (l *Link) Open() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		if !p.left {
+	for p := range l.conns {
+		if !p.clientClosed {
 			n++
 		}
 	}
 	return n
 }
 
-// Break breaks all connections that are open now. After Silence and the others
-// but Kill new ones work.
+// Break breaks all open connections. New connections work, except after Kill.
 func (l *Link) Break(h How) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.end(h)
+	for p := range l.conns {
+		p.shutDown(h)
 	}
 	if h == Kill {
-		l.down()
+		l.closeListener()
 	}
 }
 
-// Release ends the connections that went silent: their ends are seen at last.
+// Release closes the silenced connections, so both sides see their end.
 func (l *Link) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		if p.silent {
-			delete(l.pairs, p)
-			p.release()
+	for p := range l.conns {
+		if p.silenced {
+			delete(l.conns, p)
+			p.closeSilenced()
 		}
 	}
 }
 
-// Up lets connections in again after a Kill.
+// Up accepts connections again after a Kill.
 func (l *Link) Up() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ln != nil || l.closed {
+	if l.listener != nil || l.closed {
 		return nil
 	}
 	ln, err := net.Listen("tcp", l.addr)
 	if err != nil {
-		return status.Wrap(status.CodeListen, err, "link to %s", l.to)
+		return status.Wrap(status.CodeListen, err, "link to %s", l.upstreamAddr)
 	}
-	l.ln, l.addr = ln, ln.Addr().String()
+	l.listener, l.addr = ln, ln.Addr().String()
 	go l.accept(ln)
 	return nil
 }
 
-// Close ends the link and all its connections.
+// Close closes the link and all its connections.
 func (l *Link) Close() {
 	l.Break(Kill)
 	l.Release()
@@ -166,11 +167,11 @@
 	l.closed = true
 }
 
-// down refuses connections. Called with mu held.
-func (l *Link) down() {
-	if l.ln != nil {
-		_ = l.ln.Close()
-		l.ln = nil
+// closeListener refuses new connections. The caller must hold mu.
+func (l *Link) closeListener() {
+	if l.listener != nil {
+		_ = l.listener.Close()
+		l.listener = nil
 	}
 }
 
@@ -180,118 +181,121 @@
 		if err != nil {
 			return
 		}
-		go l.connect(c)
+		go l.handleConn(c)
 	}
 }
 
-func (l *Link) connect(c net.Conn) {
-	out, err := net.Dial("tcp", l.to)
+func (l *Link) handleConn(c net.Conn) {
+	upstream, err := net.Dial("tcp", l.upstreamAddr)
 	if err != nil {
 		reset(c)
 		return
 	}
-	p := newPair(c, out)
+	p := newProxiedConn(c, upstream)
 	l.mu.Lock()
-	if l.ln == nil {
+	if l.listener == nil {
 		l.mu.Unlock()
-		p.end(Reset)
+		p.shutDown(Reset)
 		return
 	}
-	l.pairs[p] = struct{}{}
+	l.conns[p] = struct{}{}
 	l.mu.Unlock()
-	go l.pump(p, Request)
-	l.pump(p, Answer)
+	go l.copyDirection(p, Request)
+	l.copyDirection(p, Answer)
 }
 
-const buffer = 32 << 10
+const bufferSize = 32 << 10
 
-// pump carries one way of a pair until it ends.
-func (l *Link) pump(p *pair, w Way) {
-	from, to := p.near, p.far
+// copyDirection forwards one direction of a connection until it ends.
+func (l *Link) copyDirection(p *proxiedConn, w Way) {
+	src, dst := p.client, p.upstream
 	if w == Answer {
-		from, to = p.far, p.near
+		src, dst = p.upstream, p.client
 	}
-	buf := make([]byte, buffer)
+	buf := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(buf)
-		if pass := l.pass(p, w, n); pass > 0 {
-			if _, werr := to.Write(buf[:pass]); werr != nil && err == nil {
+		n, err := src.Read(buf)
+		if allowed := l.countBytes(p, w, n); allowed > 0 {
+			if _, werr := dst.Write(buf[:allowed]); werr != nil && err == nil {
 				err = werr
 			}
 		}
-		l.strike(p, w)
-		p.hold()
+		l.applyCut(p, w)
+		p.waitWhileStalled()
 		if err != nil {
-			l.ended(p, w)
+			l.handleEnd(p, w)
 			return
 		}
 	}
 }
 
-// pass counts n bytes and returns how many of them may go on.
-func (l *Link) pass(p *pair, w Way, n int) int {
+// countBytes counts n bytes and returns how many of them to forward.
+func (l *Link) countBytes(p *proxiedConn, w Way, n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p.silent {
+	if p.silenced {
 		return 0
 	}
-	if c := l.cut; c != nil && c.Way == w && l.passed[w]+n > c.After {
-		n = c.After - l.passed[w]
-		p.doomed[w] = true
+	if c := l.cut; c != nil && c.Way == w && l.passedBytes[w]+n > c.After {
+		n = c.After - l.passedBytes[w]
+		p.cutReached[w] = true
 	}
-	l.passed[w] += n
+	l.passedBytes[w] += n
 	return n
 }
 
-// strike breaks a pair whose byte has come, after the bytes before it went out.
-func (l *Link) strike(p *pair, w Way) {
+// applyCut breaks a connection whose cut has been reached, once the bytes
+// before it have been written.
+func (l *Link) applyCut(p *proxiedConn, w Way) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !p.doomed[w] || l.cut == nil {
+	if !p.cutReached[w] || l.cut == nil {
 		return
 	}
-	p.doomed[w] = false
+	p.cutReached[w] = false
 	how := l.cut.How
 	l.cut = nil
 	if how == Kill {
-		for q := range l.pairs {
-			q.end(Reset)
+		for q := range l.conns {
+			q.shutDown(Reset)
 		}
-		l.down()
+		l.closeListener()
 	} else {
-		p.end(how)
+		p.shutDown(how)
 	}
-	close(l.struck)
+	close(l.cutDone)
 }
 
-func (l *Link) ended(p *pair, w Way) {
+func (l *Link) handleEnd(p *proxiedConn, w Way) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.left = p.left || w == Request
-	if p.silent {
-		return // the end is lost too; only Close ends the other side
+	p.clientClosed = p.clientClosed || w == Request
+	if p.silenced {
+		return // the end of stream is dropped too; only Release and Close close the other side
 	}
-	delete(l.pairs, p)
-	p.end(Finish)
+	delete(l.conns, p)
+	p.shutDown(Finish)
 }
 
-// pair is one connection through a link. Its fields are guarded by Link.mu.
-type pair struct {
-	near, far net.Conn
-	silent    bool
-	stalled   chan struct{} // closed by Stall
-	released  chan struct{} // closed by release
-	doomed    [2]bool       // its cut's byte has come, by way
-	over      bool
-	left      bool // by the side that connected
+// proxiedConn is one connection through a link. Its fields are guarded by
+// Link.mu.
+type proxiedConn struct {
+	client, upstream net.Conn
+	silenced         bool
+	stalled          chan struct{} // closed by Stall
+	released         chan struct{} // closed by closeSilenced
+	cutReached       [2]bool       // by direction: the cut's byte has been reached
+	closed           bool
+	clientClosed     bool // closed by the connecting side
 }
 
-func newPair(near, far net.Conn) *pair {
-	return &pair{near: near, far: far, stalled: make(chan struct{}), released: make(chan struct{})}
+func newProxiedConn(client, upstream net.Conn) *proxiedConn {
+	return &proxiedConn{client: client, upstream: upstream, stalled: make(chan struct{}), released: make(chan struct{})}
 }
 
-// hold returns at once, but for a stalled pair only when that is released.
-func (p *pair) hold() {
+// waitWhileStalled blocks while the connection is stalled, until it is
+// released.
+func (p *proxiedConn) waitWhileStalled() {
 	select {
 	case <-p.stalled:
 		<-p.released
@@ -299,30 +303,30 @@
 	}
 }
 
-func (p *pair) end(h How) {
+func (p *proxiedConn) shutDown(h How) {
 	switch {
-	case p.over || p.silent:
+	case p.closed || p.silenced:
 	case h == Silence:
-		p.silent = true
+		p.silenced = true
 	case h == Stall:
-		p.silent = true
+		p.silenced = true
 		close(p.stalled)
 	case h == Finish:
-		p.over = true
-		_ = p.near.Close()
-		_ = p.far.Close()
+		p.closed = true
+		_ = p.client.Close()
+		_ = p.upstream.Close()
 	default:
-		p.over = true
-		reset(p.near)
-		reset(p.far)
+		p.closed = true
+		reset(p.client)
+		reset(p.upstream)
 	}
 }
 
-// release closes what Silence kept open.
-func (p *pair) release() {
+// closeSilenced closes a connection that Silence or Stall kept open.
+func (p *proxiedConn) closeSilenced() {
 	close(p.released)
-	_ = p.near.Close()
-	_ = p.far.Close()
+	_ = p.client.Close()
+	_ = p.upstream.Close()
 }
 
 func reset(c net.Conn) {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// echo serves connections that send back what comes.
-func echo(t *testing.T) *Link {
+// newEchoLink returns a link to an echo server.
+func newEchoLink(t *testing.T) *Link {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	return c
 }
 
-func say(c net.Conn, s string) (string, error) {
+func roundTrip(c net.Conn, s string) (string, error) {
 	if _, err := io.WriteString(c, s); err != nil {
 		return "", err
 	}
@@ -56,27 +56,27 @@
 	return string(b[:n]), err
 }
 
-func TestCutAtAByte(t *testing.T) {
+func TestCutAtByte(t *testing.T) {
 	for _, w := range []Way{Request, Answer} {
 		for _, h := range []How{Reset, Finish, Kill} {
 			t.Run(w.String()+" "+h.String(), func(t *testing.T) {
 				is := is.New(t)
-				l := echo(t)
+				l := newEchoLink(t)
 				c := dial(t, l)
-				s, err := say(c, "first")
+				s, err := roundTrip(c, "first")
 				is.NoErr(err)
 				is.Equal(s, "first")
-				struck := l.Arm(Cut{Way: w, After: 3, How: h})
-				_, err = say(c, "second")
+				cutDone := l.Arm(Cut{Way: w, After: 3, How: h})
+				_, err = roundTrip(c, "second")
 				is.True(err != nil)
-				<-struck
+				<-cutDone
 				is.Equal(l.Passed(w), 3)
 				if h == Kill {
 					_, err := net.Dial("tcp", l.Addr())
 					is.True(err != nil)
 				}
 				is.NoErr(l.Disarm())
-				s, err = say(dial(t, l), "third")
+				s, err = roundTrip(dial(t, l), "third")
 				is.NoErr(err)
 				is.Equal(s, "third")
 			})
@@ -84,41 +84,41 @@
 	}
 }
 
-func TestSilenceSparesNewConnections(t *testing.T) {
+func TestSilenceKeepsNewConnections(t *testing.T) {
 	is := is.New(t)
-	l := echo(t)
+	l := newEchoLink(t)
 	old := dial(t, l)
-	_, err := say(old, "x")
+	_, err := roundTrip(old, "x")
 	is.NoErr(err)
 	l.Break(Silence)
 	_, err = io.WriteString(old, "lost")
 	is.NoErr(err)
-	s, err := say(dial(t, l), "new")
+	s, err := roundTrip(dial(t, l), "new")
 	is.NoErr(err)
 	is.Equal(s, "new")
 	is.NoErr(old.SetReadDeadline(time.Now().Add(10 * time.Millisecond)))
 	_, err = old.Read(make([]byte, 1))
 	var nerr net.Error
-	is.True(err != nil && asNet(err, &nerr) && nerr.Timeout()) // not even an end
+	is.True(err != nil && asNetError(err, &nerr) && nerr.Timeout()) // not even an end of stream
 }
 
-func TestStallTakesNothing(t *testing.T) {
+func TestStallBlocksWriters(t *testing.T) {
 	is := is.New(t)
-	l := echo(t)
+	l := newEchoLink(t)
 	old := dial(t, l)
-	_, err := say(old, "x")
+	_, err := roundTrip(old, "x")
 	is.NoErr(err)
 	l.Break(Stall)
 	is.NoErr(old.SetWriteDeadline(time.Now().Add(time.Second)))
-	_, err = old.Write(make([]byte, 64<<20)) // more than the buffers on the way
+	_, err = old.Write(make([]byte, 64<<20)) // exceeds the buffers on the path
 	var nerr net.Error
-	is.True(err != nil && asNet(err, &nerr) && nerr.Timeout())
-	s, err := say(dial(t, l), "new")
+	is.True(err != nil && asNetError(err, &nerr) && nerr.Timeout())
+	s, err := roundTrip(dial(t, l), "new")
 	is.NoErr(err)
 	is.Equal(s, "new")
 }
 
-func asNet(err error, to *net.Error) bool {
+func asNetError(err error, to *net.Error) bool {
 	n, ok := err.(net.Error)
 	*to = n
 	return ok
