--- a/internal/core/inforce/doc.go
+++ b/internal/core/inforce/doc.go
@@ -22,9 +22,10 @@
 // The version in force of a tenant never decreases while the process runs, even
 // if messages are late, duplicated or reordered: only a higher version is
 // installed, and only if its digest matches the announced one. A starting node
-// holds nothing. It installs nothing until several informed peers or the
-// platform have reported the newest versions, so a single peer that was paused
-// or partitioned can't bring back an old version (startup.go).
+// holds nothing. It installs nothing until it is informed: until several
+// informed peers or the platform have reported the newest versions. So a single
+// peer that was paused or partitioned can't bring back an old version
+// (startup.go).
 //
 // # Contract
 //
