--- a/internal/core/claim/attempt.go
+++ b/internal/core/claim/attempt.go
@@ -19,21 +19,22 @@
 	ended
 )
 
-// Attempt is one call's way through its claim. Copies are independent.
+// Attempt is the state machine that claims a key for one call. Copies are
+// independent.
 type Attempt struct {
 	cfg *Config
 	req Request
 
-	phase  phase
-	begun  time.Duration
-	rounds int   // claim writes so far
-	reads  int   // reads so far
-	base   int64 // version that the last claim write was conditional on
-	doubt  bool  // an own claim write may be in the table, or get there yet
-	clear  bool  // at an instant since Begin nothing had run under the key
-	gone   bool  // the caller has left
+	phase        phase
+	startedAt    time.Duration
+	writes       int   // claim writes so far
+	reads        int   // reads so far
+	baseVersion  int64 // version that the last claim write was conditional on
+	maybeWritten bool  // an own claim write may be in the table, or may still arrive
+	knownNotRun  bool  // at some instant since Begin nothing had run under the key
+	callerGone   bool  // the caller has left
 
-	refusal *status.Error // of an attempt that only looks; nil: one that claims
+	refusal *status.Error // set for a read-only attempt; nil for one that claims
 }
 
 // New returns an attempt that waits for Begin.
@@ -44,230 +45,232 @@
 	return Attempt{cfg: &cfg, req: req}
 }
 
-// NewLook returns an attempt for a call that was refused before it came to a
-// claim. It writes and runs nothing: it finds out whether the refusal may say
-// "not run", or how an earlier call under the key ended.
+// NewLook returns a read-only attempt for a call that was refused before its
+// claim. It determines whether the refusal may say "not run", or how an earlier
+// call under the key ended.
 //
-// Symptom of its absence: a payout is paid twice. The first call's answer was
-// lost, its repeat met an overloaded target and was told "not run", so the
-// caller began anew under another key.
+// Without this read a request can run twice: the answer to the first call is
+// lost, an overloaded target refuses the repeat as "not run", and the caller
+// starts again under another key.
 func NewLook(cfg Config, req Request, refusal *status.Error) Attempt {
 	a := New(cfg, req)
 	a.refusal = refusal
 	return a
 }
 
-// Step takes the next event and returns what to do. An event that does not
-// belong to the phase is ignored: a repeated one must not run anything again.
+// Step handles an event and returns the next action. It ignores an event that
+// does not belong to the current phase, so a repeated event never causes a
+// second run.
 func (a *Attempt) Step(now time.Duration, e Event) Action {
 	if _, ok := e.(CallerGone); ok {
-		a.gone = true
+		a.callerGone = true
 		return nil
 	}
 	switch a.phase {
 	case idle:
 		if _, ok := e.(Begin); ok {
-			return a.begin(now)
+			return a.start(now)
 		}
 	case writing:
-		return a.wrote(now, e)
+		return a.onWriteResult(now, e)
 	case reading:
-		return a.read(now, e)
+		return a.onReadResult(now, e)
 	case running:
-		return a.ran(now, e)
+		return a.onRunResult(now, e)
 	}
 	return nil
 }
 
-func (a *Attempt) begin(now time.Duration) Action {
-	a.begun = now
-	// A row may be removed when it has been kept for Remember. A repeat that
-	// comes later would find it absent and run again; a dated key shows its age.
+func (a *Attempt) start(now time.Duration) Action {
+	a.startedAt = now
+	// The platform may remove a row after Remember. A later repeat would find it
+	// absent and run again; the time in a dated key rules that out.
 	if a.req.KeyTime > 0 && now > a.req.KeyTime+a.req.Remember-a.cfg.Skew {
-		return a.end(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
 	}
-	// Where a dated key lives is known for a while ahead only, see batch.Layout.
+	// The row of a dated key is known only for a limited time ahead, see
+	// batch.Layout.
 	if a.req.KeyTime > now+a.cfg.Ahead {
-		return a.end(Answer{Outcome: Outcome{Code: status.CodeKeyAhead}, NotRunHere: true})
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeKeyAhead}, NotRunHere: true})
 	}
 	if a.refusal != nil {
-		return a.lookOr(now, a.refusal.Code)
+		return a.readOrGiveUp(now, a.refusal.Code)
 	}
-	if code, hopeless := a.hopeless(now); hopeless {
+	if code, abandoned := a.abandoned(now); abandoned {
 		return a.giveUp(code)
 	}
-	return a.write(now, 0)
+	return a.writeClaim(now, 0)
 }
 
-// wrote takes the answer to a claim write.
-func (a *Attempt) wrote(now time.Duration, e Event) Action {
+// onWriteResult handles the result of a claim write.
+func (a *Attempt) onWriteResult(now time.Duration, e Event) Action {
 	switch e.(type) {
 	case Written:
-		return a.won(now, a.base+1)
+		return a.onClaimed(now, a.baseVersion+1)
 	case ConditionFailed:
-		return a.lookOr(now, status.CodeInProgress)
+		return a.readOrGiveUp(now, status.CodeInProgress)
 	case InDoubt:
-		a.doubt = true
-		return a.lookOr(now, status.CodePlatformDown)
+		a.maybeWritten = true
+		return a.readOrGiveUp(now, status.CodePlatformDown)
 	case NothingWritten:
 		return a.giveUp(status.CodePlatformDown)
 	case NoRoom:
-		a.clear = true
+		a.knownNotRun = true
 		return a.giveUp(status.CodeNoRoom)
 	}
 	return nil
 }
 
-// read takes the answer to a read of the row.
-func (a *Attempt) read(now time.Duration, e Event) Action {
+// onReadResult handles the result of a read of the row.
+func (a *Attempt) onReadResult(now time.Duration, e Event) Action {
 	switch e := e.(type) {
 	case RowRead:
-		return a.saw(now, e.Row)
+		return a.onRow(now, e.Row)
 	case RowUnreadable:
-		a.doubt = false // versions only rise: no write of ours is in that row
-		return a.end(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
+		a.maybeWritten = false // versions only increase: this row holds no write of this attempt
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
 	case ReadFailed:
-		return a.lookOr(now, a.code(status.CodePlatformDown))
+		return a.readOrGiveUp(now, a.refusalCode(status.CodePlatformDown))
 	}
 	return nil
 }
 
-// saw decides by the row.
-func (a *Attempt) saw(now time.Duration, r Row) Action {
+// onRow decides from the row's state.
+func (a *Attempt) onRow(now time.Duration, r Row) Action {
 	if r.State == Held && r.Token == a.req.Token {
-		return a.won(now, r.Version)
+		return a.onClaimed(now, r.Version)
 	}
-	// Every claim write of ours was conditional on base or less. A row past
-	// base fails those that are still under way.
-	if r.Version > a.base {
-		a.doubt = false
+	// Every claim write of this attempt was conditional on baseVersion or less. A
+	// row beyond it fails those that are still in flight.
+	if r.Version > a.baseVersion {
+		a.maybeWritten = false
 	}
 	switch {
 	case r.State == Absent || r.State == Free:
-		a.clear = true
-		return a.again(now, r.Version)
+		a.knownNotRun = true
+		return a.reclaim(now, r.Version)
 	case r.Print != a.req.Print:
-		// The row would still be this request's own, had it ever run.
-		return a.end(Answer{Outcome: Outcome{Kind: request.Refused, Code: status.CodeKeyReused}, NotRunHere: true})
+		// Had this request ever run, the row would hold its fingerprint.
+		return a.finish(Answer{Outcome: Outcome{Kind: request.Refused, Code: status.CodeKeyReused}, NotRunHere: true})
 	case r.State == Done:
-		return a.end(Answer{Outcome: r.Outcome, Origin: FromRow, NotRunHere: true})
+		return a.finish(Answer{Outcome: r.Outcome, Origin: FromRow, NotRunHere: true})
 	case now < r.Until:
-		return a.end(Answer{
+		return a.finish(Answer{
 			Outcome: Outcome{Code: status.CodeInProgress}, NotRunHere: true,
-			RetryAfter: a.spread(min(a.cfg.RetryAfter, r.Until-now)),
+			RetryAfter: a.jitter(min(a.cfg.RetryAfter, r.Until-now)),
 		})
 	default:
-		return a.end(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
 	}
 }
 
-// again claims a row that is absent or Free.
-func (a *Attempt) again(now time.Duration, version int64) Action {
+// reclaim claims a row that is absent or Free.
+func (a *Attempt) reclaim(now time.Duration, version int64) Action {
 	if a.refusal != nil {
 		return a.giveUp(a.refusal.Code)
 	}
-	if code, hopeless := a.hopeless(now); hopeless {
+	if code, abandoned := a.abandoned(now); abandoned {
 		return a.giveUp(code)
 	}
-	if a.rounds >= a.cfg.Rounds || a.wait(now) <= 0 {
+	if a.writes >= a.cfg.Rounds || a.opTimeout(now) <= 0 {
 		return a.giveUp(status.CodePlatformDown)
 	}
-	return a.write(now, version)
+	return a.writeClaim(now, version)
 }
 
-// won runs the request, unless nobody waits for it any more. A holder that was
-// paused between its claim and its run comes by here late: it still holds the
-// claim, but its caller is gone.
-func (a *Attempt) won(now time.Duration, version int64) Action {
-	a.doubt, a.clear = false, true
-	a.base = version
-	if code, hopeless := a.hopeless(now); hopeless {
-		return a.end(Answer{
+// onClaimed runs the request unless its caller no longer waits. A node that was
+// paused between claim and run still holds the claim here, but its caller may be
+// gone.
+func (a *Attempt) onClaimed(now time.Duration, version int64) Action {
+	a.maybeWritten, a.knownNotRun = false, true
+	a.baseVersion = version
+	if code, abandoned := a.abandoned(now); abandoned {
+		return a.finish(Answer{
 			Outcome: Outcome{Kind: request.Refused, Code: code}, NotRunHere: true,
-			Duty: a.release(),
+			Duty: a.releaseDuty(),
 		})
 	}
 	a.phase = running
-	return Run{Until: a.until()}
+	return Run{Until: a.runDeadline()}
 }
 
-// ran takes how the run ended.
-func (a *Attempt) ran(now time.Duration, e Event) Action {
+// onRunResult handles the result of the run.
+func (a *Attempt) onRunResult(now time.Duration, e Event) Action {
 	switch e := e.(type) {
 	case TargetNotRun:
-		return a.end(Answer{
+		return a.finish(Answer{
 			Outcome:    Outcome{Kind: request.Refused, Code: e.Code},
 			Origin:     FromRun,
-			NotRunHere: true, RetryAfter: e.RetryAfter, Duty: a.release(),
+			NotRunHere: true, RetryAfter: e.RetryAfter, Duty: a.releaseDuty(),
 		})
 	case TargetDone:
 		o := e.Outcome
 		if o.Kind == request.Refused {
-			o.Kind = request.Unknown // "not run" has an event of its own
+			o.Kind = request.Unknown // TargetNotRun is the event for "not run"
 		}
-		return a.end(Answer{Outcome: o, Origin: FromRun, Duty: a.record(now, o)})
+		return a.finish(Answer{Outcome: o, Origin: FromRun, Duty: a.recordDuty(now, o)})
 	}
 	return nil
 }
 
-// write claims the row if it is at version.
-func (a *Attempt) write(now time.Duration, version int64) Action {
+// writeClaim claims the row if it is at version.
+func (a *Attempt) writeClaim(now time.Duration, version int64) Action {
 	a.phase = writing
-	a.rounds++
-	a.base = version
-	return Write{Wait: a.wait(now), Row: Row{
+	a.writes++
+	a.baseVersion = version
+	return Write{Wait: a.opTimeout(now), Row: Row{
 		Version: version + 1, Token: a.req.Token, State: Held, Print: a.req.Print,
-		Since: now, Until: a.until(),
+		Since: now, Until: a.runDeadline(),
 	}}
 }
 
-// lookOr reads the row, or gives up with code if there is no time.
-func (a *Attempt) lookOr(now time.Duration, code status.Code) Action {
-	if gone, hopeless := a.hopeless(now); hopeless {
-		return a.giveUp(gone)
+// readOrGiveUp reads the row, or gives up with code if no time is left.
+func (a *Attempt) readOrGiveUp(now time.Duration, code status.Code) Action {
+	if cause, abandoned := a.abandoned(now); abandoned {
+		return a.giveUp(cause)
 	}
-	// A platform that refuses connections fails reads in no time: the count
-	// keeps the attempt from spinning until its time is up.
-	if a.reads >= 2*a.cfg.Rounds || a.wait(now) <= 0 {
+	// A platform that refuses connections fails reads immediately; the limit
+	// keeps the attempt from spinning until its deadline.
+	if a.reads >= 2*a.cfg.Rounds || a.opTimeout(now) <= 0 {
 		return a.giveUp(code)
 	}
 	a.reads++
 	a.phase = reading
-	return Read{Wait: a.wait(now)}
+	return Read{Wait: a.opTimeout(now)}
 }
 
-// giveUp answers that this call ran nothing.
+// giveUp ends the attempt with an answer that this call ran nothing.
 func (a *Attempt) giveUp(code status.Code) Action {
 	ans := Answer{
-		Outcome: Outcome{Kind: refusedIf(a.clear), Code: code}, NotRunHere: true,
-		RetryAfter: a.spread(a.cfg.RetryAfter),
+		Outcome: Outcome{Kind: refusedOrUnknown(a.knownNotRun), Code: code}, NotRunHere: true,
+		RetryAfter: a.jitter(a.cfg.RetryAfter),
 	}
 	if a.refusal != nil {
 		ans.RetryAfter = a.refusal.RetryAfter
 	}
-	if a.doubt {
-		ans.Duty = fence(a.cfg, a.req.Token, a.base)
+	if a.maybeWritten {
+		ans.Duty = newFenceDuty(a.cfg, a.req.Token, a.baseVersion)
 	}
-	return a.end(ans)
+	return a.finish(ans)
 }
 
-func (a *Attempt) end(ans Answer) Action {
+func (a *Attempt) finish(ans Answer) Action {
 	a.phase = ended
 	return ans
 }
 
-// code returns why a call that looks was refused, def for any other.
-func (a *Attempt) code(def status.Code) status.Code {
+// refusalCode returns the code of the refusal, or def for an attempt that claims.
+func (a *Attempt) refusalCode(def status.Code) status.Code {
 	if a.refusal != nil {
 		return a.refusal.Code
 	}
 	return def
 }
 
-// hopeless says whether nobody would take an answer, and why.
-func (a *Attempt) hopeless(now time.Duration) (status.Code, bool) {
+// abandoned reports whether the caller no longer waits for an answer, and why.
+func (a *Attempt) abandoned(now time.Duration) (status.Code, bool) {
 	switch {
-	case a.gone:
+	case a.callerGone:
 		return status.CodeCanceled, true
 	case now >= a.req.Deadline:
 		return status.CodeDeadline, true
@@ -276,29 +279,29 @@
 	}
 }
 
-// wait returns how long the next operation of the claim phase may take.
-func (a *Attempt) wait(now time.Duration) time.Duration {
-	end := min(a.begun+a.cfg.ClaimWait, a.req.Deadline)
+// opTimeout returns the timeout of the next operation in the claim phase.
+func (a *Attempt) opTimeout(now time.Duration) time.Duration {
+	end := min(a.startedAt+a.cfg.ClaimWait, a.req.Deadline)
 	return min(a.cfg.OpWait, end-now)
 }
 
-func (a *Attempt) until() time.Duration { return a.req.Deadline + a.cfg.RunGrace }
+func (a *Attempt) runDeadline() time.Duration { return a.req.Deadline + a.cfg.RunGrace }
 
-// spread returns d to 2*d, so that refused callers do not come back together.
-func (a *Attempt) spread(d time.Duration) time.Duration {
+// jitter returns d to 2*d, so that refused callers do not retry in lockstep.
+func (a *Attempt) jitter(d time.Duration) time.Duration {
 	const parts = 1 << 10
 	part := time.Duration(xxhash.Sum64String(a.req.Token) % parts)
 	return d + d/parts*part
 }
 
-// record returns the duty to keep an outcome.
-func (a *Attempt) record(now time.Duration, o Outcome) Duty {
-	return recording(a.cfg, Row{
-		Version: a.base + 1, Token: a.req.Token, State: Done, Print: a.req.Print,
-		Since: a.begun, Until: a.until(), Outcome: o.Trim(a.cfg.MaxKept),
+// recordDuty returns the duty that records an outcome.
+func (a *Attempt) recordDuty(now time.Duration, o Outcome) Duty {
+	return newRecordDuty(a.cfg, Row{
+		Version: a.baseVersion + 1, Token: a.req.Token, State: Done, Print: a.req.Print,
+		Since: a.startedAt, Until: a.runDeadline(), Outcome: o.Trim(a.cfg.MaxKept),
 		Expires: max(now, a.req.KeyTime) + a.req.Remember,
 	})
 }
 
-// release returns the duty to give the claim back.
-func (a *Attempt) release() Duty { return releasing(a.cfg, a.req.Token, a.base) }
+// releaseDuty returns the duty that releases the claim.
+func (a *Attempt) releaseDuty() Duty { return newReleaseDuty(a.cfg, a.req.Token, a.baseVersion) }
--- a/internal/core/claim/breaker.go
+++ b/internal/core/claim/breaker.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// BreakerConfig sets when a node stops waiting for a platform that is down.
+// BreakerConfig configures the circuit breaker for the platform.
 type BreakerConfig struct {
-	// Failures in a row that open the breaker. Default 3. Raising it lets more
-	// calls wait in vain; lowering it opens on chance losses.
+	// Failures is the number of consecutive failures that open the breaker.
+	// Default 3. Raising it lets more calls wait for a platform that is down;
+	// lowering it opens on isolated losses.
 	Failures int
 	// ProbeEvery is the pause before the first probe. Default 500 ms. Raising
-	// it notices recovery later; lowering it sends more probes.
+	// it detects recovery later; lowering it sends more probes.
 	ProbeEvery time.Duration
 	// ProbeMax bounds the pause, which doubles with each failed probe. Default
-	// 8 s. Raising it spares a platform that comes back; lowering it notices
+	// 8 s. Raising it reduces load on a recovering platform; lowering it detects
 	// recovery sooner.
 	ProbeMax time.Duration
 }
 
-// DefaultBreakerConfig returns the defaults named at each field.
+// DefaultBreakerConfig returns the defaults documented at each field.
 func DefaultBreakerConfig() BreakerConfig {
 	return BreakerConfig{Failures: 3, ProbeEvery: 500 * time.Millisecond, ProbeMax: 8 * time.Second}
 }
 
-// Breaker decides whether to ask the platform at all. When it is down, every
-// claim would hold its admission slot for the whole of ClaimWait and so crowd
-// out requests that need no claim; with the breaker open they are refused at
-// once, and one call in a while goes through as the probe.
+// Breaker is a circuit breaker for operations at the platform. While the
+// platform is down, every claim would hold its admission slot for the whole of
+// ClaimWait and crowd out requests that need no claim. An open breaker refuses
+// claims immediately, except for one call per pause that serves as the probe.
 type Breaker struct {
-	cfg      BreakerConfig
-	failures int
-	pause    time.Duration // 0: closed
-	probe    time.Duration // when the next probe may go
-	probing  bool          // a probe was let through and has not reported
+	cfg       BreakerConfig
+	failures  int
+	pause     time.Duration // between probes; 0: closed
+	nextProbe time.Duration // time from which the next probe is allowed
+	probing   bool          // a probe was allowed and has not reported
 }
 
 // NewBreaker returns a closed breaker.
 func NewBreaker(cfg BreakerConfig) Breaker { return Breaker{cfg: cfg} }
 
-// Open reports whether the platform is taken to be down.
+// Open reports whether the platform is considered down.
 func (b *Breaker) Open() bool { return b.pause > 0 }
 
-// Allow reports whether an operation may be tried. While open it is true once
-// per pause; a probe that never reports back is followed by another.
+// Allow reports whether an operation may be attempted. While open it returns
+// true once per pause, also when the previous probe never reported.
 func (b *Breaker) Allow(now time.Duration) bool {
 	if !b.Open() {
 		return true
 	}
-	if now < b.probe {
+	if now < b.nextProbe {
 		return false
 	}
-	b.probe, b.probing = now+b.pause, true
+	b.nextProbe, b.probing = now+b.pause, true
 	return true
 }
 
-// Wait returns how long until Allow can be true.
+// Wait returns the time until Allow can return true.
 func (b *Breaker) Wait(now time.Duration) time.Duration {
 	if !b.Open() {
 		return 0
 	}
-	return max(0, b.probe-now)
+	return max(0, b.nextProbe-now)
 }
 
-// Report takes how an operation ended; ok means that the platform answered,
-// also with a failed condition.
+// Report records the result of an operation; ok means that the platform
+// answered, even with a failed condition.
 func (b *Breaker) Report(now time.Duration, ok bool) {
 	if ok {
 		b.failures, b.pause = 0, 0
@@ -74,10 +75,10 @@
 	case !b.Open() && b.failures >= b.cfg.Failures:
 		b.pause = b.cfg.ProbeEvery
 	default:
-		// Open, and no probe: one of the operations under way when it opened.
-		// If each of them doubled the pause, a short fault under load would
-		// close the node to at-most-once calls for the longest pause.
+		// Not a probe: the operation was in flight when the breaker opened. If
+		// each of these doubled the pause, a short fault under load would refuse
+		// all at-most-once calls for ProbeMax.
 		return
 	}
-	b.probe, b.probing = now+b.pause, false
+	b.nextProbe, b.probing = now+b.pause, false
 }
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -19,8 +19,8 @@
 	return Request{Token: token, Print: Fingerprint("POST", "/pay", Sum([]byte("1"))), Deadline: t0 + time.Second}
 }
 
-// begun returns an attempt whose first claim write is under way.
-func begun(token string) *Attempt {
+// startedAttempt returns an attempt whose first claim write is in flight.
+func startedAttempt(token string) *Attempt {
 	a := New(DefaultConfig(), testRequest(token))
 	a.Step(t0, Begin{})
 	return &a
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a := begun("me")
+			a := startedAttempt("me")
 			_, reads := a.Step(t0, ConditionFailed{}).(Read)
 			is.True(reads)
 			ans := a.Step(t0, RowRead{c.row}).(Answer)
@@ -60,31 +60,29 @@
 	}
 }
 
-func TestPlatformDownClaimsNothingOfEarlierCalls(t *testing.T) {
+func TestPlatformDownLeavesEarlierCallsUnknown(t *testing.T) {
 	is := is.New(t)
-	ans := begun("me").Step(t0, NothingWritten{}).(Answer)
+	ans := startedAttempt("me").Step(t0, NothingWritten{}).(Answer)
 	is.Equal(ans.Outcome.Code, status.CodePlatformDown)
 	is.Equal(ans.Outcome.Kind, request.Unknown) // an earlier call may have run
 	is.True(ans.NotRunHere)
 	is.True(ans.RetryAfter > 0)
 }
 
-// Symptom: a payout runs for a caller that has long been told "too late".
-// Events: the claim is written, the node is paused past the deadline, resumes.
-// Cause: running on the strength of a check made before the pause.
+// Guards against running a request after its caller's deadline when the node is
+// paused between the claim and the run.
 func TestPausedPastDeadlineReleases(t *testing.T) {
 	is := is.New(t)
-	ans := begun("me").Step(t0+time.Hour, Written{}).(Answer)
+	ans := startedAttempt("me").Step(t0+time.Hour, Written{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Kind: request.Refused, Code: status.CodeDeadline})
 	w := ans.Duty.Step(t0+time.Hour, Begin{}).(Write)
 	is.Equal(w.Row.State, Free)
 	is.Equal(w.Row.Version, int64(2))
 }
 
-// Symptom: a repeat a week later pays again.
-// Events: the outcome's row is removed after Remember; the caller repeats.
-// Cause: an absent row taken for a key never seen.
-func TestDatedKeyOlderThanMemoryIsNotRun(t *testing.T) {
+// Guards against a second run when a caller repeats a key after its row was
+// removed at the end of Remember: the absent row looks like an unused key.
+func TestDatedKeyPastRetentionIsNotRun(t *testing.T) {
 	is := is.New(t)
 	req := testRequest("me")
 	req.KeyTime = t0 - DefaultConfig().Remember
@@ -92,7 +90,7 @@
 	ans := a.Step(t0, Begin{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Code: status.CodeOutcomeUnknown})
 
-	// The key's own time counts, where a caller's clock runs ahead.
+	// Retention starts at the key's own time if the caller's clock is ahead.
 	req.KeyTime, req.Remember = t0+DefaultConfig().Ahead, 72*time.Hour
 	a = New(DefaultConfig(), req)
 	a.Step(t0, Begin{})
@@ -102,10 +100,8 @@
 	is.Equal(w.Row.Expires, t0+DefaultConfig().Ahead+72*time.Hour)
 }
 
-// Symptom: a payout runs twice when a fleet moves to shared rows.
-// Events: a caller's clock is two hours ahead; one node knows the layout that
-// holds for such keys, another doesn't yet.
-// Cause: keys taken whose place is not known for certain.
+// Guards against a second run while a fleet moves to shared rows: a caller's clock
+// is two hours ahead, and only some nodes know the layout for such keys yet.
 func TestKeyDatedAheadIsNotRun(t *testing.T) {
 	is := is.New(t)
 	req := testRequest("me")
@@ -116,18 +112,17 @@
 	is.True(ans.NotRunHere)
 }
 
-// Symptom: a caller repeats a key for ever that can't be claimed, or is told
-// "unknown" although nothing ran; its node counts a duty for ever.
-// Events: the row that the key shares is full.
-// Cause: no room taken for a platform that is down.
-func TestNoRoomIsRefused(t *testing.T) {
+// Guards against treating a full shared row like an unavailable platform: the
+// caller would repeat the key without end or be answered "unknown" although
+// nothing ran, and the node would keep a duty forever.
+func TestFullRowIsRefused(t *testing.T) {
 	is := is.New(t)
-	ans := begun("me").Step(t0, NoRoom{}).(Answer)
+	ans := startedAttempt("me").Step(t0, NoRoom{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Kind: request.Refused, Code: status.CodeNoRoom})
 	is.True(!ans.Duty.Pending())
 
 	cfg := DefaultConfig()
-	d := fence(&cfg, "me", 0)
+	d := newFenceDuty(&cfg, "me", 0)
 	d.Step(t0, Begin{})
 	d.Step(t0, RowRead{})
 	is.Equal(d.Step(t0, NoRoom{}), Finished{})
@@ -135,7 +130,7 @@
 
 func TestUnreadableRowIsNotRun(t *testing.T) {
 	is := is.New(t)
-	a := begun("me")
+	a := startedAttempt("me")
 	a.Step(t0, ConditionFailed{})
 	is.Equal(a.Step(t0, RowUnreadable{}).(Answer).Outcome, Outcome{Code: status.CodeOutcomeUnknown})
 }
@@ -188,7 +183,7 @@
 	is.Equal(key, DeriveKey(dated.String(), c))
 	got, ok := KeyTime(key)
 	is.True(ok)
-	is.Equal(got, want) // remembered as long as its root
+	is.Equal(got, want) // same retention as its root
 	other := c
 	other.Body[0] = 1
 	is.True(DeriveKey(dated.String(), other) != key)
@@ -206,7 +201,7 @@
 		b.Report(now, false)
 	}
 	for range 100 {
-		b.Report(now, false) // what was under way fails as well
+		b.Report(now, false) // operations in flight fail as well
 	}
 	is.Equal(b.Wait(now), cfg.ProbeEvery)
 	probes := 0
@@ -222,12 +217,10 @@
 	is.True(b.Allow(now))
 }
 
-// Symptom: a payout is paid twice.
-// Events: the first call runs and its answer is lost; its repeat meets an
-// overloaded target and is told "refused, not run"; the caller begins anew under
-// another key.
-// Cause: the refusal spoke for all calls under the key without looking.
-func TestRefusalLooksForEarlierCalls(t *testing.T) {
+// Guards against a second run under another key: the first call runs and its
+// answer is lost, then an overloaded target refuses the repeat as "not run"
+// without reading the claim.
+func TestRefusalChecksForEarlierCalls(t *testing.T) {
 	print := testRequest("x").Print
 	done := Outcome{Kind: request.Completed, Status: 200}
 	for name, tc := range map[string]struct {
@@ -256,7 +249,7 @@
 	}
 }
 
-func TestRefusalClaimsNothingWhilePlatformIsDown(t *testing.T) {
+func TestRefusalIsUnknownWhilePlatformIsDown(t *testing.T) {
 	is := is.New(t)
 	a := NewLook(DefaultConfig(), testRequest("x"), status.Refuse(status.CodeOverloaded, time.Second, "full"))
 	act := a.Step(0, Begin{})
--- a/internal/core/claim/doc.go
+++ b/internal/core/claim/doc.go
@@ -1,55 +1,55 @@
 // Package claim decides, for one call of an at-most-once class, whether its
-// request may run, and what may truthfully be said when it may not.
+// request may run, and which outcome is certain if it may not.
 //
-// # What it does
+// # Overview
 //
-// The node beside the target claims an idempotency key in the platform's table
-// before it hands the request over: one conditional write of one row, under
-// RowKey, with a token that no other attempt has. The winner alone runs. A row
-// goes through
+// The target's node claims an idempotency key in the platform's table before it
+// passes the request to the target: one conditional write of one row, under
+// RowKey, with a token unique to the attempt. Only the winner runs the request.
+// A row has these transitions:
 //
 //	absent -> Held -> Done            the request ran
 //	absent -> Held -> Free -> Held... nothing ran, the key may be claimed again
 //
-// and each step raises its version by one, so that a write which arrives late
-// fails on its condition instead of undoing a newer one.
+// Each transition increments the row's version, so a write that arrives late
+// fails on its condition instead of overwriting a newer one.
 //
-// A claim has no lease. Held never lapses: a holder that was paused for an hour
-// finds its claim as it left it, since nobody takes over a claim that may have
-// run. The price is that the key of a holder that died stays Held, and repeats
-// are told "unknown" for good.
+// A claim has no lease. Held never expires: a holder that was paused for an hour
+// still has its claim, because no other attempt takes over a claim that may have
+// run. In exchange, the key of a holder that died stays Held, and repeats are
+// answered "unknown" permanently.
 //
 // # Contract
 //
 //   - Run is returned at most once by an Attempt, and only when the attempt's
 //     own claim is known to be in the table.
-//   - A lost answer to a write (InDoubt) is settled by reading the token back.
-//     A row that reads absent proves nothing, because the write may still
-//     arrive: the attempt then writes again under the same condition, of which
-//     at most one takes effect.
+//   - A lost answer to a write (InDoubt) is resolved by reading the token back.
+//     An absent row proves nothing, because the write may still arrive: the
+//     attempt then writes again under the same condition, so that at most one of
+//     the two writes takes effect.
 //   - Outcome.Kind is request.Refused only if, at some instant between the
-//     call's arrival and its answer, nothing had run under the key. That takes
-//     a row that was read absent or Free, or an own claim. Without one (the
-//     platform is down) an earlier call under the key may have run: the kind is
-//     request.Unknown, and Answer.NotRunHere says what is certain, namely that
-//     this call ran nothing.
+//     call's arrival and its answer, nothing had run under the key. The evidence
+//     is a row read as absent or Free, or a claim of this attempt. Without it
+//     (the platform is down) an earlier call under the key may have run: the kind
+//     is request.Unknown, and Answer.NotRunHere says only that this call ran
+//     nothing.
 //   - A repeat gets the recorded outcome, or a typed "in progress" or "unknown".
-//   - The same key with another request is status.CodeKeyReused.
+//   - A key reused for a different request fails with status.CodeKeyReused.
 //
-// # Who calls what, when
+// # Usage
 //
-// internal/claims holds one Attempt per call. It gives Step the events Begin,
+// internal/claims holds one Attempt per call. It passes the events Begin,
 // Written, ConditionFailed, InDoubt, NothingWritten, RowRead, ReadFailed,
-// TargetDone, TargetNotRun and CallerGone, and does the Action that comes back:
-// Write, Read, Run, or Answer, which is the last. Events are answers to the
-// last action; an answer that comes after the next action was given is dropped
-// by the caller. An Answer may leave a Duty (an outcome to record, a claim to
-// release, a write in doubt to fence), a machine of its own that may go on
-// after the caller has its answer.
-//
-// Time is a time.Duration since the Unix epoch here, because rows are compared
-// between nodes. It decides only wordings and how long finished rows are kept,
-// never who may run.
+// TargetDone, TargetNotRun and CallerGone to Step and carries out the returned
+// Action: Write, Read, Run, or Answer, which is the last. Events are results of
+// the last action; the caller drops a result that arrives after the next action
+// was returned. An Answer may carry a Duty (an outcome to record, a claim to
+// release, an ambiguous write to fence): a separate state machine that may
+// continue after the caller has its answer.
+//
+// Time is a time.Duration since the Unix epoch, because nodes compare the times
+// in rows. It affects only which code is answered and how long finished rows are
+// kept, never which attempt may run.
 //
 // # Concurrency
 //
--- a/internal/core/claim/duty.go
+++ b/internal/core/claim/duty.go
@@ -5,124 +5,125 @@
 type task uint8
 
 const (
-	nothing task = iota
-	toRecord
-	toRelease
-	toFence
+	taskNone task = iota
+	taskRecord
+	taskRelease
+	taskFence
 )
 
-// Duty is what an attempt leaves to be done at the table. It may be tried as
-// often as it takes, after the caller has its answer: each try starts with
-// Begin. Until it is Finished the key stays as the attempt left it, and repeats
-// are told "in progress" or "unknown". A Duty that dies with its node costs
-// that key, never a second run.
+// Duty is the state machine for the work that an attempt leaves at the table. It
+// may be retried without limit after the caller has its answer; each try starts
+// with Begin. Until it is Finished the key stays as the attempt left it, and
+// repeats are answered "in progress" or "unknown". A Duty lost with its node
+// makes that key unusable but never causes a second run.
 type Duty struct {
-	cfg   *Config
-	task  task
-	token string
-	row   Row   // toRecord: the row to write
-	base  int64 // toRelease: the version held; toFence: the last version that a write in doubt was conditional on
-	phase phase
+	cfg         *Config
+	task        task
+	token       string
+	row         Row   // taskRecord: the row to write
+	baseVersion int64 // taskRelease: the version held; taskFence: the last version that an ambiguous write was conditional on
+	phase       phase
 }
 
-// Pending reports whether there is anything to do.
-func (d *Duty) Pending() bool { return d.task != nothing }
+// Pending reports whether any work is left.
+func (d *Duty) Pending() bool { return d.task != taskNone }
 
-// Urgent reports whether a caller that repeats at once is better served after
-// the first try: by a recorded outcome, or by a claim that is free again.
-func (d *Duty) Urgent() bool { return d.task == toRecord || d.task == toRelease }
+// Urgent reports whether the first try should precede the answer, because a
+// caller that repeats immediately then finds the outcome recorded or the claim
+// released.
+func (d *Duty) Urgent() bool { return d.task == taskRecord || d.task == taskRelease }
 
-// Records reports whether an outcome is to be recorded.
-func (d *Duty) Records() bool { return d.task == toRecord }
+// Records reports whether the duty records an outcome.
+func (d *Duty) Records() bool { return d.task == taskRecord }
 
-func recording(cfg *Config, row Row) Duty {
-	return Duty{cfg: cfg, task: toRecord, token: row.Token, row: row}
+func newRecordDuty(cfg *Config, row Row) Duty {
+	return Duty{cfg: cfg, task: taskRecord, token: row.Token, row: row}
 }
 
-func releasing(cfg *Config, token string, held int64) Duty {
-	return Duty{cfg: cfg, task: toRelease, token: token, base: held}
+func newReleaseDuty(cfg *Config, token string, held int64) Duty {
+	return Duty{cfg: cfg, task: taskRelease, token: token, baseVersion: held}
 }
 
-// fence returns the duty to undo a claim write whose answer was lost and that
-// could not be settled. It may have taken effect, or may yet: reading the row
-// absent is not enough. A Free row of our own is written in its place, under
-// the same condition, so that one of the two fails.
-func fence(cfg *Config, token string, base int64) Duty {
-	return Duty{cfg: cfg, task: toFence, token: token, base: base}
+// newFenceDuty returns the duty that undoes a claim write whose result is
+// unknown. The write may have taken effect or may still do so, so reading the row
+// as absent is not enough. The duty writes a Free row under the same condition,
+// so that one of the two writes fails.
+func newFenceDuty(cfg *Config, token string, base int64) Duty {
+	return Duty{cfg: cfg, task: taskFence, token: token, baseVersion: base}
 }
 
-// Step takes the next event and returns Write, Read, Later or Finished.
+// Step handles an event and returns Write, Read, Later or Finished.
 func (d *Duty) Step(now time.Duration, e Event) Action {
 	if _, ok := e.(Begin); ok {
-		return d.begin(now)
+		return d.start(now)
 	}
 	switch d.phase {
 	case writing:
-		return d.wrote(e)
+		return d.onWriteResult(e)
 	case reading:
-		return d.read(now, e)
+		return d.onReadResult(now, e)
 	default:
 		return nil
 	}
 }
 
-func (d *Duty) begin(now time.Duration) Action {
+func (d *Duty) start(now time.Duration) Action {
 	switch d.task {
-	case toRecord:
+	case taskRecord:
 		return d.write(d.row)
-	case toRelease:
-		return d.free(now, d.base)
-	case toFence:
-		return d.look()
+	case taskRelease:
+		return d.writeFree(now, d.baseVersion)
+	case taskFence:
+		return d.readRow()
 	default:
 		return d.finish(false)
 	}
 }
 
-func (d *Duty) wrote(e Event) Action {
+func (d *Duty) onWriteResult(e Event) Action {
 	switch e.(type) {
 	case Written:
 		return d.finish(false)
 	case NoRoom:
-		// Only a fence writes where nothing is. What has no room for it has none
-		// for the claim that it fences off: rows never get smaller.
+		// Only a fence writes an entry that does not exist yet. A row without room
+		// for the fence has none for the fenced claim either: rows never shrink.
 		return d.finish(false)
 	case ConditionFailed:
-		return d.refused()
+		return d.onConditionFailed()
 	default:
 		return Later{}
 	}
 }
 
-// refused handles a failed condition. Only the holder moves a row on from its
-// claim: a release that fails was done by an earlier try of it.
-func (d *Duty) refused() Action {
-	if d.task == toRelease {
+// onConditionFailed handles a failed condition. Only the holder moves a row on
+// from its claim, so a release that fails was already done by an earlier try.
+func (d *Duty) onConditionFailed() Action {
+	if d.task == taskRelease {
 		return d.finish(false)
 	}
-	return d.look()
+	return d.readRow()
 }
 
-func (d *Duty) read(now time.Duration, e Event) Action {
+func (d *Duty) onReadResult(now time.Duration, e Event) Action {
 	r, ok := e.(RowRead)
 	if !ok {
 		return Later{}
 	}
-	if d.task == toRecord {
+	if d.task == taskRecord {
 		return d.finish(r.Row.State != Done || r.Row.Token != d.token)
 	}
 	switch {
 	case r.Row.State == Held && r.Row.Token == d.token:
-		return d.free(now, r.Row.Version)
-	case r.Row.Version > d.base:
+		return d.writeFree(now, r.Row.Version)
+	case r.Row.Version > d.baseVersion:
 		return d.finish(false)
 	default:
-		return d.free(now, r.Row.Version)
+		return d.writeFree(now, r.Row.Version)
 	}
 }
 
-// free writes a Free row over version.
-func (d *Duty) free(now time.Duration, version int64) Action {
+// writeFree replaces the row at version with a Free row.
+func (d *Duty) writeFree(now time.Duration, version int64) Action {
 	return d.write(Row{
 		Version: version + 1, Token: d.token, State: Free, Expires: now + d.cfg.FreeFor,
 	})
@@ -133,12 +134,12 @@
 	return Write{Row: r, Wait: d.cfg.OpWait}
 }
 
-func (d *Duty) look() Action {
+func (d *Duty) readRow() Action {
 	d.phase = reading
 	return Read{Wait: d.cfg.OpWait}
 }
 
 func (d *Duty) finish(lost bool) Action {
-	d.phase, d.task = ended, nothing
+	d.phase, d.task = ended, taskNone
 	return Finished{Lost: lost}
 }
--- a/internal/core/claim/event.go
+++ b/internal/core/claim/event.go
@@ -7,39 +7,38 @@
 	"peardrift/internal/status"
 )
 
-// Event is what happened to an attempt or a duty.
+// Event is an input to an Attempt or a Duty.
 type Event interface{ event() }
 
-// Events. Unless said otherwise each answers the last action.
+// Events. Unless stated otherwise each is the result of the last action.
 type (
-	// Begin starts an attempt, or a duty's next try.
+	// Begin starts an attempt, or the next try of a duty.
 	Begin struct{}
 	// Written: the write is durable.
 	Written struct{}
-	// ConditionFailed: the row was not at the write's condition.
+	// ConditionFailed: the row's version did not match the write's condition.
 	ConditionFailed struct{}
-	// InDoubt: the write may have taken effect, now or later.
+	// InDoubt: the write may have taken effect or may still do so.
 	InDoubt struct{}
-	// NothingWritten: the platform is known not to have had the write.
+	// NothingWritten: the platform certainly did not receive the write.
 	NothingWritten struct{}
-	// NoRoom: the row that the claim shares with others has no room for it, and
-	// did not hold it.
+	// NoRoom: the shared row does not hold the claim and has no room for it.
 	NoRoom struct{}
 	// RowRead: the row, of State Absent if there is none.
 	RowRead struct{ Row Row }
-	// RowUnreadable: there is a row that this version can't decode.
+	// RowUnreadable: the row exists but this version cannot decode it.
 	RowUnreadable struct{}
 	// ReadFailed: the row could not be read.
 	ReadFailed struct{}
 	// TargetDone: the target ran, or may have; Outcome.Kind says which.
 	TargetDone struct{ Outcome Outcome }
-	// TargetNotRun: the target is known to have run nothing.
+	// TargetNotRun: the target certainly ran nothing.
 	TargetNotRun struct {
 		Code       status.Code
 		RetryAfter time.Duration
 	}
-	// CallerGone: nobody waits any more. It may come at any time and answers no
-	// action; a run that has begun goes on.
+	// CallerGone: the caller no longer waits. It may come at any time and is not
+	// the result of an action; a run that has started continues.
 	CallerGone struct{}
 )
 
@@ -56,21 +55,21 @@
 func (TargetNotRun) event()    {}
 func (CallerGone) event()      {}
 
-// Action is what an attempt or a duty wants done next. Nil: nothing, the last
-// action is still under way.
+// Action is the next step for the caller of an Attempt or a Duty. Nil means that
+// the last action is still in flight.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// Write puts Row if the table's row is at Row.Version-1 (0: absent), and
-	// waits for it no longer than Wait.
+	// Write puts Row if the table's row is at Row.Version-1 (0: absent), with
+	// timeout Wait.
 	Write struct {
 		Row  Row
 		Wait time.Duration
 	}
-	// Read gets the row, and waits for it no longer than Wait.
+	// Read gets the row, with timeout Wait.
 	Read struct{ Wait time.Duration }
-	// Run hands the request to the target, which has until Until.
+	// Run passes the request to the target, with deadline Until.
 	Run struct{ Until time.Duration }
 	// Answer ends the attempt.
 	Answer struct {
@@ -78,12 +77,12 @@
 		Origin     Origin
 		NotRunHere bool          // this call ran nothing
 		RetryAfter time.Duration // 0: no advice
-		Duty       Duty          // what is still to be done
+		Duty       Duty          // work left at the table
 	}
-	// Later asks for Begin after a pause: the platform does not answer.
+	// Later requests Begin after a pause, because the platform does not answer.
 	Later struct{}
-	// Finished ends a duty. Lost: the table does not hold what was to be
-	// recorded, which only a hand from outside can cause.
+	// Finished ends a duty. Lost means that the table does not hold the outcome
+	// to be recorded, which only an outside change to the table can cause.
 	Finished struct{ Lost bool }
 )
 
@@ -94,11 +93,11 @@
 func (Later) action()    {}
 func (Finished) action() {}
 
-// Origin says where an answer's outcome comes from.
+// Origin is the source of an answer's outcome.
 type Origin uint8
 
 const (
-	// FromRules: the attempt's own decision; there is no answer of a target.
+	// FromRules: the attempt decided without an answer from a target.
 	FromRules Origin = iota
 	// FromRun: this call ran; the run's answer follows.
 	FromRun
@@ -106,17 +105,17 @@
 	FromRow
 )
 
-// Request is what an attempt has to know about its call.
+// Request describes the call of an attempt.
 type Request struct {
-	Token    string        // no other attempt has it
+	Token    string        // unique to the attempt
 	Print    Digest        // Fingerprint of the request
 	Deadline time.Duration // when the caller stops waiting
 	KeyTime  time.Duration // 0 for an undated key
 	Remember time.Duration // how long the outcome is kept; 0: Config.Remember
 }
 
-// refusedIf returns Refused where it is known that nothing ran, Unknown else.
-func refusedIf(known bool) request.Outcome {
+// refusedOrUnknown returns Refused if it is known that nothing ran, else Unknown.
+func refusedOrUnknown(known bool) request.Outcome {
 	if known {
 		return request.Refused
 	}
--- a/internal/core/claim/proof_test.go
+++ b/internal/core/claim/exhaustive_test.go
@@ -13,30 +13,28 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: a payout is paid twice, or a caller is told "not run" of one that
-// was paid.
-// Events: the caller repeats through other nodes, at the same time or after;
-// nodes are killed or paused between any two steps; answers of the platform and
-// of the target are lost, and writes arrive late or twice.
-// Cause: any rule that lets a second call run, or claims to know that none did.
+// Guards against a second run, and against "not run" for a request that ran. Calls
+// repeat through other nodes concurrently or later, nodes are killed or paused
+// between any two steps, answers of the platform and the target are lost, and
+// writes arrive late or twice.
 //
-// Every interleaving of the calls with every placing of the faults is visited.
-// The largest case leaves out the middle one of the model's times, which decides
-// only between the wordings of an unknown outcome.
+// The test visits every interleaving of the calls with every placement of the
+// faults. The largest case omits the middle one of the model's times, which only
+// selects the code of an unknown outcome.
 func TestAtMostOnceInEveryState(t *testing.T) {
 	for _, c := range []struct {
 		calls, faults int
-		hour          int
+		timeIndex     int
 	}{
 		{calls: 2, faults: 1},
 		{calls: 3, faults: 0},
 		{calls: 2, faults: 2},
-		{calls: 3, faults: 1, hour: 1},
+		{calls: 3, faults: 1, timeIndex: 1},
 	} {
 		t.Run(fmt.Sprintf("%d calls, %d faults", c.calls, c.faults), func(t *testing.T) {
-			w := newWorld(c.calls, c.faults)
-			w.hour = c.hour
-			states, path, err := explore(sound, w, "")
+			w := newModel(c.calls, c.faults)
+			w.timeIndex = c.timeIndex
+			states, path, err := explore(soundStep, w, "")
 			if err != nil {
 				t.Fatalf("%v:\n  %s", err, strings.Join(path, "\n  "))
 			}
@@ -45,10 +43,10 @@
 	}
 }
 
-// naive are the rules that peardrift does not use. Each breaks what the sound
-// attempt keeps, under two calls and one fault at most.
-var naive = map[string]struct {
-	step  step
+// unsoundRules are variants of the attempt that each violate an invariant with at
+// most two calls and one fault.
+var unsoundRules = map[string]struct {
+	step  stepFunc
 	fault string
 }{
 	"no claim": {func(a *Attempt, now time.Duration, e Event) Action {
@@ -77,7 +75,7 @@
 	}, "held by nobody"},
 	"what reads absent never arrives": {func(a *Attempt, now time.Duration, e Event) Action {
 		if r, ok := e.(RowRead); ok && r.Row.State == Absent {
-			return a.end(Answer{NotRunHere: true})
+			return a.finish(Answer{NotRunHere: true})
 		}
 		return a.Step(now, e)
 	}, "held by nobody"},
@@ -91,28 +89,28 @@
 	}, "told not run"},
 }
 
-func TestNaiveRulesFail(t *testing.T) {
-	for name, c := range naive {
+func TestUnsoundRulesFail(t *testing.T) {
+	for name, c := range unsoundRules {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, path, err := explore(c.step, newWorld(2, 1), c.fault)
+			_, path, err := explore(c.step, newModel(2, 1), c.fault)
 			is.True(err != nil)
 			t.Logf("%v:\n  %s", err, strings.Join(path, "\n  "))
 		})
 	}
 }
 
-// The same with more faults at once than can be enumerated.
+// Random walks with more faults than exhaustive exploration can cover.
 func TestAtMostOnceAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(maxCalls, rapid.IntRange(0, 8).Draw(t, "faults"))
-		m := mover{step: sound}
+		w := newModel(maxCalls, rapid.IntRange(0, 8).Draw(t, "faults"))
+		m := enumerator{step: soundStep}
 		var path []string
-		for moves := m.all(w); len(moves) > 0; moves = m.all(w) {
+		for moves := m.successors(w); len(moves) > 0; moves = m.successors(w) {
 			next := moves[rapid.IntRange(0, len(moves)-1).Draw(t, "move")]
 			path = append(path, next.name)
-			if next.fault != nil {
-				t.Fatalf("%v:\n  %s", next.fault, strings.Join(path, "\n  "))
+			if next.violation != nil {
+				t.Fatalf("%v:\n  %s", next.violation, strings.Join(path, "\n  "))
 			}
 			w = next.next
 		}
--- a/internal/core/claim/key.go
+++ b/internal/core/claim/key.go
@@ -26,15 +26,15 @@
 // String returns the digest as lower-case hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Fingerprint identifies what is asked under a key: the same key with another
-// fingerprint is a fault of the caller.
+// Fingerprint identifies the request made under a key. Using a key with a second
+// fingerprint is a caller error.
 func Fingerprint(method, path string, body Digest) Digest {
-	return framed(method, path, string(body[:]))
+	return digestParts(method, path, string(body[:]))
 }
 
-// framed digests parts with their lengths, so that moving a byte from one part
+// digestParts hashes length-prefixed parts, so that moving a byte from one part
 // to the next changes the digest.
-func framed(parts ...string) Digest {
+func digestParts(parts ...string) Digest {
 	h := sha256.New()
 	var n [binary.MaxVarintLen64]byte
 	for _, p := range parts {
@@ -44,8 +44,8 @@
 	return Digest(h.Sum(nil))
 }
 
-// Scope is where a key is unique. Tenant is the caller's, so that no tenant
-// reads another's outcome by guessing its key.
+// Scope is the namespace of a key. Tenant is the caller's, so that no tenant can
+// read another's outcome by guessing its key.
 type Scope struct {
 	Tenant  request.Tenant
 	Service request.Service
@@ -60,7 +60,7 @@
 		esc(string(s.Class)) + "/" + esc(key)
 }
 
-// CheckKey returns nil if key may be used: 1 to MaxKeyLen visible ASCII bytes.
+// CheckKey returns nil if key is valid: 1 to MaxKeyLen visible ASCII bytes.
 func CheckKey(key string) *status.Error {
 	if key == "" {
 		return status.Refuse(status.CodeKeyMissing, 0, "an at-most-once request needs an idempotency key")
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// KeyTime returns when a dated key (a UUID of version 7) was drawn, as time
-// since the Unix epoch; ok is false for any other key.
+// KeyTime returns the creation time of a dated key (a UUIDv7) since the Unix
+// epoch; ok is false for any other key.
 func KeyTime(key string) (t time.Duration, ok bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != uuidV7 || id.Variant() != uuid.RFC4122 {
@@ -94,7 +94,7 @@
 	uuidRandBits = 16 // bits after the time in its first 8 bytes
 )
 
-// Call is what a derived key stands for: one call below a request.
+// Call identifies a nested call for which a key is derived.
 type Call struct {
 	Service request.Service
 	Class   request.Class
@@ -104,15 +104,15 @@
 }
 
 // DeriveKey returns the key of a nested call that has none of its own. root is
-// the key of the incoming request, or its trace id where it has no key. When
-// the caller repeats the incoming request, the nested call gets the same key
-// and runs once. Two equal calls below one request share a key as well: an
-// application that means two needs keys of its own.
+// the key of the incoming request, or its trace id if it has no key. When the
+// caller repeats the incoming request, the nested call gets the same key and
+// runs once. Two equal calls under one request also share a key; an application
+// that intends both to run must supply its own keys.
 //
-// The key is a UUID: below a dated root one of version 7 with the root's time,
-// so that it is remembered for as long, else an undated one of version 8.
+// The key is a UUID: version 7 with the root's time if the root is dated, so that
+// both have the same retention, otherwise an undated version 8.
 func DeriveKey(root string, c Call) string {
-	sum := framed(root, string(c.Service), string(c.Class), c.Method, c.Path, string(c.Body[:]))
+	sum := digestParts(root, string(c.Service), string(c.Class), c.Method, c.Path, string(c.Body[:]))
 	id := uuid.UUID(sum[:16])
 	version := byte(uuidV8)
 	if rootID, err := uuid.Parse(root); err == nil && rootID.Version() == uuidV7 {
--- a/internal/core/claim/row.go
+++ b/internal/core/claim/row.go
@@ -10,16 +10,17 @@
 	"peardrift/internal/status"
 )
 
-// State is what a row says about its key.
+// State is the state of a key in its row.
 type State uint8
 
 const (
-	// Absent: there is no row. It is the zero value.
+	// Absent: no row exists. It is the zero value.
 	Absent State = iota
-	// Free: claimed before, and nothing ran. The key may be claimed again.
+	// Free: the key was claimed and released, and nothing ran. It may be claimed
+	// again.
 	Free
-	// Held: an attempt has the claim; it may not have begun, be running, have
-	// ended or be dead.
+	// Held: an attempt has the claim; its run may be pending, in progress, ended
+	// or lost with its node.
 	Held
 	// Done: the outcome is recorded. It may be "unknown".
 	Done
@@ -31,43 +32,43 @@
 	Version int64
 	Token   string // of the attempt that wrote it last
 	State   State
-	Print   Digest        // what was asked; zero when Free
+	Print   Digest        // fingerprint of the request; zero when Free
 	Since   time.Duration // when it was claimed
-	Until   time.Duration // when its run ends at the latest
-	Outcome Outcome       // when Done
-	Expires time.Duration // 0: kept for good; else the platform may remove it
+	Until   time.Duration // deadline of the run
+	Outcome Outcome       // set when Done
+	Expires time.Duration // when the platform may remove it; 0: never
 }
 
 // Outcome is how a request ended.
 type Outcome struct {
 	Kind        request.Outcome
-	Code        status.Code // what failed; empty for a whole answer
+	Code        status.Code // failure code; empty for a complete answer
 	Status      int         // HTTP status of the target's answer; 0: none
 	ContentType string
 	Body        string // the answer's bytes, if Kept
-	Size        int64  // of the whole answer, in bytes
-	Sum         Digest // of the whole answer
-	Kept        bool   // whether Body is the whole answer
+	Size        int64  // of the complete answer, in bytes
+	Sum         Digest // of the complete answer
+	Kept        bool   // whether Body is the complete answer
 }
 
-// maxType bounds the content type that is kept with a body, in bytes.
-const maxType = 255
+// maxContentTypeLen is the longest content type stored with a body, in bytes.
+const maxContentTypeLen = 255
 
-// Trim drops a body of more than limit bytes, or of an outsized content type;
-// its size and digest stay.
+// Trim removes the body if it exceeds limit bytes or its content type is too
+// long; its size and digest stay.
 func (o Outcome) Trim(limit int) Outcome {
-	if len(o.Body) > limit || len(o.ContentType) > maxType {
+	if len(o.Body) > limit || len(o.ContentType) > maxContentTypeLen {
 		o.Body, o.ContentType, o.Kept = "", "", false
 	}
 	return o
 }
 
-// rowFormat is the version of the encoding; a reader refuses any other, so that
-// an older node never takes a newer row for an absent one.
+// rowFormat is the version of the encoding. A reader rejects any other version,
+// so that an older node never treats a newer row as absent.
 const rowFormat = 1
 
-// value is a row as it is kept; short names keep it small.
-type value struct {
+// encodedRow is the stored form of a row; short field names keep it small.
+type encodedRow struct {
 	Format uint8         `msgpack:"f"`
 	State  State         `msgpack:"s"`
 	Print  []byte        `msgpack:"p,omitempty"`
@@ -86,7 +87,7 @@
 // Encode returns the value of the table's item.
 func (r Row) Encode() ([]byte, error) {
 	o := r.Outcome
-	v := value{
+	v := encodedRow{
 		Format: rowFormat, State: r.State, Since: r.Since, Until: r.Until,
 		Kind: uint8(o.Kind), Code: o.Code, Status: o.Status, Type: o.ContentType,
 		Body: []byte(o.Body), Size: o.Size, Kept: o.Kept,
@@ -104,10 +105,10 @@
 	return b, nil
 }
 
-// Decode reads an item's value. It fails with status.CodeProtocol on anything
+// Decode decodes an item's value. It fails with status.CodeProtocol on a value
 // that Encode did not write.
 func Decode(version int64, token string, b []byte) (Row, error) {
-	var v value
+	var v encodedRow
 	if err := mpack.Unmarshal(b, &v); err != nil {
 		return Row{}, status.Wrap(status.CodeProtocol, err, "decode a claim")
 	}
