--- a/internal/core/claim/batch/batch_test.go
+++ b/internal/core/claim/batch/batch_test.go
@@ -16,16 +16,16 @@
 
 const t0 = 1_000_000 * time.Second
 
-// store is the table's side: rows, and every entry that was ever in one.
+// store is a fake table that also records every entry ever written.
 type store struct {
-	rows map[string]Write
-	was  map[string]bool // entry names, by name()
+	rows    map[string]Write
+	written map[string]bool // entries ever written, by entryName
 }
 
-func name(key string, e Entry) string { return fmt.Sprint(key, e.Version, e.Token) }
+func entryName(key string, e Entry) string { return fmt.Sprint(key, e.Version, e.Token) }
 
-// apply does a conditional write. It fails the test if the row loses or takes
-// back an entry.
+// apply executes a conditional write. It fails the test if the row loses an
+// entry or reverts it to an older version.
 func (s *store) apply(t *rapid.T, w Write) bool {
 	old := s.rows[w.Row]
 	if old.Version != w.Version-1 {
@@ -37,32 +37,32 @@
 		}
 	}
 	for key, e := range w.Entries {
-		s.was[name(key, e)] = true
+		s.written[entryName(key, e)] = true
 	}
 	w.Entries = maps.Clone(w.Entries)
 	s.rows[w.Row] = w
 	return true
 }
 
-// todo is an action of a batcher, not yet done.
-type todo struct {
-	b   *Batcher
-	act Action
+// pendingAction is an action of a batcher that has not been carried out.
+type pendingAction struct {
+	batcher *Batcher
+	action  Action
 }
 
-// race is two batchers of one row with random faults.
+// race drives two batchers of one row with random faults.
 type race struct {
-	t       *rapid.T
-	store   store
-	nodes   [2]*Batcher
-	todo    []todo
-	late    []Write
-	ops     map[uint64]Op
-	replies map[uint64]Reply
-	now     time.Duration
+	t          *rapid.T
+	store      store
+	nodes      [2]*Batcher
+	pending    []pendingAction
+	lateWrites []Write
+	ops        map[uint64]Op
+	replies    map[uint64]Reply
+	now        time.Duration
 }
 
-func (r *race) take(b *Batcher, acts []Action) {
+func (r *race) handle(b *Batcher, acts []Action) {
 	for _, a := range acts {
 		if rep, ok := a.(Reply); ok {
 			if _, dup := r.replies[rep.ID]; dup {
@@ -71,49 +71,49 @@
 			r.replies[rep.ID] = rep
 			continue
 		}
-		r.todo = append(r.todo, todo{b, a})
+		r.pending = append(r.pending, pendingAction{b, a})
 	}
 }
 
-// do carries out one action; fate 0 is without a fault.
-func (r *race) do(i, fate int) {
-	d := r.todo[i]
-	r.todo = append(r.todo[:i], r.todo[i+1:]...)
-	switch act := d.act.(type) {
+// execute carries out one action; fault 0 means no fault.
+func (r *race) execute(i, fault int) {
+	d := r.pending[i]
+	r.pending = append(r.pending[:i], r.pending[i+1:]...)
+	switch act := d.action.(type) {
 	case Write:
-		r.write(d.b, act, fate)
+		r.write(d.batcher, act, fault)
 	case Read:
-		if fate > 0 {
-			r.take(d.b, d.b.ReadFailed(r.now, act.Row))
+		if fault > 0 {
+			r.handle(d.batcher, d.batcher.ReadFailed(r.now, act.Row))
 			return
 		}
 		row := r.store.rows[act.Row]
-		r.take(d.b, d.b.RowRead(r.now, act.Row, row.Version, maps.Clone(row.Entries)))
+		r.handle(d.batcher, d.batcher.RowRead(r.now, act.Row, row.Version, maps.Clone(row.Entries)))
 	}
 }
 
-func (r *race) write(b *Batcher, w Write, fate int) {
-	switch fate {
+func (r *race) write(b *Batcher, w Write, fault int) {
+	switch fault {
 	case 0:
 		if r.store.apply(r.t, w) {
-			r.take(b, b.Written(r.now, w.Row))
+			r.handle(b, b.Written(r.now, w.Row))
 			return
 		}
-		r.take(b, b.ConditionFailed(r.now, w.Row))
+		r.handle(b, b.ConditionFailed(r.now, w.Row))
 		return
 	case 1:
-		r.take(b, b.NothingWritten(r.now, w.Row))
+		r.handle(b, b.NothingWritten(r.now, w.Row))
 		return
 	case 2:
 		r.store.apply(r.t, w)
 	case 3:
-		r.late = append(r.late, w)
+		r.lateWrites = append(r.lateWrites, w)
 	}
-	r.take(b, b.InDoubt(r.now, w.Row))
+	r.handle(b, b.InDoubt(r.now, w.Row))
 }
 
-// submit gives a node the next op of some attempt: a claim of a key, or the
-// move on from an entry that the attempt has.
+// submit sends a node a random op: a claim of a key, or the next version of an
+// existing entry.
 func (r *race) submit(id uint64) {
 	key := rapid.SampledFrom([]string{"k", "l", "m"}).Draw(r.t, "key")
 	ver := int64(rapid.IntRange(0, 2).Draw(r.t, "version"))
@@ -123,23 +123,21 @@
 		Lazy:  rapid.Bool().Draw(r.t, "lazy"),
 	}
 	if op.Look = rapid.IntRange(0, 3).Draw(r.t, "look") == 0; op.Look {
-		op.IfVersion = r.store.rows["row"].Entries[key].Version // what it must see at least
+		op.IfVersion = r.store.rows["row"].Entries[key].Version // the oldest version it may return
 	}
 	if rapid.IntRange(0, 3).Draw(r.t, "leaves") == 0 {
 		op.Until = r.now + time.Duration(rapid.IntRange(1, 100).Draw(r.t, "in ms"))*time.Millisecond
 	}
 	r.ops[id] = op
 	b := r.nodes[id%2]
-	r.take(b, b.Submit(r.now, op))
+	r.handle(b, b.Submit(r.now, op))
 }
 
-// Symptom: a claim is told "yours" though another has it, or is lost from its
-// row after it was acknowledged.
-// Events: two nodes batch for the same row, answers are lost, writes arrive
-// late, reads fail, the nodes pause between any two steps.
-// Cause: a batching node that trusts its memory of the row, or its being the
-// only one.
-func TestTwoBatchersOfOneRow(t *testing.T) {
+// Guards against acknowledging a claim that another attempt holds, and against
+// losing an acknowledged claim, when a batching node trusts its cached row or
+// assumes that it is the only batcher. Two nodes batch one row while answers are
+// lost, writes arrive late, reads fail and the nodes pause between any two steps.
+func TestConcurrentBatchersOfOneRow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &race{
 			t: t, store: store{map[string]Write{}, map[string]bool{}}, now: t0,
@@ -149,25 +147,25 @@
 		for id := range uint64(rapid.IntRange(1, 60).Draw(t, "steps")) {
 			r.submit(id)
 			for range rapid.IntRange(0, 3).Draw(t, "answers") {
-				if len(r.todo) > 0 {
-					r.do(rapid.IntRange(0, len(r.todo)-1).Draw(t, "which"), rapid.IntRange(0, 4).Draw(t, "fate"))
+				if len(r.pending) > 0 {
+					r.execute(rapid.IntRange(0, len(r.pending)-1).Draw(t, "which"), rapid.IntRange(0, 4).Draw(t, "fate"))
 				}
 			}
-			if len(r.late) > 0 && rapid.Bool().Draw(t, "arrives") {
-				r.store.apply(t, r.late[0])
-				r.late = r.late[1:]
+			if len(r.lateWrites) > 0 && rapid.Bool().Draw(t, "arrives") {
+				r.store.apply(t, r.lateWrites[0])
+				r.lateWrites = r.lateWrites[1:]
 			}
 			r.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond
 			r.tick()
 		}
 		for len(r.replies) < len(r.ops) {
-			for len(r.todo) > 0 {
-				r.do(0, 0)
+			for len(r.pending) > 0 {
+				r.execute(0, 0)
 			}
 			r.now += time.Second
 			r.tick()
 		}
-		for _, w := range r.late {
+		for _, w := range r.lateWrites {
 			r.store.apply(t, w)
 		}
 		r.check()
@@ -176,7 +174,7 @@
 
 func (r *race) tick() {
 	for _, b := range r.nodes {
-		r.take(b, b.Tick(r.now))
+		r.handle(b, b.Tick(r.now))
 	}
 }
 
@@ -185,27 +183,27 @@
 		op := r.ops[id]
 		if op.Look {
 			if rep.Result == OK && rep.Current.Version < op.IfVersion {
-				r.t.Fatalf("%+v is shown an older %+v", op, rep.Current)
+				r.t.Fatalf("%+v returned the older entry %+v", op, rep.Current)
 			}
-			if rep.Current.Version > 0 && !r.store.was[name(op.Key, rep.Current)] {
-				r.t.Fatalf("%+v is shown %+v, which never was", op, rep.Current)
+			if rep.Current.Version > 0 && !r.store.written[entryName(op.Key, rep.Current)] {
+				r.t.Fatalf("%+v returned %+v, which was never written", op, rep.Current)
 			}
 			continue
 		}
-		// An entry that a later op of the same batch replaced was never alone in
-		// a row, so it is looked for only where it must not be.
-		there := r.store.was[name(op.Key, op.Entry)]
+		// An entry replaced by a later op of the same batch never appears in a
+		// stored row, so a missing entry is an error only if no newer one exists.
+		written := r.store.written[entryName(op.Key, op.Entry)]
 		now := r.store.rows["row"].Entries[op.Key]
 		switch {
-		case rep.Result == OK && !there && now.Version <= op.Entry.Version:
-			r.t.Fatalf("%+v is told OK, the row has %+v", op, now)
-		case rep.Result != OK && rep.Result != Ambiguous && there:
-			r.t.Fatalf("%+v is told %d, and was written", op, rep.Result)
+		case rep.Result == OK && !written && now.Version <= op.Entry.Version:
+			r.t.Fatalf("%+v returned OK, but the row has %+v", op, now)
+		case rep.Result != OK && rep.Result != Ambiguous && written:
+			r.t.Fatalf("%+v returned %d, but was written", op, rep.Result)
 		}
 	}
 }
 
-func TestFullRowRefusesNewClaimsAndTakesOutcomes(t *testing.T) {
+func TestFullRowRefusesNewClaimsAndAcceptsOutcomes(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	cfg.MaxRow = entryOverhead + 1 + cfg.Reserve
@@ -221,7 +219,7 @@
 	is.Equal(w[0].(Write).Version, int64(2))
 }
 
-func TestSlotsAndNodes(t *testing.T) {
+func TestSlotAndNodeSelection(t *testing.T) {
 	is := is.New(t)
 	id, err := uuid.NewV7()
 	is.NoErr(err)
@@ -246,36 +244,35 @@
 		}
 		is.True(Pick(row, nodes, func(i int) bool { return i == was }) != was)
 	}
-	is.Equal(moved, 0) // a node that leaves moves no rows of the others
+	is.Equal(moved, 0) // rows of the remaining nodes stay when a node leaves
 	for i := range nodes {
 		is.True(taken[i] > 150)
 	}
 	is.Equal(Pick("row", nil, nil), -1)
 }
 
-// Symptom: a payout runs twice while a fleet moves to other rows.
-// Events: one node reads the layouts just before a new one is announced, another
-// just after; both claim the same dated key, as late as the first one's
-// knowledge allows.
-// Cause: a layout that holds for keys which a node may place without it.
+// Guards against a second run during a layout change: one node reads the layouts
+// just before an announcement and another just after, and both claim the same
+// dated key as late as the first node's list is valid. A new layout must not
+// apply to keys that a node may place without it.
 func TestNodesThatMayPlaceAKeyAgreeOnItsRow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wrong := func(name string) time.Duration {
+		clockError := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-int64(Margin/4), int64(Margin/4)).Draw(t, name))
 		}
-		under := time.Duration(rapid.Int64Range(0, int64(Margin/2)).Draw(t, "write under way"))
+		inFlight := time.Duration(rapid.Int64Range(0, int64(Margin/2)).Draw(t, "write under way"))
 		announced := 100 * time.Hour
 		old, err := Layouts(nil).Announce(time.Hour, Config{Slot: time.Second, Shards: 2})
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, err := old.Announce(announced+wrong("announcer's clock"), DefaultConfig())
+		next, err := old.Announce(announced+clockError("announcer's clock"), DefaultConfig())
 		if err != nil || !next.Extends(old) || old.Extends(next) {
 			t.Fatal(next, err)
 		}
-		// The reader that doesn't see the new one read before its write arrived.
-		read := announced + under - time.Duration(rapid.Int64Range(1, int64(time.Hour)).Draw(t, "before"))
-		key := dated(time.Duration(rapid.Int64Range(0, int64(KnownUntil(read+wrong("reader's clock")))).Draw(t, "key")))
+		// The reader without the new layout read before its write arrived.
+		read := announced + inFlight - time.Duration(rapid.Int64Range(1, int64(time.Hour)).Draw(t, "before"))
+		key := dated(time.Duration(rapid.Int64Range(0, int64(KnownUntil(read+clockError("reader's clock")))).Draw(t, "key")))
 		was, ok := old.SlotOf("row", key)
 		is, okNow := next.SlotOf("row", key)
 		if was != is || ok != okNow {
@@ -284,7 +281,7 @@
 	})
 }
 
-// dated returns a UUID of version 7 with a time.
+// dated returns a UUIDv7 with the given time.
 func dated(at time.Duration) string {
 	var id uuid.UUID
 	for i, ms := 0, uint64(at.Milliseconds()); i < 6; i++ {
@@ -294,7 +291,7 @@
 	return id.String()
 }
 
-func TestLayoutsAreKeptWhole(t *testing.T) {
+func TestLayoutsEncoding(t *testing.T) {
 	is := is.New(t)
 	l, err := Layouts(nil).Announce(time.Hour, DefaultConfig())
 	is.NoErr(err)
@@ -304,13 +301,13 @@
 	is.NoErr(err)
 	is.Equal(back, l)
 	_, err = l.Announce(time.Minute, DefaultConfig())
-	is.Equal(status.CodeOf(err), status.CodeProtocol) // would begin before the last one
+	is.Equal(status.CodeOf(err), status.CodeProtocol) // would start before the last one
 	_, err = DecodeLayouts([]byte{0x81, 0xa1, 'f', 2})
 	is.Equal(status.CodeOf(err), status.CodeProtocol)
 }
 
-// Symptom: a node ends for want of memory. Events: it reads a row of layouts that
-// was cut or written by something else. Cause: a list made as long as it says.
+// Guards against running out of memory on a truncated or foreign layouts row whose
+// length prefix is used to allocate the list.
 func FuzzDecodeLayouts(f *testing.F) {
 	f.Add([]byte("\x922\xdd\x9c0\xdc\xdc0\xdc"))
 	l, _ := Layouts(nil).Announce(time.Hour, DefaultConfig())
--- a/internal/core/claim/batch/bench_test.go
+++ b/internal/core/claim/batch/bench_test.go
@@ -14,24 +14,24 @@
 	"peardrift/internal/core/request"
 )
 
-// The benchmark steps the batcher under a virtual clock: callers draw dated
-// keys, each call is a claim op and, after its run, a lazy outcome op. One
-// Batcher stands for all batching nodes, as rows are independent.
+// The benchmark drives the batcher with a virtual clock: callers generate dated
+// keys, and each call is a claim op followed, after its run, by a lazy outcome op.
+// One Batcher represents all batching nodes, because rows are independent.
 const (
-	hop      = 1500 * time.Microsecond // one way between zones
-	platMin  = 4 * time.Millisecond    // a write or read at the platform
-	platMax  = 12 * time.Millisecond
-	runMin   = 20 * time.Millisecond
-	runMax   = 300 * time.Millisecond
-	drawn    = 50 * time.Millisecond // from drawing a key to its claim, at most
-	skewMost = 30 * time.Second      // of callers whose clocks are wrong
-	simTime  = 10 * time.Second
-	warmUp   = 2 * time.Second // from here on is measured
+	oneWayLatency      = 1500 * time.Microsecond // one-way latency between zones
+	minPlatformLatency = 4 * time.Millisecond    // latency of a write or read at the platform
+	maxPlatformLatency = 12 * time.Millisecond
+	minRun             = 20 * time.Millisecond
+	maxRun             = 300 * time.Millisecond
+	maxKeyAge          = 50 * time.Millisecond // maximum age of a key at its claim
+	maxClockError      = 30 * time.Second      // maximum error of a wrong caller clock
+	simDuration        = 10 * time.Second
+	warmUp             = 2 * time.Second // excluded from the measurement
 )
 
 type event struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 type events []event
@@ -46,7 +46,7 @@
 	return last
 }
 
-// claimOp is a claim op under way.
+// claimOp is a claim or outcome op in flight.
 type claimOp struct {
 	rowKey, key, token string
 	slot               Slot
@@ -55,26 +55,26 @@
 }
 
 type sim struct {
-	b      testing.TB
-	rnd    *rand.Rand
-	rate   float64 // claims a second
-	skewed float64 // share of callers with wrong clocks
-	now    time.Duration
-	queue  events
-	core   *Batcher
-	table  map[string]Write
-	tick   time.Duration // next one that is scheduled
-	ops    map[uint64]claimOp
-	id     uint64
+	b               testing.TB
+	rnd             *rand.Rand
+	rate            float64 // claims a second
+	wrongClockShare float64 // share of callers with wrong clocks
+	now             time.Duration
+	queue           events
+	batcher         *Batcher
+	table           map[string]Write
+	nextTick        time.Duration // time of the next scheduled tick
+	ops             map[uint64]claimOp
+	id              uint64
 
 	claims, writes, reads, failed, full, bytes, entries int
-	waits                                               []time.Duration
+	latencies                                           []time.Duration
 }
 
 func newSim(b testing.TB, cfg Config, rate, skewed float64) *sim {
 	return &sim{
-		b: b, rnd: rand.New(rand.NewPCG(7, uint64(rate))), rate: rate, skewed: skewed, now: t0,
-		core: New(cfg), table: map[string]Write{}, tick: never, ops: map[uint64]claimOp{},
+		b: b, rnd: rand.New(rand.NewPCG(7, uint64(rate))), rate: rate, wrongClockShare: skewed, now: t0,
+		batcher: New(cfg), table: map[string]Write{}, nextTick: never, ops: map[uint64]claimOp{},
 	}
 }
 
@@ -86,18 +86,18 @@
 
 func (s *sim) run() {
 	s.arrive()
-	for len(s.queue) > 0 && s.now < t0+simTime {
+	for len(s.queue) > 0 && s.now < t0+simDuration {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
-		e.do()
-		if at, ok := s.core.Due(); ok && at < s.tick {
-			s.tick = at
-			s.after(max(0, at-s.now), func() { s.tick = never; s.do(s.core.Tick(s.now)) })
+		e.run()
+		if at, ok := s.batcher.Due(); ok && at < s.nextTick {
+			s.nextTick = at
+			s.after(max(0, at-s.now), func() { s.nextTick = never; s.execute(s.batcher.Tick(s.now)) })
 		}
 	}
 }
 
-// arrive draws the next call of a Poisson process.
+// arrive schedules the next call of a Poisson process.
 func (s *sim) arrive() {
 	s.after(time.Duration(s.rnd.ExpFloat64()/s.rate*float64(time.Second)), func() {
 		s.call()
@@ -105,11 +105,12 @@
 	})
 }
 
-// key draws a dated key, a while ago by its caller's clock.
+// key generates a dated key whose time is up to maxKeyAge ago by the caller's
+// clock.
 func (s *sim) key() string {
-	at := s.now - s.between(0, drawn)
-	if s.rnd.Float64() < s.skewed {
-		at += s.between(-skewMost, skewMost)
+	at := s.now - s.between(0, maxKeyAge)
+	if s.rnd.Float64() < s.wrongClockShare {
+		at += s.between(-maxClockError, maxClockError)
 	}
 	var id uuid.UUID
 	ms := uint64(at.Milliseconds())
@@ -127,7 +128,7 @@
 	key := s.key()
 	scope := claim.Scope{Tenant: "kalahari", Service: "settleworks.kalahari", Class: "payout"}
 	op := claimOp{rowKey: claim.RowKey(scope, key), key: key, token: key[20:], sent: s.now}
-	layouts := Layouts{{Slot: s.core.cfg.Slot, Shards: s.core.cfg.Shards}}
+	layouts := Layouts{{Slot: s.batcher.cfg.Slot, Shards: s.batcher.cfg.Shards}}
 	slot, ok := layouts.SlotOf(op.rowKey, key)
 	if !ok {
 		s.b.Fatalf("key %s has no slot", key)
@@ -144,23 +145,23 @@
 	s.id++
 	id := s.id
 	s.ops[id] = op
-	s.after(hop, func() {
-		s.do(s.core.Submit(s.now, Op{
+	s.after(oneWayLatency, func() {
+		s.execute(s.batcher.Submit(s.now, Op{
 			ID: id, Slot: op.slot, Key: EntryKey(op.rowKey), IfVersion: ifVersion, Lazy: op.outcome,
 			Entry: Entry{Version: ifVersion + 1, Token: op.token[:16], Value: value, Expires: row.Expires},
 		}))
 	})
 }
 
-func (s *sim) do(acts []Action) {
+func (s *sim) execute(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Write:
-			s.after(s.between(platMin, platMax), func() { s.write(a) })
+			s.after(s.between(minPlatformLatency, maxPlatformLatency), func() { s.write(a) })
 		case Read:
-			s.after(s.between(platMin, platMax), func() { s.read(a.Row) })
+			s.after(s.between(minPlatformLatency, maxPlatformLatency), func() { s.read(a.Row) })
 		case Reply:
-			s.after(hop, func() { s.reply(a) })
+			s.after(oneWayLatency, func() { s.reply(a) })
 		}
 	}
 }
@@ -179,11 +180,11 @@
 	}
 	if s.table[w.Row].Version != w.Version-1 {
 		s.failed++
-		s.do(s.core.ConditionFailed(s.now, w.Row))
+		s.execute(s.batcher.ConditionFailed(s.now, w.Row))
 		return
 	}
 	s.table[w.Row] = w
-	s.do(s.core.Written(s.now, w.Row))
+	s.execute(s.batcher.Written(s.now, w.Row))
 }
 
 func (s *sim) read(row string) {
@@ -191,7 +192,7 @@
 		s.reads++
 	}
 	w := s.table[row]
-	s.do(s.core.RowRead(s.now, row, w.Version, w.Entries))
+	s.execute(s.batcher.RowRead(s.now, row, w.Version, w.Entries))
 }
 
 func (s *sim) reply(r Reply) {
@@ -209,10 +210,10 @@
 	}
 	if s.measured() {
 		s.claims++
-		s.waits = append(s.waits, s.now-op.sent)
+		s.latencies = append(s.latencies, s.now-op.sent)
 	}
 	op.outcome = true
-	s.after(s.between(runMin, runMax), func() {
+	s.after(s.between(minRun, maxRun), func() {
 		s.send(op, claim.Row{State: claim.Done, Since: s.now, Until: s.now, Expires: s.now + time.Hour,
 			Outcome: claim.Outcome{Kind: request.Completed, Status: 201, ContentType: "application/json", Size: 100},
 		}, 1)
@@ -220,14 +221,14 @@
 }
 
 func (s *sim) quantile(q float64) float64 {
-	slices.Sort(s.waits)
-	return float64(s.waits[int(q*float64(len(s.waits)-1))]) / float64(time.Millisecond)
+	slices.Sort(s.latencies)
+	return float64(s.latencies[int(q*float64(len(s.latencies)-1))]) / float64(time.Millisecond)
 }
 
-// measure prints claims in a platform write, platform writes and reads a second,
-// what a claim takes from the callee's node and back, and the claims refused for
-// want of room. ns/claim is processor time of the simulation with all encoding,
-// an upper bound of the batching nodes' own.
+// measure reports claims per platform write, platform writes and reads per
+// second, the latency of a claim as seen by the callee's node, and the claims
+// refused by full rows. ns/claim is the CPU time of the simulation including all
+// encoding, an upper bound for the batching nodes.
 func measure(b *testing.B, cfg Config, rate, skewed float64) {
 	var s *sim
 	n := 0
@@ -236,7 +237,7 @@
 		s.run()
 		n += s.claims
 	}
-	secs := (simTime - warmUp).Seconds()
+	secs := (simDuration - warmUp).Seconds()
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(n), "ns/claim")
 	b.ReportMetric(float64(s.claims)/float64(s.writes), "claims/write")
@@ -249,8 +250,8 @@
 	b.ReportMetric(s.quantile(0.99), "p99_ms")
 }
 
-// BenchmarkClaims gives the slope over claims a second, and what wrong clocks
-// of callers cost.
+// BenchmarkClaims measures the cost by claims per second and by the share of
+// callers with wrong clocks.
 func BenchmarkClaims(b *testing.B) {
 	for _, c := range []struct{ rate, skewed float64 }{
 		{10, 0}, {100, 0}, {310, 0}, {1000, 0}, {3100, 0}, {6200, 0},
@@ -262,7 +263,7 @@
 	}
 }
 
-// BenchmarkLayouts compares layouts at the target's 3,100 claims a second.
+// BenchmarkLayouts compares layouts at the design load of 3,100 claims per second.
 func BenchmarkLayouts(b *testing.B) {
 	for _, c := range []struct {
 		shards     int
--- a/internal/core/claim/batch/config.go
+++ b/internal/core/claim/batch/config.go
@@ -2,47 +2,49 @@
 
 import "time"
 
-// Config sizes the rows and paces their writes. Slot and Shards are what a newly
-// announced Layout has; a node goes by the layouts that it read.
+// Config sizes the rows and paces their writes. Slot and Shards apply to newly
+// announced layouts only; a node places keys by the layouts that it read.
 type Config struct {
 	// Slot is the span of key times that share a row. Default 64 ms. Raising
 	// it means fewer and larger rows; lowering it means more writes.
 	Slot time.Duration
-	// Shards is how many rows a slot has. Default 2. Raising it makes room for
-	// more claims a second, at more writes a second; lowering it the reverse.
+	// Shards is the number of rows per slot. Default 2. Raising it allows more
+	// claims per second at the cost of more writes per second; lowering it does
+	// the reverse.
 	Shards int
-	// Pace is the least time between two writes of a row. Default 50 ms. Raising
-	// it puts more ops into a write; lowering it answers claims sooner.
+	// Pace is the minimum interval between two writes of a row. Default 50 ms.
+	// Raising it batches more ops per write; lowering it answers claims sooner.
 	Pace time.Duration
-	// MaxPace bounds the time between two writes of a row while the platform does
-	// not answer, which doubles from Pace with each. Default 1 s. Raising it
-	// spares a platform that comes back; lowering it answers sooner then.
+	// MaxPace bounds the interval between two writes of a row while the platform
+	// does not answer; the interval doubles from Pace with each failure. Default
+	// 1 s. Raising it reduces load on a recovering platform; lowering it answers
+	// sooner after recovery.
 	MaxPace time.Duration
-	// LazyWait is how long an op that nobody waits for may be held back.
-	// Default 250 ms. Raising it saves writes; lowering it shows outcomes to
-	// repeats sooner, and leaves fewer keys of nodes that die "unknown".
+	// LazyWait bounds the delay of an op without a waiting caller. Default
+	// 250 ms. Raising it saves writes; lowering it makes outcomes visible to
+	// repeats sooner, and leaves fewer keys "unknown" when a node dies.
 	LazyWait time.Duration
-	// MaxRow bounds a row's value in bytes; further new entries are refused.
-	// Default 60 KiB, under port.MaxValue. Raising it must stay under that.
+	// MaxRow bounds a row's value in bytes; a full row refuses new entries.
+	// Default 60 KiB. It must stay below port.MaxValue.
 	MaxRow int
-	// Reserve is the room in bytes that each claim's value has at least, so that
-	// its outcome fits in later. Default 192. Raising it means fewer claims in a
+	// Reserve is the minimum space in bytes reserved for each claim's value, so
+	// that its outcome fits later. Default 192. Raising it means fewer claims per
 	// row; it must stay above the size of an outcome without a body.
 	Reserve int
-	// Tries is how often a batch is written again after its condition failed or
-	// its answer was lost. Default 4. Raising it rides out more collisions;
-	// lowering it replies sooner.
+	// Tries bounds the writes of a batch whose condition failed or whose answer
+	// was lost. Default 4. Raising it tolerates more conflicts; lowering it
+	// replies sooner.
 	Tries int
-	// Fresh is the age up to which a row that isn't in memory is taken to be
-	// absent, without reading it. Default 1 s. Raising it costs failed writes;
-	// lowering it costs reads.
+	// Fresh is the age up to which a row that is not in memory is assumed absent
+	// without a read. Default 1 s. Raising it costs failed writes; lowering it
+	// costs reads.
 	Fresh time.Duration
-	// Idle is how long a row stays in memory after its last op. Default 5 s.
+	// Idle is how long a row is cached after its last op. Default 5 s.
 	// Raising it costs memory; lowering it costs reads.
 	Idle time.Duration
 }
 
-// DefaultConfig returns the defaults named at each field.
+// DefaultConfig returns the defaults documented at each field.
 func DefaultConfig() Config {
 	return Config{
 		Slot: 64 * time.Millisecond, Shards: 2,
--- a/internal/core/claim/batch/doc.go
+++ b/internal/core/claim/batch/doc.go
@@ -1,39 +1,40 @@
-// Package batch carries many claims in one conditional write.
+// Package batch combines many claims into one conditional write.
 //
-// # What it does
+// # Overview
 //
-// One write for each claim fits the platform while there are a few hundred a
-// second. Beyond that, claims share rows: a dated key (a UUID of version 7)
-// belongs to one row for ever, by its own time and a hash (SlotOf), so that keys
-// drawn at about the same time meet in one row, and a repeat finds the row from
-// its key alone. Each claim is an Entry of the row with a version of its own, on
-// which an Op is conditional, just as a claim is on a row of its own: what
-// internal/core/claim decides stays as it is.
+// The platform can handle one write per claim up to a few hundred claims per
+// second. Beyond that, claims share rows: the time and hash of a dated key (a
+// UUIDv7) determine its row permanently (SlotOf). Keys generated at about the
+// same time share a row, and a repeat finds the row from its key alone. Each
+// claim is an Entry of the row with its own version, on which an Op is
+// conditional, just like a claim in a row of its own; the rules of
+// internal/core/claim apply unchanged.
 //
 // The callee's node sends its Op to the row's batching node, chosen by
-// rendezvous hash over the members it knows (Pick). The batching node collects
-// the ops of a row while its last write is under way and for a short while
-// after, and writes them with one conditional write.
+// rendezvous hashing over the members it knows (Pick). The batching node collects
+// the ops of a row while its last write is in flight and for a short time after,
+// and writes them with one conditional write.
 //
 // # Contract
 //
-//   - Safety rests on the row's condition alone. Two batching nodes for one row
-//     (members seen differently, one paused) fail each other's writes, read the
-//     row again and go on: that costs writes, never a second claim.
-//   - A Reply says OK only if the entry is known to be in the row.
-//     ConditionFailed, Full and Unavailable say that this Batcher has not put it
-//     there and has no write under way that could. Ambiguous says neither, as in
-//     port.Table.
-//   - An Op may be sent again, also through another node: the same token at the
-//     same version is the same op.
-//   - A row never forgets an entry. It expires as a whole, and only when none of
-//     its entries is kept for good.
-//
-// # Who calls what, when
-//
-// Give each Op to Submit, answers of the table to Written, ConditionFailed,
-// InDoubt, NothingWritten, RowRead and ReadFailed, and call Tick when Due has
-// come. Each returns the actions to be done: Write, Read and Reply.
+//   - Safety depends only on the row's condition. Two batching nodes of one row
+//     (different membership views, one node paused) fail each other's writes,
+//     reread the row and continue: this costs writes but never allows a second
+//     claim.
+//   - A Reply has Result OK only if the entry is known to be in the row.
+//     ConditionFailed, Full and Unavailable mean that this Batcher has not
+//     written it and has no write in flight that could. Ambiguous means neither,
+//     as in port.Table.
+//   - An Op may be sent again, including through another node: the same token at
+//     the same version identifies the same op.
+//   - Entries are never removed from a row. The row expires as a whole, and only
+//     if all of its entries expire.
+//
+// # Usage
+//
+// Pass each Op to Submit, results of the table to Written, ConditionFailed,
+// InDoubt, NothingWritten, RowRead and ReadFailed, and call Tick at the time that
+// Due returns. Each returns the actions to carry out: Write, Read and Reply.
 //
 // # Concurrency
 //
--- a/internal/core/claim/batch/layout.go
+++ b/internal/core/claim/batch/layout.go
@@ -12,42 +12,42 @@
 	"peardrift/internal/status"
 )
 
-// Where a dated key lives may not depend on which node is asked, or two nodes
-// claim it in two rows and its request runs twice. The layouts are therefore one
-// row of the table, and a node that read it knows them for a while to come: a
-// new one holds only for keys dated Lead or more after its announcement.
+// All nodes must map a dated key to the same row; otherwise two nodes claim it in
+// two rows and its request runs twice. The layouts are therefore stored in one
+// row of the table, and a node that has read it knows them for a limited time
+// ahead: a new layout applies only to keys dated Lead or more after its
+// announcement.
 const (
 	// LayoutKey is the table's row that holds the Layouts.
 	LayoutKey = "claims/layouts"
 	// Lead is how far ahead a layout is announced.
 	Lead = 2 * time.Hour
-	// Margin is what may go wrong in that time: by how much the clocks of who
-	// announces and who reads differ, and how long the announcement's write may
-	// be under way.
+	// Margin is the part of Lead reserved for the clock difference between
+	// announcer and reader and for the time that the announcement's write may be
+	// in flight.
 	Margin = time.Hour
-	// maxLayouts bounds the list, and the memory that a faulty row can take.
+	// maxLayouts bounds the list, and the memory used by a corrupt row.
 	maxLayouts = 64
 	maxShards  = 1024
 )
 
-// Layout says where keys live that are dated From or later, up to the next
-// layout's From.
+// Layout maps keys dated From or later, up to the next layout's From, to rows.
 type Layout struct {
 	From   time.Duration `msgpack:"f"` // since the Unix epoch
 	Slot   time.Duration `msgpack:"s"`
 	Shards int           `msgpack:"n"`
 }
 
-// Layouts are all that there ever were, by From. Keys dated before the first
-// one have a row of their own. The list only grows.
+// Layouts are all layouts ever announced, ordered by From. Keys dated before the
+// first one have a row of their own. The list is append-only.
 type Layouts []Layout
 
-// KnownUntil returns up to which date of keys a list is complete that was read
-// from the table when the reader's clock said at.
+// KnownUntil returns the latest key date for which a list read from the table at
+// the reader's time at is complete.
 func KnownUntil(at time.Duration) time.Duration { return at + Lead - Margin }
 
-// SlotOf returns the row of a claim; ok is false for a key with a row of its
-// own.
+// SlotOf returns the shared row of a claim; ok is false for a key with a row of
+// its own.
 func (l Layouts) SlotOf(rowKey, key string) (s Slot, ok bool) {
 	t, dated := claim.KeyTime(key)
 	if !dated {
@@ -76,67 +76,67 @@
 	return l[len(l)-1], true
 }
 
-// Announce returns the list with a layout of cfg that holds for keys dated Lead
-// after now.
+// Announce returns the list extended by the layout of cfg, for keys dated Lead or
+// more after now.
 func (l Layouts) Announce(now time.Duration, cfg Config) (Layouts, error) {
 	next := append(l[:len(l):len(l)], Layout{From: now + Lead, Slot: cfg.Slot, Shards: cfg.Shards})
-	return next, next.check()
+	return next, next.validate()
 }
 
-// Extends reports whether l is old, or old with more behind it.
+// Extends reports whether old is a prefix of l.
 func (l Layouts) Extends(old Layouts) bool {
 	if len(l) < len(old) {
 		return false
 	}
-	for i, was := range old {
-		if l[i] != was {
+	for i, layout := range old {
+		if l[i] != layout {
 			return false
 		}
 	}
 	return true
 }
 
-func (l Layouts) check() error {
+func (l Layouts) validate() error {
 	if len(l) > maxLayouts {
-		return status.New(status.CodeProtocol, "%d layouts of claims, at most %d", len(l), maxLayouts)
+		return status.New(status.CodeProtocol, "%d claim layouts, limit is %d", len(l), maxLayouts)
 	}
 	var before time.Duration
-	for _, x := range l {
-		if x.From <= before || x.Slot <= 0 || x.Shards < 1 || x.Shards > maxShards {
-			return status.New(status.CodeProtocol, "layout of claims from %v with %d rows in %v", x.From, x.Shards, x.Slot)
+	for _, layout := range l {
+		if layout.From <= before || layout.Slot <= 0 || layout.Shards < 1 || layout.Shards > maxShards {
+			return status.New(status.CodeProtocol, "invalid claim layout: from %v, %d shards, slot %v", layout.From, layout.Shards, layout.Slot)
 		}
-		before = x.From
+		before = layout.From
 	}
 	return nil
 }
 
-// layoutsFormat is the version of the encoding. A reader that doesn't know it
-// claims no dated key.
+// layoutsFormat is the version of the encoding. A reader that does not support it
+// claims no dated keys.
 const layoutsFormat = 1
 
-type layoutsValue struct {
+type encodedLayouts struct {
 	Format  uint8   `msgpack:"f"`
 	Layouts Layouts `msgpack:"l"`
 }
 
 // Encode returns the value of the layouts' row.
 func (l Layouts) Encode() ([]byte, error) {
-	b, err := msgpack.Marshal(&layoutsValue{Format: layoutsFormat, Layouts: l})
+	b, err := msgpack.Marshal(&encodedLayouts{Format: layoutsFormat, Layouts: l})
 	if err != nil {
-		return nil, status.Wrap(status.CodeInternal, err, "encode layouts of claims")
+		return nil, status.Wrap(status.CodeInternal, err, "encode claim layouts")
 	}
 	return b, nil
 }
 
-// DecodeLayouts reads what Encode wrote; it fails with status.CodeProtocol on
-// anything else.
+// DecodeLayouts decodes a value written by Layouts.Encode. It fails with
+// status.CodeProtocol on any other value.
 func DecodeLayouts(b []byte) (Layouts, error) {
-	var v layoutsValue
+	var v encodedLayouts
 	if err := mpack.Unmarshal(b, &v); err != nil {
-		return nil, status.Wrap(status.CodeProtocol, err, "decode layouts of claims")
+		return nil, status.Wrap(status.CodeProtocol, err, "decode claim layouts")
 	}
 	if v.Format != layoutsFormat {
-		return nil, status.New(status.CodeProtocol, "layouts of claims of format %d, want %d", v.Format, layoutsFormat)
+		return nil, status.New(status.CodeProtocol, "claim layouts have format %d, want %d", v.Format, layoutsFormat)
 	}
-	return v.Layouts, v.Layouts.check()
+	return v.Layouts, v.Layouts.validate()
 }
--- a/internal/core/claim/batch/op.go
+++ b/internal/core/claim/batch/op.go
@@ -4,17 +4,17 @@
 
 // Op is a conditional write of one entry.
 type Op struct {
-	ID        uint64 // the caller's, returned in Reply
+	ID        uint64 // set by the caller, returned in Reply
 	Slot      Slot
 	Key       string        // EntryKey
 	Entry     Entry         // Entry.Version must be IfVersion+1
-	IfVersion int64         // 0: no entry
-	Lazy      bool          // nobody waits for it
+	IfVersion int64         // condition; 0: the entry is absent
+	Lazy      bool          // may be delayed, as no caller waits for it
 	Until     time.Duration // when its sender gives up; 0: never
-	Look      bool          // writes nothing: Reply.Current is the entry, read after Submit
+	Look      bool          // read-only: Reply.Current is the entry, read after Submit
 }
 
-// Result is how an Op ended.
+// Result is the result of an Op.
 type Result uint8
 
 const (
@@ -24,19 +24,19 @@
 	OK
 	// ConditionFailed: nothing was written; Reply.Current is the entry found.
 	ConditionFailed
-	// Ambiguous: the entry may be in the row, now or later.
+	// Ambiguous: the entry may be in the row or may still arrive.
 	Ambiguous
-	// Full: nothing was written, as the row has no room for another entry.
+	// Full: nothing was written, because the row has no room for another entry.
 	Full
 )
 
 // Actions of a Batcher.
 type (
-	// Write puts a row if the table's is at Version-1.
+	// Write puts a row if the table's row is at Version-1.
 	Write struct {
 		Row     string
 		Version int64
-		Entries map[string]Entry // not to be changed
+		Entries map[string]Entry // read-only
 		Expires time.Duration
 	}
 	// Read gets a row.
--- a/internal/core/claim/batch/slot.go
+++ b/internal/core/claim/batch/slot.go
@@ -9,7 +9,7 @@
 	"peardrift/internal/core/claim"
 )
 
-// Slot names a row that claims share, and says where its keys begin in time.
+// Slot identifies a shared row and the time of its earliest keys.
 type Slot struct {
 	Row   string
 	Start time.Duration // since the Unix epoch
@@ -18,16 +18,17 @@
 // EntryKeySize is the length of an entry's key in bytes.
 const EntryKeySize = 16
 
-// EntryKey returns the key of a claim's entry: the start of a digest, as the
-// row key itself would be a third of the entry.
+// EntryKey returns the key of a claim's entry: a truncated digest, because the row
+// key itself would take a third of the entry.
 func EntryKey(rowKey string) string {
 	sum := claim.Sum([]byte(rowKey))
 	return string(sum[:EntryKeySize])
 }
 
-// Pick returns the index of the node that batches a row, by rendezvous hash
+// Pick returns the index of the node that batches a row, by rendezvous hashing
 // over the nodes' ids: when a node joins or leaves, only its own rows move. Nodes
-// that skip names are passed over; nil names none. -1 if there is no node.
+// for which skip returns true are excluded; a nil skip excludes none. Pick returns
+// -1 if no node is left.
 func Pick(row string, ids []uint64, skip func(i int) bool) int {
 	best, weight := -1, uint64(0)
 	var b [16]byte
