--- a/internal/claims/duty.go
+++ b/internal/claims/duty.go
@@ -10,41 +10,42 @@
 	"peardrift/internal/core/claim"
 )
 
-// chore is a duty that waits for the platform.
-type chore struct {
-	place Place
-	duty  claim.Duty
-	back  *backoff.ExponentialBackOff
+// retryTask is a duty that is retried in the background.
+type retryTask struct {
+	place   Place
+	duty    claim.Duty
+	backoff *backoff.ExponentialBackOff
 }
 
 // maxSteps bounds the operations of one try of a duty.
 const maxSteps = 8
 
-// settle tries a duty while the answer may wait for it, and leaves the rest to
-// the pool.
-func (r *Runner) settle(ctx context.Context, p Place, d claim.Duty) {
+// handleDuty tries an urgent duty once before the answer, for at most RecordWait,
+// and leaves all other duties to the pool.
+func (r *Runner) handleDuty(ctx context.Context, p Place, d claim.Duty) {
 	if !d.Pending() {
 		return
 	}
 	if d.Records() && r.rows.HeldBack(p) {
 		c := r.postpone(p, d)
-		if err := r.pool.Submit(func() { r.attend(c) }); err != nil {
-			r.sleep(c)
+		if err := r.pool.Submit(func() { r.retry(c) }); err != nil {
+			r.scheduleRetry(c)
 		}
 		return
 	}
-	if d.Urgent() && r.allow() && r.try(ctx, p, &d, r.cfg.RecordWait) {
+	if d.Urgent() && r.breakerAllows() && r.tryDuty(ctx, p, &d, r.cfg.RecordWait) {
 		return
 	}
-	r.sleep(r.postpone(p, d))
+	r.scheduleRetry(r.postpone(p, d))
 }
 
-// try does one try of a duty within most, and reports whether it is finished.
-func (r *Runner) try(ctx context.Context, p Place, d *claim.Duty, most time.Duration) bool {
-	end := wall() + most
+// tryDuty makes one try of a duty within timeout and reports whether it is
+// finished.
+func (r *Runner) tryDuty(ctx context.Context, p Place, d *claim.Duty, timeout time.Duration) bool {
+	end := wallNow() + timeout
 	var ev claim.Event = claim.Begin{}
 	for range maxSteps {
-		act := d.Step(wall(), ev)
+		act := d.Step(wallNow(), ev)
 		switch act := act.(type) {
 		case claim.Finished:
 			if act.Lost {
@@ -55,110 +56,112 @@
 		case claim.Later:
 			return false
 		}
-		left := end - wall()
+		left := end - wallNow()
 		if left <= 0 {
 			return false
 		}
-		ev = r.do(ctx, p, act, left)
+		ev = r.execute(ctx, p, act, left)
 	}
 	return false
 }
 
-func (r *Runner) allow() bool {
+func (r *Runner) breakerAllows() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.breaker.Allow(wall())
+	return r.breaker.Allow(wallNow())
 }
 
-// postpone counts a duty that the answer doesn't wait for.
-func (r *Runner) postpone(p Place, d claim.Duty) *chore {
-	back := backoff.NewExponentialBackOff()
-	back.InitialInterval, back.MaxInterval = r.cfg.RetryMin, r.cfg.RetryMax
-	back.Reset()
-	r.work.Add(1) // the call that leaves the duty is still counted, so Wait can't be over
+// postpone registers a duty that is completed after the answer.
+func (r *Runner) postpone(p Place, d claim.Duty) *retryTask {
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval, policy.MaxInterval = r.cfg.RetryMin, r.cfg.RetryMax
+	policy.Reset()
+	r.work.Add(1) // the call that owns the duty is still counted, so Wait cannot have returned
 	r.mu.Lock()
 	r.pending++
 	r.stats.duties(r.pending)
 	r.mu.Unlock()
-	return &chore{place: p, duty: d, back: back}
+	return &retryTask{place: p, duty: d, backoff: policy}
 }
 
-// sleep wakes the chore after its next pause, at least the breaker's.
-func (r *Runner) sleep(c *chore) {
+// scheduleRetry retries the task after its backoff, but not before the breaker
+// allows an operation.
+func (r *Runner) scheduleRetry(c *retryTask) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopped {
-		r.drop()
+		r.removeDuty()
 		return
 	}
-	pause := max(c.back.NextBackOff(), r.breaker.Wait(wall()))
+	pause := max(c.backoff.NextBackOff(), r.breaker.Wait(wallNow()))
 	if r.closed {
 		pause = r.cfg.RetryMin
 	}
-	r.waiting[c] = time.AfterFunc(pause, func() { r.wake(c) })
+	r.scheduled[c] = time.AfterFunc(pause, func() { r.submitRetry(c) })
 }
 
-// wake gives the chore to the pool, or back to sleep if the pool is full.
-func (r *Runner) wake(c *chore) {
+// submitRetry passes the task to the pool, or reschedules it if the pool is full.
+func (r *Runner) submitRetry(c *retryTask) {
 	r.mu.Lock()
-	_, ok := r.waiting[c]
-	delete(r.waiting, c)
+	_, ok := r.scheduled[c]
+	delete(r.scheduled, c)
 	r.mu.Unlock()
 	if !ok {
-		return // another took it
+		return // already submitted or abandoned
 	}
-	if err := r.pool.Submit(func() { r.attend(c) }); err != nil {
-		r.sleep(c)
+	if err := r.pool.Submit(func() { r.retry(c) }); err != nil {
+		r.scheduleRetry(c)
 	}
 }
 
-// attend tries the chore's duty.
-func (r *Runner) attend(c *chore) {
-	if !r.allow() || !r.try(context.Background(), c.place, &c.duty, maxSteps*r.cfg.Claim.OpWait) {
-		r.sleep(c)
+// retry tries the task's duty.
+func (r *Runner) retry(c *retryTask) {
+	if !r.breakerAllows() || !r.tryDuty(context.Background(), c.place, &c.duty, maxSteps*r.cfg.Claim.OpWait) {
+		r.scheduleRetry(c)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop()
+	r.removeDuty()
 }
 
-// drop forgets a duty. mu is held.
-func (r *Runner) drop() {
+// removeDuty removes a duty from the count. r.mu must be held.
+func (r *Runner) removeDuty() {
 	r.pending--
 	r.stats.duties(r.pending)
 	r.work.Done()
 }
 
-// hurry wakes all duties: a node that closes has no time for their pauses.
-func (r *Runner) hurry() {
-	for _, c := range r.sleeping() {
-		r.wake(c)
+// retryAll retries all scheduled duties immediately, because a closing node does
+// not wait for their backoff.
+func (r *Runner) retryAll() {
+	for _, c := range r.stopTimers() {
+		r.submitRetry(c)
 	}
 }
 
-func (r *Runner) sleeping() []*chore {
+func (r *Runner) stopTimers() []*retryTask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var cs []*chore
-	for c, t := range r.waiting {
+	var cs []*retryTask
+	for c, t := range r.scheduled {
 		t.Stop()
 		cs = append(cs, c)
 	}
 	return cs
 }
 
-// abandon drops the duties that sleep and stops those under way from sleeping
-// again. It returns how many there were.
+// abandon drops the scheduled duties and prevents those in progress from being
+// rescheduled. It returns the number of pending duties.
 func (r *Runner) abandon() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopped = true
 	left := r.pending
-	for c, t := range r.waiting {
+	for c, t := range r.scheduled {
 		t.Stop()
-		delete(r.waiting, c)
-		r.drop()
+		delete(r.scheduled, c)
+		r.removeDuty()
 	}
 	return left
 }
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -15,55 +15,55 @@
 	"peardrift/internal/port"
 )
 
-// fate is what happens to one operation at the fake table.
-type fate int
+// fault is the behaviour of the fake table for one operation.
+type fault int
 
 const (
-	fine    fate = iota
-	down         // refused at once, nothing written
-	applied      // written, answer lost
-	dropped      // not written, answer lost
-	late         // written after the answer was given up
-	slow         // the operation takes until its context ends, nothing written
+	none    fault = iota
+	down          // refused immediately, nothing written
+	applied       // written, answer lost
+	dropped       // not written, answer lost
+	late          // answer lost, written a second later
+	slow          // blocks until its context ends, nothing written
 )
 
 const latency = 5 * time.Millisecond
 
-// table is a fake of the platform's table. next, if set, decides the fate of
-// each operation.
+// table is a fake of the platform's table. next, if set, selects the fault of each
+// operation.
 type table struct {
 	mu   sync.Mutex
 	rows map[string]port.Item
-	next func(op string) fate
+	next func(op string) fault
 	ops  int
 }
 
 func newTable() *table { return &table{rows: map[string]port.Item{}} }
 
-func (t *table) fate(op string) fate {
+func (t *table) nextFault(op string) fault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ops++
 	if t.next == nil {
-		return fine
+		return none
 	}
 	return t.next(op)
 }
 
-// set replaces next.
-func (t *table) set(next func(op string) fate) {
+// setFaults replaces next.
+func (t *table) setFaults(next func(op string) fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next = next
 }
 
-func always(f fate) func(string) fate { return func(string) fate { return f } }
+func always(f fault) func(string) fault { return func(string) fault { return f } }
 
-// first meets the first operations with these fates, the rest with fine.
-func first(fs ...fate) func(string) fate {
-	return func(string) fate {
+// firstFaults applies these faults to the first operations and none to the rest.
+func firstFaults(fs ...fault) func(string) fault {
+	return func(string) fault {
 		if len(fs) == 0 {
-			return fine
+			return none
 		}
 		f := fs[0]
 		fs = fs[1:]
@@ -82,14 +82,14 @@
 }
 
 func (t *table) Put(ctx context.Context, p port.Put) error {
-	f := t.fate("put")
+	f := t.nextFault("put")
 	if f == down {
 		return port.ErrUnavailable
 	}
 	time.Sleep(latency)
 	switch f {
 	case applied:
-		_ = t.apply(p) // whatever came of it, its answer is lost
+		_ = t.apply(p) // the answer is lost in any case
 		return port.ErrAmbiguous
 	case dropped:
 		return port.ErrAmbiguous
@@ -104,7 +104,7 @@
 }
 
 func (t *table) Get(ctx context.Context, key string) (port.Item, error) {
-	f := t.fate("get")
+	f := t.nextFault("get")
 	if f == down {
 		return port.Item{}, port.ErrUnavailable
 	}
@@ -126,18 +126,20 @@
 
 func (t *table) PutAll(context.Context, []port.Put) error { return port.ErrUnavailable }
 
-// random gives each operation a fault with the given odds.
-func random(r *rand.Rand, odds float64) func(string) fate {
-	return func(string) fate {
+// randomFaults injects a random fault into each operation with the given
+// probability.
+func randomFaults(r *rand.Rand, odds float64) func(string) fault {
+	return func(string) fault {
 		if r.Float64() >= odds {
-			return fine
+			return none
 		}
-		return fate(1 + r.IntN(int(slow)))
+		return fault(1 + r.IntN(int(slow)))
 	}
 }
 
-// nodes returns n runners over one table, closed at the end of the test.
-func nodes(t *testing.T, tab *table, n int) []*Runner {
+// newRunners returns n runners that share a table. They are closed when the test
+// ends.
+func newRunners(t *testing.T, tab *table, n int) []*Runner {
 	t.Helper()
 	pool, err := ants.NewPool(16)
 	if err != nil {
@@ -162,7 +164,7 @@
 	return rs
 }
 
-// payout returns a call that its caller gives a second.
+// payout returns a request with a deadline of one second.
 func payout(key string) Request {
 	return Request{
 		Scope: claim.Scope{Tenant: "kalahari", Service: "settleworks.kalahari", Class: "payout"},
--- a/internal/claims/result.go
+++ b/internal/claims/result.go
@@ -14,26 +14,26 @@
 	Key    string // the caller's, or claim.DeriveKey's
 	Method string
 	Path   string // with its query
-	// Body is the digest of the whole body. A body that is passed on as a stream
-	// has to be read to its end first: with the digest of a part, another
-	// request would get this one's answer.
+	// Body is the digest of the complete body. A streamed body must be read to its
+	// end first: with the digest of a prefix, a different request would get this
+	// one's answer.
 	Body     claim.Digest
 	Deadline time.Time     // when the caller stops waiting
 	Remember time.Duration // how long the outcome is kept; 0: claim.Config.Remember
 }
 
-// Result is how a call ended. With Err nil a whole answer follows: the own
-// run's, or the recorded one of an earlier call.
+// Result is the result of a call. If Err is nil, the call has a complete answer:
+// of its own run, or the recorded one of an earlier call.
 type Result struct {
 	Outcome claim.Outcome
 	Err     *status.Error
 	Origin  claim.Origin
-	// NotRunHere: this call ran nothing. It says less than an Outcome.Kind of
-	// request.Refused, which speaks of all calls under the key.
+	// NotRunHere means that this call ran nothing. It is weaker than an
+	// Outcome.Kind of request.Refused, which covers all calls under the key.
 	NotRunHere bool
 }
 
-// Answered is the Result of a run with a whole answer. body is copied.
+// Answered returns the Result of a run with a complete answer. body is copied.
 func Answered(httpStatus int, contentType string, body []byte) Result {
 	return Result{Outcome: claim.Outcome{
 		Kind: request.Completed, Status: httpStatus, ContentType: contentType,
@@ -41,21 +41,21 @@
 	}}
 }
 
-// Streamed is the Result of a run whose answer went to the caller in parts and
-// whole, without being kept.
+// Streamed returns the Result of a run whose complete answer was streamed to the
+// caller without being stored.
 func Streamed(httpStatus int, contentType string, size int64, sum claim.Digest) Result {
 	return Result{Outcome: claim.Outcome{
 		Kind: request.Completed, Status: httpStatus, ContentType: contentType, Size: size, Sum: sum,
 	}}
 }
 
-// Failure is the Result of a run without an answer. err.Outcome decides: with
-// request.Refused the claim is released, else the failure is recorded.
+// Failure returns the Result of a run without an answer. If err.Outcome is
+// request.Refused the claim is released, otherwise the failure is recorded.
 func Failure(err *status.Error) Result {
 	return Result{Err: err, Outcome: claim.Outcome{Kind: err.Outcome, Code: err.Code}}
 }
 
-// event returns what the attempt is told about a run.
+// event returns the event that reports a run to the attempt.
 func (r Result) event() claim.Event {
 	if r.Err != nil && r.Err.Outcome == request.Refused {
 		return claim.TargetNotRun{Code: r.Err.Code, RetryAfter: r.Err.RetryAfter}
@@ -63,7 +63,8 @@
 	return claim.TargetDone{Outcome: r.Outcome}
 }
 
-// resultOf turns an answer that is not the own run's into a Result.
+// resultOf converts an answer that does not come from this call's run into a
+// Result.
 func resultOf(a claim.Answer) Result {
 	res := Result{Outcome: a.Outcome, Origin: a.Origin, NotRunHere: a.NotRunHere}
 	code := a.Outcome.Code
@@ -79,7 +80,7 @@
 	return res
 }
 
-// detail tells the caller what is certain, and what to do.
+// detail returns the error text: what is certain, and what the caller should do.
 func detail(code status.Code, a claim.Answer) string {
 	if a.Origin == claim.FromRow {
 		if code == status.CodeAnswerNotKept {
--- a/internal/claims/rows.go
+++ b/internal/claims/rows.go
@@ -9,30 +9,30 @@
 	"peardrift/internal/port"
 )
 
-// Place says which claim is meant; Rows decides where it is kept.
+// Place identifies a claim; Rows decides where it is stored.
 type Place struct {
 	Row string // claim.RowKey
 	Key string // the idempotency key
 }
 
-// Rows keeps claims: each in a row of its own, or many in one.
+// Rows stores claims, each in a row of its own or several in a shared row.
 //
-// Methods may be called from any goroutine and return within wait, or soon
-// after where a write is held back. A Place is always the same claim, at
-// whichever node.
+// Methods may be called from any goroutine and return within wait, or shortly
+// after if a write is delayed for batching. A Place identifies the same claim on
+// every node.
 type Rows interface {
 	// Put writes r if the claim is at r.Version-1. It returns claim.Written,
-	// ConditionFailed, NothingWritten, NoRoom, or else InDoubt.
+	// ConditionFailed, NothingWritten, NoRoom or InDoubt.
 	Put(ctx context.Context, p Place, r claim.Row, wait time.Duration) claim.Event
 	// Get returns claim.RowRead, RowUnreadable or ReadFailed. The read is
 	// strongly consistent.
 	Get(ctx context.Context, p Place, wait time.Duration) claim.Event
-	// HeldBack reports whether outcomes at p are written some time later, with
-	// others: too late for their answers to wait for it.
+	// HeldBack reports whether outcomes at p are written later in a batch, too
+	// late for their answers to wait.
 	HeldBack(p Place) bool
 }
 
-// OwnRows gives each claim a row of the table.
+// OwnRows stores each claim in a row of its own.
 type OwnRows struct{ Table port.Table }
 
 var _ Rows = OwnRows{}
@@ -61,7 +61,7 @@
 	case errors.Is(err, port.ErrUnavailable):
 		return claim.NothingWritten{}
 	default:
-		// Also what the port's contract does not know: it may have been written.
+		// Includes errors outside the port's contract: the write may have happened.
 		return claim.InDoubt{}
 	}
 }
--- a/internal/claims/runner.go
+++ b/internal/claims/runner.go
@@ -13,44 +13,44 @@
 	"peardrift/internal/status"
 )
 
-// Pool runs the duties' tries; *ants.Pool is one.
+// Pool runs the tries of duties; *ants.Pool implements it.
 type Pool interface {
 	Submit(task func()) error
 }
 
-// Runner claims keys and runs the winners.
+// Runner claims keys and runs the requests that hold their claim.
 type Runner struct {
 	rows  Rows
 	pool  Pool
 	cfg   Config
 	log   *zap.Logger
 	stats stats
-	slots chan struct{} // a token for each call in the claim phase
+	slots chan struct{} // one token per call in the claim phase
 
-	work sync.WaitGroup // calls and duties
+	work sync.WaitGroup // calls and pending duties
 
-	mu      sync.Mutex
-	breaker claim.Breaker
-	pending int
-	waiting map[*chore]*time.Timer
-	closed  bool // no new calls
-	stopped bool // no further tries either
+	mu        sync.Mutex
+	breaker   claim.Breaker
+	pending   int
+	scheduled map[*retryTask]*time.Timer
+	closed    bool // refuses new calls
+	stopped   bool // also schedules no further tries
 }
 
-// New returns a runner. pool should not run traffic: tries of duties wait for
-// the platform.
+// New returns a Runner. pool should not serve traffic, because tries of duties
+// wait for the platform.
 func New(rows Rows, pool Pool, cfg Config, log *zap.Logger, scope tally.Scope) *Runner {
 	return &Runner{
 		rows: rows, pool: pool, cfg: cfg, log: log, stats: newStats(scope),
-		slots:   make(chan struct{}, cfg.MaxClaims),
-		breaker: claim.NewBreaker(cfg.Breaker),
-		waiting: make(map[*chore]*time.Timer),
+		slots:     make(chan struct{}, cfg.MaxClaims),
+		breaker:   claim.NewBreaker(cfg.Breaker),
+		scheduled: make(map[*retryTask]*time.Timer),
 	}
 }
 
-// Do runs the request unless a call under the same key may have run, and
-// returns what is known. ctx is the caller's: when it ends before the run
-// begins nothing runs, after that the run goes on.
+// Do runs the request unless a call under the same key may have run, and returns
+// the known outcome. ctx is the caller's: if it ends before the run starts nothing
+// runs; a run that has started continues.
 func (r *Runner) Do(ctx context.Context, req Request, run func(context.Context) Result) Result {
 	res := r.call(ctx, req, run)
 	r.stats.call(res)
@@ -71,13 +71,13 @@
 	return c.drive(ctx, &attempt, run)
 }
 
-// Explain returns what may be said of a call that was refused before it came to
-// Do: the refusal with its outcome corrected for earlier calls under the key, or
-// how such a call ended. It costs one read, and runs nothing.
+// Explain returns the Result of a call that was refused before Do: the refusal,
+// with its outcome corrected for earlier calls under the key, or the outcome of
+// such a call. It costs one read and runs nothing.
 func (r *Runner) Explain(ctx context.Context, req Request, refusal *status.Error) Result {
-	unsure := claim.Answer{Outcome: claim.Outcome{Code: refusal.Code}, RetryAfter: refusal.RetryAfter, NotRunHere: true}
+	unknown := claim.Answer{Outcome: claim.Outcome{Code: refusal.Code}, RetryAfter: refusal.RetryAfter, NotRunHere: true}
 	if err := r.enter(); err != nil {
-		return resultOf(unsure)
+		return resultOf(unknown)
 	}
 	defer r.work.Done()
 	c := &call{runner: r, place: placeOf(req), slot: true}
@@ -87,8 +87,8 @@
 	return c.drive(ctx, &attempt, nil)
 }
 
-// enter takes a slot of the claim phase, or says why there is none. It never
-// waits: a call that did would hold its admission slot.
+// enter acquires a slot of the claim phase or returns why it is refused. It never
+// waits, because a waiting call would hold its admission slot.
 func (r *Runner) enter() *status.Error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,20 +96,20 @@
 		return status.Refuse(status.CodeDraining, r.cfg.Claim.RetryAfter, "closing")
 	}
 	if r.pending >= r.cfg.MaxPending {
-		return status.Refuse(status.CodePlatformDown, r.cfg.RetryMin, "too many duties wait")
+		return status.Refuse(status.CodePlatformDown, r.cfg.RetryMin, "too many claims wait for the platform")
 	}
 	if len(r.slots) == cap(r.slots) {
-		return status.Refuse(status.CodePlatformDown, r.cfg.Claim.RetryAfter, "too many claims at a time")
+		return status.Refuse(status.CodePlatformDown, r.cfg.Claim.RetryAfter, "too many concurrent claims")
 	}
-	if !r.breaker.Allow(wall()) {
-		return status.Refuse(status.CodePlatformDown, r.breaker.Wait(wall()), "the platform is down")
+	if !r.breaker.Allow(wallNow()) {
+		return status.Refuse(status.CodePlatformDown, r.breaker.Wait(wallNow()), "the platform is down")
 	}
-	r.slots <- struct{}{} // mu is held and there is room: it can't block
+	r.slots <- struct{}{} // cannot block: mu is held and there is room
 	r.work.Add(1)
 	return nil
 }
 
-// call is one Do under way.
+// call is a Do or Explain in progress.
 type call struct {
 	runner *Runner
 	place  Place
@@ -123,29 +123,29 @@
 	}
 }
 
-// drive does what the attempt says until it has its answer.
+// drive carries out the attempt's actions until it returns its answer.
 func (c *call) drive(ctx context.Context, attempt *claim.Attempt, run func(context.Context) Result) Result {
 	var ran Result
 	var ev claim.Event = claim.Begin{}
 	for {
 		if ctx.Err() != nil {
-			attempt.Step(wall(), claim.CallerGone{})
+			attempt.Step(wallNow(), claim.CallerGone{})
 		}
-		switch act := attempt.Step(wall(), ev).(type) {
+		switch act := attempt.Step(wallNow(), ev).(type) {
 		case claim.Run:
 			c.freeSlot()
 			ran = runOnce(ctx, act.Until, run)
 			ev = ran.event()
 		case claim.Answer:
 			c.freeSlot()
-			c.runner.settle(ctx, c.place, act.Duty)
+			c.runner.handleDuty(ctx, c.place, act.Duty)
 			if act.Origin != claim.FromRun {
 				return resultOf(act)
 			}
 			ran.Origin, ran.NotRunHere = act.Origin, act.NotRunHere
 			return ran
 		default:
-			ev = c.runner.do(ctx, c.place, act, c.runner.cfg.Claim.OpWait)
+			ev = c.runner.execute(ctx, c.place, act, c.runner.cfg.Claim.OpWait)
 		}
 	}
 }
@@ -165,8 +165,9 @@
 	}
 }
 
-// runOnce calls run under a context of its own. A panic in run would otherwise
-// unwind past the record, and leave the key "in progress" until its time is up.
+// runOnce calls run with its own context and recovers a panic, which would
+// otherwise skip recording the outcome and leave the key "in progress" until the
+// run's deadline.
 func runOnce(ctx context.Context, until time.Duration, run func(context.Context) Result) (res Result) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), time.Unix(0, int64(until)))
 	defer cancel()
@@ -178,14 +179,14 @@
 	return run(ctx)
 }
 
-// Close refuses new calls and waits for runs under way and for their duties,
-// until ctx ends. It then fails with status.CodeDeadlineExceeded: the keys of
-// duties that are left stay claimed, and repeats are told "unknown".
+// Close refuses new calls and waits for active runs and their duties until ctx
+// ends. It then fails with status.CodeDeadlineExceeded: the keys of unfinished
+// duties stay claimed, and repeats are answered "unknown".
 func (r *Runner) Close(ctx context.Context) error {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
-	r.hurry()
+	r.retryAll()
 	done := make(chan struct{})
 	go func() {
 		r.work.Wait()
@@ -196,6 +197,6 @@
 		return nil
 	case <-ctx.Done():
 		left := r.abandon()
-		return status.New(status.CodeDeadlineExceeded, "%d claims left without their outcome", left)
+		return status.New(status.CodeDeadlineExceeded, "%d claims left without a recorded outcome", left)
 	}
 }
--- a/internal/claims/runner_test.go
+++ b/internal/claims/runner_test.go
@@ -22,17 +22,17 @@
 	"peardrift/internal/status"
 )
 
-// target counts its runs.
+// target is a fake target that counts its runs.
 type target struct{ runs atomic.Int32 }
 
-// pay takes 200 ms.
+// pay runs for 200 ms.
 func (t *target) pay(context.Context) Result {
 	n := t.runs.Add(1)
 	time.Sleep(200 * time.Millisecond)
 	return Answered(201, "text/plain", fmt.Appendf(nil, "paid %d", n))
 }
 
-// shed runs nothing.
+// shed refuses the request without running it.
 func (t *target) shed(context.Context) Result {
 	return Failure(status.Refuse(status.CodeOverloaded, time.Second, "shed"))
 }
@@ -44,13 +44,12 @@
 	return r.Err.Code
 }
 
-// Symptom: a payout is paid twice.
-// Events: the caller sends it through three nodes at once, and once more later.
-// Cause: each node knows only of its own calls.
+// Guards against a second run when a caller sends one key through three nodes
+// concurrently and once more later, as each node knows only its own calls.
 func TestConcurrentRepeatsRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ns, tgt := nodes(t, newTable(), 3), &target{}
+		ns, tgt := newRunners(t, newTable(), 3), &target{}
 		res := make([]Result, len(ns))
 		var wg sync.WaitGroup
 		for i, n := range ns {
@@ -73,12 +72,11 @@
 	})
 }
 
-// Symptom: a payout runs twice, or its key is refused for good.
-// Events: the answer to the claim's write is lost, the write applied, dropped,
-// or applied a second later.
-// Cause: a lost answer taken for either a success or a failure.
-func TestLostClaimAnswersAreSettled(t *testing.T) {
-	for name, fates := range map[string][]fate{
+// Guards against a second run or a permanently refused key when the answer to the
+// claim's write is lost and taken for a success or a failure. The write is
+// applied, dropped, or applied a second later.
+func TestLostClaimAnswersAreResolved(t *testing.T) {
+	for name, fates := range map[string][]fault{
 		"applied":                       {applied},
 		"dropped":                       {dropped},
 		"late":                          {late},
@@ -88,8 +86,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				tab := newTable()
-				tab.set(first(fates...))
-				ns, tgt := nodes(t, tab, 2), &target{}
+				tab.setFaults(firstFaults(fates...))
+				ns, tgt := newRunners(t, tab, 2), &target{}
 				is.Equal(code(ns[0].Do(t.Context(), payout("k"), tgt.pay)), status.Code(""))
 				time.Sleep(2 * time.Second)
 				is.Equal(ns[1].Do(t.Context(), payout("k"), tgt.pay).Outcome.Body, "paid 1")
@@ -99,28 +97,27 @@
 	}
 }
 
-// Symptom: after an outage a payout can't be sent any more.
-// Events: the claim's write is applied, then the platform is lost before the
-// answer could be read back; the node gives up and the platform comes back.
-// Cause: a claim that nobody runs stays in the table.
+// Guards against a key that stays unusable after an outage: the claim's write is
+// applied, the platform fails before the node can read it back, and the node gives
+// up, so a claim without a run stays in the table.
 func TestAbandonedClaimIsFreedWhenPlatformReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tab := newTable()
 		op := 0
-		tab.set(func(string) fate {
+		tab.setFaults(func(string) fault {
 			if op++; op == 1 {
 				return applied
 			}
 			return down
 		})
-		ns, tgt := nodes(t, tab, 2), &target{}
+		ns, tgt := newRunners(t, tab, 2), &target{}
 		res := ns[0].Do(t.Context(), payout("k"), tgt.pay)
 		is.Equal(code(res), status.CodePlatformDown)
 		is.Equal(res.Outcome.Kind, request.Unknown)
 		is.True(res.NotRunHere)
 		time.Sleep(10 * time.Minute)
-		tab.set(nil)
+		tab.setFaults(nil)
 		is.Equal(code(ns[1].Do(t.Context(), payout("k"), tgt.pay)), status.CodeOutcomeUnknown)
 		time.Sleep(time.Minute)
 		is.Equal(code(ns[1].Do(t.Context(), payout("k"), tgt.pay)), status.Code(""))
@@ -128,15 +125,14 @@
 	})
 }
 
-// Symptom: with the platform down, feed reads are slow too.
-// Events: the platform stops answering; at-most-once calls keep coming.
-// Cause: each waits for the platform and holds its admission slot.
-func TestSlowPlatformIsNotWaitedFor(t *testing.T) {
+// Guards against slowing down unrelated requests in an outage of the platform:
+// at-most-once calls that wait for it would hold their admission slots.
+func TestSlowPlatformDoesNotBlockCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tab := newTable()
-		tab.set(always(slow))
-		n, tgt := nodes(t, tab, 1)[0], &target{}
+		tab.setFaults(always(slow))
+		n, tgt := newRunners(t, tab, 1)[0], &target{}
 		var wg sync.WaitGroup
 		for i := range DefaultConfig().MaxClaims {
 			wg.Go(func() { n.Do(t.Context(), payout(fmt.Sprint(i)), tgt.pay) })
@@ -158,22 +154,22 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(waited <= 15) // of some 6000 calls: the probes
+		is.True(waited <= 15) // only the probes, of about 6000 calls
 		t.Logf("%d calls waited, %d operations in a minute of outage", waited, tab.ops-ops)
-		tab.set(nil)
+		tab.setFaults(nil)
 		time.Sleep(DefaultConfig().Breaker.ProbeMax)
 		is.Equal(code(n.Do(t.Context(), payout("after-it"), tgt.pay)), status.Code(""))
 		is.Equal(tgt.runs.Load(), int32(1))
 	})
 }
 
-// Symptom: a payout is cut in the middle and its outcome unknown for good.
-// Events: the caller leaves while its payout runs, then repeats it.
-// Cause: a run that is cancelled with its caller.
+// Guards against cancelling a run with its caller, which interrupts the payout and
+// leaves its outcome unknown permanently. The caller leaves during the run and
+// then repeats.
 func TestRunOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, tgt := nodes(t, newTable(), 1)[0], &target{}
+		n, tgt := newRunners(t, newTable(), 1)[0], &target{}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		n.Do(ctx, payout("k"), func(run context.Context) Result {
@@ -188,21 +184,19 @@
 	})
 }
 
-// Symptom: a payout that was shed can't be tried again, or runs though it was
-// reported as not run.
-// Events: the target sheds it, the release's answer is lost or the platform is
-// down by then; the caller tries again.
-// Cause: a claim kept, or released though something ran.
-func TestNotRunReleases(t *testing.T) {
-	for name, fates := range map[string][]fate{
-		"fine": nil, "applied": {fine, applied}, "dropped": {fine, dropped}, "down": {fine, down, down},
+// Guards against a shed request that cannot be retried because its claim was kept,
+// and against one that runs after it was reported as not run. The answer to the
+// release is lost or the platform is down; then the caller retries.
+func TestNotRunReleasesClaim(t *testing.T) {
+	for name, fates := range map[string][]fault{
+		"fine": nil, "applied": {none, applied}, "dropped": {none, dropped}, "down": {none, down, down},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				tab := newTable()
-				tab.set(first(fates...))
-				ns, tgt := nodes(t, tab, 2), &target{}
+				tab.setFaults(firstFaults(fates...))
+				ns, tgt := newRunners(t, tab, 2), &target{}
 				res := ns[0].Do(t.Context(), payout("k"), tgt.shed)
 				is.Equal(res.Err.Outcome, request.Refused)
 				is.True(res.NotRunHere)
@@ -214,7 +208,7 @@
 	}
 }
 
-func TestOutcomesAreKept(t *testing.T) {
+func TestOutcomesAreRecorded(t *testing.T) {
 	big := strings.Repeat("x", claim.DefaultConfig().MaxKept+1)
 	for name, c := range map[string]struct {
 		run  func(context.Context) Result
@@ -233,7 +227,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				n, tgt := nodes(t, newTable(), 1)[0], &target{}
+				n, tgt := newRunners(t, newTable(), 1)[0], &target{}
 				n.Do(t.Context(), payout("k"), c.run)
 				res := n.Do(t.Context(), payout("k"), tgt.pay)
 				is.Equal(res.Err.Code, c.code)
@@ -245,15 +239,14 @@
 	}
 }
 
-// Symptom: outcomes are lost by a planned stop.
-// Events: the platform fails as a run ends; the node is stopped.
-// Cause: a stop that forgets the duties.
+// Guards against losing outcomes in a planned stop: the platform fails as a run
+// ends, and the node stops before its duties are finished.
 func TestCloseWaitsForDuties(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tab := newTable()
-		ns, tgt := nodes(t, tab, 2), &target{}
-		tab.set(first(fine, down, down, down, down))
+		ns, tgt := newRunners(t, tab, 2), &target{}
+		tab.setFaults(firstFaults(none, down, down, down, down))
 		is.Equal(code(ns[0].Do(t.Context(), payout("k"), tgt.pay)), status.Code(""))
 		short, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -262,7 +255,7 @@
 		is.Equal(ns[1].Do(t.Context(), payout("k"), tgt.pay).Outcome.Body, "paid 1")
 
 		is.Equal(code(ns[1].Do(t.Context(), payout("lost"), func(ctx context.Context) Result {
-			tab.set(always(down))
+			tab.setFaults(always(down))
 			return tgt.pay(ctx)
 		})), status.Code(""))
 		brief, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -272,13 +265,13 @@
 	})
 }
 
-// Random faults at the table under callers that repeat through four nodes.
-func TestStormRunsEachKeyOnce(t *testing.T) {
+// Random faults at the table while callers repeat keys through four nodes.
+func TestRandomFaultsRunEachKeyOnce(t *testing.T) {
 	const keys, repeats = 40, 12
 	synctest.Test(t, func(t *testing.T) {
 		tab := newTable()
-		tab.set(random(rand.New(rand.NewPCG(1, 2)), 0.3))
-		ns := nodes(t, tab, 4)
+		tab.setFaults(randomFaults(rand.New(rand.NewPCG(1, 2)), 0.3))
+		ns := newRunners(t, tab, 4)
 		var targets [keys]target
 		var wg sync.WaitGroup
 		for i := range keys * repeats {
@@ -292,7 +285,7 @@
 			})
 		}
 		wg.Wait()
-		tab.set(nil)
+		tab.setFaults(nil)
 		time.Sleep(2 * time.Minute)
 		ran := 0
 		for key := range targets {
@@ -310,24 +303,24 @@
 	})
 }
 
-func TestOperationsOfACall(t *testing.T) {
+func TestTableOperationsPerCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tab := newTable()
-		n, tgt := nodes(t, tab, 1)[0], &target{}
+		n, tgt := newRunners(t, tab, 1)[0], &target{}
 		start := time.Now()
 		n.Do(t.Context(), payout("k"), tgt.pay)
-		is.Equal(tab.ops, 2) // claim and outcome
+		is.Equal(tab.ops, 2) // the claim and the outcome
 		is.Equal(time.Since(start), 200*time.Millisecond+2*latency)
 		n.Do(t.Context(), payout("k"), tgt.pay)
-		is.Equal(tab.ops, 4) // a repeat: a write that fails, and a read
+		is.Equal(tab.ops, 4) // the repeat adds a failed write and a read
 	})
 }
 
-// BenchmarkDo gives the node's own cost of a call under a claim; the table
-// answers at once.
+// BenchmarkDo measures the node's own cost of a call with a claim; the table
+// answers immediately.
 func BenchmarkDo(b *testing.B) {
-	n := New(OwnRows{instant{newTable()}}, nil, DefaultConfig(), zap.NewNop(), tally.NoopScope)
+	n := New(OwnRows{instantTable{newTable()}}, nil, DefaultConfig(), zap.NewNop(), tally.NoopScope)
 	body := make([]byte, 1<<10)
 	run := func(context.Context) Result { return Answered(201, "text/plain", body) }
 	req := payout("")
@@ -341,7 +334,7 @@
 	}
 }
 
-// instant is a table without latency.
-type instant struct{ *table }
+// instantTable is a table without latency.
+type instantTable struct{ *table }
 
-func (t instant) Put(_ context.Context, p port.Put) error { return t.apply(p) }
+func (t instantTable) Put(_ context.Context, p port.Put) error { return t.apply(p) }
--- a/internal/claims/stats.go
+++ b/internal/claims/stats.go
@@ -20,20 +20,20 @@
 	gauge.Update(0)
 }
 
-// call counts a call by how it ended.
+// call counts a call by its result.
 func (s stats) call(res Result) {
-	how := "completed"
+	result := "completed"
 	switch {
 	case res.Err != nil:
-		how = string(res.Err.Code)
+		result = string(res.Err.Code)
 	case res.NotRunHere:
-		how = "repeated"
+		result = "repeated"
 	}
-	s.scope.Tagged(map[string]string{"result": how}).Counter("calls").Inc(1)
+	s.scope.Tagged(map[string]string{"result": result}).Counter("calls").Inc(1)
 }
 
-// duties shows how many duties wait for the platform.
+// duties sets the gauge of pending duties.
 func (s stats) duties(n int) { s.scope.Gauge("duties_pending").Update(float64(n)) }
 
-// lost counts outcomes that the table does not hold though they were written.
+// lost counts outcomes that are missing in the table although they were written.
 func (s stats) lost() { s.scope.Counter("outcomes_lost").Inc(1) }
--- a/internal/core/claim/batch/batcher.go
+++ b/internal/core/claim/batch/batcher.go
@@ -250,13 +250,13 @@
 	return b.retry(now, name, true)
 }
 
-func (b *Batcher) retry(now time.Duration, name string, doubt bool) []Action {
+func (b *Batcher) retry(now time.Duration, name string, ambiguous bool) []Action {
 	r := b.rows[name]
 	if r == nil || r.phase != writing {
 		return nil
 	}
 	for _, op := range r.batch {
-		op.maybeWritten = op.maybeWritten || doubt && op.fits
+		op.maybeWritten = op.maybeWritten || ambiguous && op.fits
 	}
 	if r.attempts++; r.attempts >= b.cfg.Tries {
 		return b.fail(now, r)
