--- a/internal/claims/shared/batcher.go
+++ b/internal/claims/shared/batcher.go
@@ -11,7 +11,7 @@
 	"peardrift/internal/status"
 )
 
-// Batcher writes ops of many nodes to shared rows.
+// Batcher writes the ops of many nodes to shared rows.
 type Batcher struct {
 	cfg   Config
 	table port.Table
@@ -23,13 +23,13 @@
 	nextID  uint64
 	waiting map[uint64]chan batch.Reply
 	timer   *time.Timer
-	closed  bool          // no new ops
-	stopped bool          // no further writes either
-	idle    chan struct{} // closed once closed and nothing waits
+	closed  bool          // refuses new ops
+	stopped bool          // also starts no further batches
+	idle    chan struct{} // closed when the Batcher is closed and no op waits
 }
 
-// newBatcher returns a Batcher. pool carries its operations at the table; its
-// Submit must not wait, as it is called under the Batcher's lock.
+// newBatcher returns a Batcher. pool runs its table operations; pool.Submit must
+// not block, because it is called with the Batcher's lock held.
 func newBatcher(table port.Table, pool Pool, cfg Config, st stats) *Batcher {
 	b := &Batcher{
 		cfg: cfg, table: table, pool: pool, stats: st, core: batch.New(cfg.Batch),
@@ -40,12 +40,12 @@
 	return b
 }
 
-// Submit takes an op and returns how it ended, within op.Wait or until ctx ends.
+// Submit queues an op and returns its result within op.Wait or when ctx ends.
 func (b *Batcher) Submit(ctx context.Context, op *Op) Answer {
-	if err := op.check(b.cfg.Batch); err != nil {
+	if err := op.validate(b.cfg.Batch); err != nil {
 		return Answer{Code: err.Code}
 	}
-	reply, code := b.take(op)
+	reply, code := b.enqueue(op)
 	if code != "" {
 		b.stats.refused(code)
 		return Answer{Code: code}
@@ -59,12 +59,12 @@
 		}
 		return Answer{Result: r.Result, Version: r.Current.Version, Token: r.Current.Token, Value: r.Current.Value}
 	case <-ctx.Done():
-		return Answer{Result: batch.Ambiguous} // it still waits, or is under way
+		return Answer{Result: batch.Ambiguous} // still queued or in flight
 	}
 }
 
-// take gives an op to the core, or says why not.
-func (b *Batcher) take(op *Op) (<-chan batch.Reply, status.Code) {
+// enqueue passes an op to the core, or returns the code of its refusal.
+func (b *Batcher) enqueue(op *Op) (<-chan batch.Reply, status.Code) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
@@ -76,20 +76,21 @@
 	b.nextID++
 	ch := make(chan batch.Reply, 1)
 	b.waiting[b.nextID] = ch
-	bop := op.batched()
-	bop.ID, bop.Until = b.nextID, wall()+min(op.Wait, b.cfg.MaxWait)
-	b.do(b.core.Submit(wall(), bop))
+	bop := op.toBatchOp()
+	bop.ID, bop.Until = b.nextID, wallNow()+min(op.Wait, b.cfg.MaxWait)
+	b.execute(b.core.Submit(wallNow(), bop))
 	return ch, ""
 }
 
 func (b *Batcher) tick() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.do(b.core.Tick(wall()))
+	b.execute(b.core.Tick(wallNow()))
 }
 
-// do carries out actions and sets the timer. mu is held; nothing here waits.
-func (b *Batcher) do(acts []batch.Action) {
+// execute carries out actions and sets the timer. It never blocks; b.mu must be
+// held.
+func (b *Batcher) execute(acts []batch.Action) {
 	for len(acts) > 0 {
 		var more []batch.Action
 		for _, a := range acts {
@@ -105,14 +106,15 @@
 		acts = more
 	}
 	if at, ok := b.core.Due(); ok && !b.stopped {
-		b.timer.Reset(max(0, at-wall()))
+		b.timer.Reset(max(0, at-wallNow()))
 	}
 }
 
-// start runs an operation on the pool, or reports it as not done.
-func (b *Batcher) start(row string, f func(), none func(time.Duration, string) []batch.Action) []batch.Action {
-	if err := b.pool.Submit(f); err != nil {
-		return none(wall(), row)
+// start runs an operation on the pool. If the pool refuses it, start reports the
+// operation to the core as not done.
+func (b *Batcher) start(row string, op func(), notDone func(time.Duration, string) []batch.Action) []batch.Action {
+	if err := b.pool.Submit(op); err != nil {
+		return notDone(wallNow(), row)
 	}
 	return nil
 }
@@ -120,17 +122,17 @@
 func (b *Batcher) reply(r batch.Reply) {
 	ch, ok := b.waiting[r.ID]
 	if !ok {
-		return // Close has answered it
+		return // already answered by Close
 	}
 	delete(b.waiting, r.ID)
-	ch <- r // has room for the one answer
+	ch <- r // cannot block: the buffer holds the only reply
 	if b.closed && len(b.waiting) == 0 {
-		b.finish()
+		b.signalIdle()
 	}
 }
 
-// finish tells Close that nothing waits. mu is held.
-func (b *Batcher) finish() {
+// signalIdle tells Close that no op waits. b.mu must be held.
+func (b *Batcher) signalIdle() {
 	select {
 	case <-b.idle:
 	default:
@@ -138,17 +140,17 @@
 	}
 }
 
-// event gives the core the answer to an operation.
-func (b *Batcher) event(row string, e func(time.Duration, string) []batch.Action) {
+// report passes the result of an operation to the core.
+func (b *Batcher) report(row string, e func(time.Duration, string) []batch.Action) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.do(e(wall(), row))
+	b.execute(e(wallNow(), row))
 }
 
 func (b *Batcher) write(w batch.Write) {
 	value, err := batch.Encode(w.Entries)
 	if err != nil {
-		b.event(w.Row, b.core.NothingWritten)
+		b.report(w.Row, b.core.NothingWritten)
 		return
 	}
 	item := port.Item{Key: w.Row, Version: w.Version, Value: value}
@@ -161,16 +163,16 @@
 	switch {
 	case err == nil:
 		b.stats.table("put", "ok")
-		b.event(w.Row, b.core.Written)
+		b.report(w.Row, b.core.Written)
 	case errors.Is(err, port.ErrConditionFailed):
 		b.stats.table("put", "condition_failed")
-		b.event(w.Row, b.core.ConditionFailed)
+		b.report(w.Row, b.core.ConditionFailed)
 	case errors.Is(err, port.ErrUnavailable):
 		b.stats.table("put", "unavailable")
-		b.event(w.Row, b.core.NothingWritten)
+		b.report(w.Row, b.core.NothingWritten)
 	default:
 		b.stats.table("put", "ambiguous")
-		b.event(w.Row, b.core.InDoubt)
+		b.report(w.Row, b.core.InDoubt)
 	}
 }
 
@@ -180,11 +182,11 @@
 	version, entries, err := readRow(ctx, b.table, row)
 	if err != nil {
 		b.stats.table("get", "unavailable")
-		b.event(row, b.core.ReadFailed)
+		b.report(row, b.core.ReadFailed)
 		return
 	}
 	b.stats.table("get", "ok")
-	b.event(row, func(now time.Duration, row string) []batch.Action {
+	b.report(row, func(now time.Duration, row string) []batch.Action {
 		return b.core.RowRead(now, row, version, entries)
 	})
 }
@@ -202,15 +204,15 @@
 	return item.Version, entries, err
 }
 
-// Close refuses new ops, writes those that wait, and returns when all are
-// answered. When ctx ends first, the rest is answered as in doubt and Close
-// fails with status.CodeDeadlineExceeded.
+// Close refuses new ops, writes the queued ones, and returns when all are
+// answered. If ctx ends first, the remaining ops are answered with batch.Ambiguous
+// and Close fails with status.CodeDeadlineExceeded.
 func (b *Batcher) Close(ctx context.Context) error {
 	b.mu.Lock()
 	b.closed = true
-	b.do(b.core.Hurry(wall()))
+	b.execute(b.core.Hurry(wallNow()))
 	if len(b.waiting) == 0 {
-		b.finish()
+		b.signalIdle()
 	}
 	b.mu.Unlock()
 	select {
@@ -227,7 +229,7 @@
 	}
 	b.waiting = map[uint64]chan batch.Reply{}
 	if left > 0 {
-		return status.New(status.CodeDeadlineExceeded, "%d ops of claims left in doubt", left)
+		return status.New(status.CodeDeadlineExceeded, "%d claim ops left with unknown results", left)
 	}
 	return nil
 }
--- a/internal/claims/shared/config.go
+++ b/internal/claims/shared/config.go
@@ -6,43 +6,44 @@
 	"peardrift/internal/core/claim/batch"
 )
 
-// Config bounds a node's part in shared rows.
+// Config bounds a node's use of shared rows.
 type Config struct {
 	Batch batch.Config
-	// MaxOps is how many ops may wait in the node's Batcher. Default 4096, some
-	// 2 MB. Raising it costs memory; lowering it sends callers to other nodes
-	// sooner.
+	// MaxOps is the maximum number of ops waiting in the node's Batcher. Default
+	// 4096, about 2 MB. Raising it costs memory; lowering it sends callers to
+	// other nodes sooner.
 	MaxOps int
-	// MaxRows is how many rows the Batcher has in memory, of at most
-	// batch.Config.MaxRow each. Default 128. Raising it costs memory; lowering
-	// it the same as for MaxOps.
+	// MaxRows is the maximum number of rows in the Batcher's memory, of at most
+	// batch.Config.MaxRow each. Default 128. Raising it costs memory; lowering it
+	// sends callers to other nodes sooner.
 	MaxRows int
-	// MaxWait bounds how long a caller may leave an op with the Batcher. Default
+	// MaxWait bounds how long a caller waits for an op in the Batcher. Default
 	// 1 s. It must exceed batch.Config.LazyWait.
 	MaxWait time.Duration
 	// TableWait bounds one operation at the platform's table. Default 100 ms.
-	// Raising it rides out slower writes, behind which a row's other ops wait;
-	// lowering it makes more of them doubtful, which costs a read each.
+	// Raising it tolerates slower writes, which delay the row's other ops;
+	// lowering it makes more writes ambiguous, which costs a read each.
 	TableWait time.Duration
-	// SecondWait is what is left of an op's time for the row's next node when
-	// the first has not answered. Default 60 ms. Raising it leaves less for the
-	// first; it must exceed a write of the platform and the way there.
+	// SecondWait is the part of an op's timeout reserved for the row's next node
+	// if the first one does not answer. Default 60 ms. Raising it leaves less for
+	// the first node; it must exceed a write at the platform plus the latency
+	// between nodes.
 	SecondWait time.Duration
-	// AnswerWait is what the way to the row's node and back may take. Default
-	// 10 ms. Raising it leaves less for that node's write; lowering it takes
-	// slow answers for lost ones.
+	// AnswerWait is the part of an op's timeout reserved for the round trip to the
+	// row's node. Default 10 ms. Raising it leaves less for that node's write;
+	// lowering it treats slow answers as lost.
 	AnswerWait time.Duration
-	// AvoidFor is how long a node is passed over that did not do its part.
-	// Default 2 s. Raising it asks such a node less often; lowering it lets it
-	// batch again sooner.
+	// AvoidFor is how long a failed node is skipped. Default 2 s. Raising it
+	// retries such a node less often; lowering it lets the node batch again
+	// sooner.
 	AvoidFor time.Duration
-	// RefreshEvery is the age at which the layouts are read again. Default
-	// 10 min. It must stay below batch.Lead - batch.Margin - claim.Config.Ahead;
-	// lowering it costs the platform reads of every node.
+	// RefreshEvery is the age at which the layouts are reread. Default 10 min. It
+	// must stay below batch.Lead - batch.Margin - claim.Config.Ahead; lowering it
+	// costs the platform more reads from every node.
 	RefreshEvery time.Duration
 }
 
-// DefaultConfig returns the defaults named at each field.
+// DefaultConfig returns the defaults documented at each field.
 func DefaultConfig() Config {
 	return Config{
 		Batch:  batch.DefaultConfig(),
--- a/internal/claims/shared/doc.go
+++ b/internal/claims/shared/doc.go
@@ -1,28 +1,30 @@
-// Package shared keeps claims of dated keys in rows that many claims share: it
-// does between nodes and at the platform's table what internal/core/claim/batch
-// decides.
+// Package shared stores claims of dated keys in shared rows: it carries out the
+// decisions of internal/core/claim/batch between nodes and at the platform's
+// table.
 //
-// # Who calls it, when
+// # Usage
 //
-// A node has one of each: Rows, which claims.Runner asks; Sender, which sends an
-// op to the node that batches its row; Batcher, which takes other nodes' ops and
-// writes them. internal/node carries ops between nodes and calls SetMembers when
-// the members change.
+// A node has one Rows, which claims.Runner calls; one Sender, which sends an op to
+// the node that batches its row; and one Batcher, which accepts ops from all nodes
+// and writes them. internal/node transports ops between nodes and calls SetMembers
+// when the members change.
 //
 // # Contract
 //
-//   - Rows places a key by the layouts alone (batch.Layouts), which it knows for
-//     certain or refuses the operation: no two nodes place a key differently.
-//   - Which node batches a row decides costs, never safety. An op whose node is
-//     unreachable, slow, stopping or overloaded is written by the own Batcher
-//     within the same wait; both may write it, and the row's condition lets one.
-//   - An op whose answer is lost is claim.InDoubt, unless the own Batcher finds
-//     how it ended.
-//   - A Batcher refuses with a typed code what exceeds its bounds, and never
-//     keeps an op without end.
-//   - Close of a Batcher refuses new ops, writes what waits, and answers the rest
-//     as in doubt when its time is up.
-//   - Answers are not kept in shared rows, only their size and digest.
+//   - Rows maps a key to its row only by the layouts (batch.Layouts). If it does
+//     not know them for certain it refuses the operation, so all nodes map a key
+//     to the same row.
+//   - The choice of the batching node affects cost, never safety. An op whose node
+//     is unreachable, slow, stopping or overloaded goes to the row's next node or
+//     the local Batcher within the same timeout; if both write it, the row's
+//     condition lets only one write succeed.
+//   - An op whose answer is lost is claim.InDoubt, unless that second try
+//     determines its result.
+//   - A Batcher refuses ops beyond its bounds with a typed code, and answers every
+//     op in bounded time.
+//   - Batcher.Close refuses new ops, writes the queued ones, and answers the rest
+//     with batch.Ambiguous when its context ends.
+//   - Shared rows do not store answers, only their size and digest.
 //
 // # Concurrency
 //
--- a/internal/claims/shared/fake_test.go
+++ b/internal/claims/shared/fake_test.go
@@ -22,26 +22,25 @@
 	"peardrift/internal/status"
 )
 
-// slow is a table that takes its time, before and after each operation.
-type slow struct {
+// slowTable is a table with latency before and after each operation.
+type slowTable struct {
 	*porttest.Table
-	puts, gets *line // nil: any number
+	puts, gets *rateLimiter // nil: unlimited
 }
 
 const latency = 5 * time.Millisecond
 
-// line is a platform that serves so many operations a second, in their order; 0:
-// any number.
-type line struct {
+// rateLimiter models a platform that serves operations in order at a limited rate.
+type rateLimiter struct {
 	mu    sync.Mutex
-	rate  int
-	pause time.Duration // of each operation, more
-	next  time.Time
+	rate  int           // operations per second; 0: unlimited
+	pause time.Duration // additional latency of each operation
+	next  time.Time     // when the next operation is served
 }
 
-// wait returns after an operation's turn; false if its caller has gone before.
-// The turn is spent all the same.
-func (l *line) wait(ctx context.Context) bool {
+// wait returns true when an operation is served, or false if its context ends
+// first. A cancelled operation still uses capacity.
+func (l *rateLimiter) wait(ctx context.Context) bool {
 	if l == nil {
 		time.Sleep(latency)
 		return true
@@ -66,7 +65,7 @@
 	}
 }
 
-func (s slow) Get(ctx context.Context, key string) (port.Item, error) {
+func (s slowTable) Get(ctx context.Context, key string) (port.Item, error) {
 	if !s.gets.wait(ctx) {
 		return port.Item{}, port.ErrUnavailable
 	}
@@ -74,28 +73,28 @@
 	return s.Table.Get(ctx, key)
 }
 
-func (s slow) Put(ctx context.Context, p port.Put) error {
+func (s slowTable) Put(ctx context.Context, p port.Put) error {
 	if !s.puts.wait(ctx) {
-		_ = s.Table.Put(context.WithoutCancel(ctx), p) // it is in the line
+		_ = s.Table.Put(context.WithoutCancel(ctx), p) // the platform still executes it
 		return port.ErrAmbiguous
 	}
 	defer time.Sleep(latency)
 	return s.Table.Put(ctx, p)
 }
 
-// errLost is an answer that does not come.
+// errLost reports a lost answer.
 var errLost = status.New(status.CodeConnectionLost, "lost")
 
-// fleet is some nodes over one table. Ops between nodes go by way, if set;
-// deliver gives the op to its node.
+// fleet is a set of nodes that share a table. transport, if set, carries ops
+// between nodes; deliver passes the op to its node.
 type fleet struct {
 	t          *testing.T
 	table      *porttest.Table
-	puts, gets *line // of the table; may be nil
+	puts, gets *rateLimiter // rate limits of the table; may be nil
 	rows       []*Rows
 	nodes      []*claims.Runner
 	pools      []*ants.Pool
-	way        func(ctx context.Context, to int, deliver func() Answer) (Answer, error)
+	transport  func(ctx context.Context, to int, deliver func() Answer) (Answer, error)
 }
 
 // Submit implements Peers; addresses are indexes.
@@ -106,25 +105,26 @@
 	}
 	time.Sleep(time.Millisecond)
 	deliver := func() Answer { return f.rows[to].Serve(context.WithoutCancel(ctx), op) }
-	if f.way == nil {
+	if f.transport == nil {
 		return deliver(), nil
 	}
-	return f.way(ctx, to, deliver)
+	return f.transport(ctx, to, deliver)
 }
 
-// newFleet returns n nodes that know each other. Keys drawn now are shared.
+// newFleet returns n nodes that know each other. Keys generated from now on are in
+// shared rows.
 func newFleet(t *testing.T, n int, cfg Config) *fleet {
 	t.Helper()
-	f := &fleet{t: t, table: porttest.NewTable(), puts: &line{}, gets: &line{}}
+	f := &fleet{t: t, table: porttest.NewTable(), puts: &rateLimiter{}, gets: &rateLimiter{}}
 	if _, err := Announce(t.Context(), f.table, cfg.Batch); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(batch.Lead)
-	f.grow(n, cfg)
+	f.addNodes(n, cfg)
 	return f
 }
 
-func (f *fleet) grow(n int, cfg Config) {
+func (f *fleet) addNodes(n int, cfg Config) {
 	var all []Member
 	for i := range n {
 		pool, err := ants.NewPool(512, ants.WithNonblocking(true))
@@ -132,7 +132,7 @@
 			f.t.Fatal(err)
 		}
 		f.pools = append(f.pools, pool)
-		r := New(slow{f.table, f.puts, f.gets}, f, uint64(i), pool, cfg, tally.NoopScope)
+		r := New(slowTable{f.table, f.puts, f.gets}, f, uint64(i), pool, cfg, tally.NoopScope)
 		f.rows = append(f.rows, r)
 		f.nodes = append(f.nodes, claims.New(r, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope))
 		all = append(all, Member{ID: uint64(i), Addr: strconv.Itoa(i)})
@@ -161,8 +161,8 @@
 	})
 }
 
-// other returns the node that batches a payout's row, and one that doesn't.
-func (f *fleet) other(req claims.Request) (batching, calling int) {
+// batchingNode returns the node that batches a payout's row, and one that does not.
+func (f *fleet) batchingNode(req claims.Request) (batching, calling int) {
 	slot, ok, err := f.rows[0].slot(f.t.Context(), claims.Place{Row: claim.RowKey(req.Scope, req.Key), Key: req.Key})
 	if err != nil || !ok {
 		f.t.Fatal("not a shared key", err)
@@ -175,7 +175,7 @@
 	return batching, (batching + 1) % len(f.rows)
 }
 
-// target counts its runs.
+// target is a fake target that counts its runs.
 type target struct{ runs atomic.Int32 }
 
 func (t *target) pay(context.Context) claims.Result {
@@ -184,7 +184,7 @@
 	return claims.Answered(201, "text/plain", []byte("paid"))
 }
 
-// payout returns a call that its caller gives a second, under a new dated key.
+// payout returns a request with a new dated key and a deadline of one second.
 func payout() claims.Request {
 	return claims.Request{
 		Scope: claim.Scope{Tenant: "kalahari", Service: "settleworks.kalahari", Class: "payout"},
@@ -193,8 +193,8 @@
 	}
 }
 
-// newKey draws a dated key. uuid.NewV7 remembers the latest time over all tests,
-// each of which has a clock of its own.
+// newKey generates a dated key. uuid.NewV7 is unsuitable: it keeps the latest time
+// across tests, but each test has its own clock.
 func newKey() string {
 	id := uuid.New()
 	for i, ms := 0, uint64(time.Now().UnixMilli()); i < 6; i++ {
@@ -204,8 +204,8 @@
 	return id.String()
 }
 
-// again returns the call as its caller repeats it later.
-func again(req claims.Request) claims.Request {
+// repeat returns the request as its caller repeats it later.
+func repeat(req claims.Request) claims.Request {
 	req.Deadline = time.Now().Add(time.Second)
 	return req
 }
@@ -217,8 +217,9 @@
 	return r.Err.Code
 }
 
-// faults gives each operation at the table a fault with the given odds.
-func faults(r *rand.Rand, odds float64) porttest.Script {
+// randomFaults injects a random fault into each table operation with the given
+// probability.
+func randomFaults(r *rand.Rand, odds float64) porttest.Script {
 	return func(porttest.Op, string) porttest.Fault {
 		if r.Float64() >= odds {
 			return porttest.None
--- a/internal/claims/shared/layouts.go
+++ b/internal/claims/shared/layouts.go
@@ -13,21 +13,22 @@
 	"peardrift/internal/status"
 )
 
-// wall returns the time that keys, rows and layouts are dated by.
-func wall() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// wallNow returns the wall clock time, on which times of keys, rows and layouts
+// are based.
+func wallNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// layouts are the layouts as the node knows them.
+// layouts caches the layouts of the table.
 type layouts struct {
 	table port.Table
 	every time.Duration
 	pool  Pool
 
-	reading chan struct{} // holds a token while nobody reads
+	reading chan struct{} // semaphore: holds a token while no read is in flight
 
-	mu    sync.Mutex
-	list  batch.Layouts
-	read  time.Duration // when the list was asked for; 0: never
-	asked time.Duration // last time it was to be read anew
+	mu          sync.Mutex
+	list        batch.Layouts
+	readAt      time.Duration // when the read of list started; 0: never
+	refreshedAt time.Duration // when the last refresh was scheduled
 }
 
 func newLayouts(table port.Table, pool Pool, every time.Duration) *layouts {
@@ -36,13 +37,13 @@
 	return l
 }
 
-// upTo returns the layouts for keys dated t or earlier, and fails if they can't
-// be known for certain. Safety rests on the key's date and the time of the read,
-// not on the present: a node that was frozen for a day may still place the keys
-// that it could place before.
+// upTo returns the layouts for keys dated t or earlier, and fails if they cannot
+// be determined for certain. Safety depends on the key's date and the time of the
+// read, not on the current time: a node that was paused for a day may still place
+// the keys that it could place before.
 func (l *layouts) upTo(ctx context.Context, t time.Duration) (batch.Layouts, error) {
 	if list, ok := l.known(t); ok {
-		l.renew()
+		l.refresh()
 		return list, nil
 	}
 	select {
@@ -52,7 +53,7 @@
 	}
 	defer func() { l.reading <- struct{}{} }()
 	if list, ok := l.known(t); ok {
-		return list, nil // another read them meanwhile
+		return list, nil // read by another caller in the meantime
 	}
 	if err := l.load(ctx); err != nil {
 		return nil, err
@@ -66,23 +67,23 @@
 func (l *layouts) known(t time.Duration) (batch.Layouts, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.list, l.read > 0 && t <= batch.KnownUntil(l.read)
+	return l.list, l.readAt > 0 && t <= batch.KnownUntil(l.readAt)
 }
 
-// renew reads the layouts in the background if they are old, so that no call
-// has to wait for it.
-func (l *layouts) renew() {
-	now := wall()
+// refresh rereads outdated layouts in the background, so that no call waits for
+// the read.
+func (l *layouts) refresh() {
+	now := wallNow()
 	l.mu.Lock()
-	due := now-max(l.read, l.asked) > l.every
+	due := now-max(l.readAt, l.refreshedAt) > l.every
 	if due {
-		l.asked = now
+		l.refreshedAt = now
 	}
 	l.mu.Unlock()
 	if !due {
 		return
 	}
-	_ = l.pool.Submit(func() { // else the next call tries, a while later
+	_ = l.pool.Submit(func() { // if the pool is full, a call after the next interval retries
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_ = l.load(ctx)
@@ -90,22 +91,23 @@
 }
 
 func (l *layouts) load(ctx context.Context) error {
-	at := wall()
+	at := wallNow()
 	list, _, err := readLayouts(ctx, l.table)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// A list that has lost a layout would move keys that are claimed. It is the
-	// work of a hand at the table: then no key is placed but those known before.
+	// A list without a known layout would move claimed keys to other rows. Only an
+	// outside change to the table causes it; reject it and place only the keys that
+	// the cached list covers.
 	if !list.Extends(l.list) {
-		if l.list.Extends(list) && at < l.read {
-			return nil // an older read that ended later
+		if l.list.Extends(list) && at < l.readAt {
+			return nil // an older read that finished later
 		}
-		return status.New(status.CodeProtocol, "layouts of claims were taken back")
+		return status.New(status.CodeProtocol, "a claim layout was removed from the table")
 	}
-	l.list, l.read = list, max(at, l.read)
+	l.list, l.readAt = list, max(at, l.readAt)
 	return nil
 }
 
@@ -121,10 +123,11 @@
 	return list, item.Version, err
 }
 
-// Announce declares that keys dated batch.Lead from now on share rows as cfg
-// says, and returns the layout. If the newest layout already says so, it stays.
-// It fails with status.CodeConflict if another announced one at the same time,
-// and with status.CodeOutcomeUnknown if it may be announced; repeating it tells.
+// Announce announces a layout of cfg for keys dated batch.Lead or more from now,
+// and returns it. If the newest layout already equals cfg, Announce returns that
+// one. It fails with status.CodeConflict on a concurrent announcement, and with
+// status.CodeOutcomeUnknown if the write is ambiguous; repeat the call to resolve
+// it.
 func Announce(ctx context.Context, table port.Table, cfg batch.Config) (batch.Layout, error) {
 	list, version, err := readLayouts(ctx, table)
 	if err != nil {
@@ -133,7 +136,7 @@
 	if last, ok := list.Last(); ok && last.Slot == cfg.Slot && last.Shards == cfg.Shards {
 		return last, nil
 	}
-	list, err = list.Announce(wall(), cfg)
+	list, err = list.Announce(wallNow(), cfg)
 	if err != nil {
 		return batch.Layout{}, err
 	}
@@ -146,9 +149,9 @@
 	err = table.Put(ctx, port.Put{Item: item, IfVersion: version})
 	switch {
 	case errors.Is(err, port.ErrConditionFailed):
-		return last, status.Wrap(status.CodeConflict, err, "another layout of claims was announced meanwhile")
+		return last, status.Wrap(status.CodeConflict, err, "another claim layout was announced concurrently")
 	case errors.Is(err, port.ErrAmbiguous):
-		return last, status.Wrap(status.CodeOutcomeUnknown, err, "the layout may be announced")
+		return last, status.Wrap(status.CodeOutcomeUnknown, err, "the claim layout may have been announced")
 	}
 	return last, err
 }
--- a/internal/claims/shared/layouts_test.go
+++ b/internal/claims/shared/layouts_test.go
@@ -14,23 +14,21 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: a payout runs twice in the hours in which a fleet moves to shared
-// rows.
-// Events: keys are used all the time, each through a node that read the layouts
-// before the announcement and one that read them after; one node is frozen over
-// it, and can't reach the platform afterwards.
-// Cause: a key placed by layouts that may not be the last word on its date.
+// Guards against a second run while a fleet moves to shared rows, if a node places
+// a key by layouts that may be outdated for its date. Each key is used through a
+// node that read the layouts before the announcement and one that read them after;
+// a third node is paused meanwhile and cannot reach the platform afterwards.
 func TestMoveToSharedRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := &fleet{t: t, table: porttest.NewTable()}
-		f.grow(3, DefaultConfig())
+		f.addNodes(3, DefaultConfig())
 		tgt, runs := &target{}, int32(0)
 		pay := func(both ...int) {
 			req := payout()
 			runs++
 			for i, node := range both {
-				res := f.nodes[node].Do(t.Context(), again(req), tgt.pay)
+				res := f.nodes[node].Do(t.Context(), repeat(req), tgt.pay)
 				is.Equal(code(res) == "" || i > 0 && code(res) == status.CodeAnswerNotKept, true)
 				time.Sleep(time.Second)
 			}
@@ -44,17 +42,17 @@
 		is.NoErr(err)
 		same, err := Announce(t.Context(), f.table, batch.DefaultConfig())
 		is.NoErr(err)
-		is.Equal(same, l) // once is enough
-		for wall() < l.From+time.Hour {
+		is.Equal(same, l) // a repeated announcement adds no layout
+		for wallNow() < l.From+time.Hour {
 			pay(0, 1)
 			pay(1, 0)
 			time.Sleep(7 * time.Minute)
 		}
-		// Keys of before stay where they are, whoever is asked.
-		res := f.nodes[1].Do(t.Context(), again(early), tgt.pay)
+		// Earlier keys keep their rows on every node.
+		res := f.nodes[1].Do(t.Context(), repeat(early), tgt.pay)
 		is.Equal(res.Outcome.Body, "paid")
 		is.Equal(tgt.runs.Load(), runs)
-		// Node 2 saw nothing of it.
+		// Node 2 has not read the new layouts.
 		req := payout()
 		f.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.Unavailable })
 		is.Equal(code(f.nodes[2].Do(t.Context(), req, tgt.pay)), status.CodePlatformDown)
@@ -63,7 +61,7 @@
 	})
 }
 
-func TestLayoutsTakenBackPlaceNoKey(t *testing.T) {
+func TestRemovedLayoutPlacesNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, tgt := newFleet(t, 1, DefaultConfig()), &target{}
@@ -81,7 +79,7 @@
 	})
 }
 
-func TestLayoutsAreReadSeldom(t *testing.T) {
+func TestLayoutsAreCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, DefaultConfig())
--- a/internal/claims/shared/op.go
+++ b/internal/claims/shared/op.go
@@ -8,7 +8,7 @@
 	"peardrift/internal/status"
 )
 
-// Op is a batch.Op on its way to the node that batches its row.
+// Op is a batch.Op as sent to the node that batches its row.
 type Op struct {
 	Row       string
 	Start     time.Duration
@@ -18,54 +18,55 @@
 	Value     []byte
 	Expires   time.Duration
 	Lazy      bool
-	Look      bool          // only asks for the entry
+	Look      bool          // read-only: returns the entry
 	Wait      time.Duration // how long its sender waits for the answer
 }
 
-// Answer is how an Op ended.
+// Answer is the result of an Op.
 type Answer struct {
 	Result batch.Result
-	Code   status.Code // why it was refused, with Result batch.Unavailable
-	// Of a Look with Result batch.OK: the entry; Version 0 if there is none.
+	Code   status.Code // reason of a refusal, with Result batch.Unavailable
+	// Version, Token and Value are the entry for a Look with Result batch.OK;
+	// Version is 0 if the entry is absent.
 	Version int64
 	Token   string
 	Value   []byte
 }
 
-// Peers carries ops to other nodes.
+// Peers sends ops to other nodes.
 type Peers interface {
-	// Submit returns the answer of the node at a control address. An error says
-	// nothing of what became of the op.
+	// Submit returns the answer of the node at a control address. After an error
+	// the result of the op is unknown.
 	Submit(ctx context.Context, addr string, op *Op) (Answer, error)
 }
 
-// Pool runs what waits for others; *ants.Pool is one.
+// Pool runs blocking tasks; *ants.Pool implements it.
 type Pool interface {
 	Submit(task func()) error
 }
 
-// Bounds of what a node takes from another, in bytes.
+// Bounds of an op that a node accepts from another, in bytes.
 const (
 	maxRowName = 64
 	maxToken   = 36
 )
 
-// check refuses an op that no node sends. One that is larger than a row reserves
-// for it would let the row outgrow the table's bound, and none of its claims
-// could be recorded any more.
-func (o *Op) check(cfg batch.Config) *status.Error {
+// validate rejects an op that no correct node sends. An op larger than the space
+// that a row reserves for it could grow the row beyond the table's limit, and then
+// no outcome in that row could be recorded.
+func (o *Op) validate(cfg batch.Config) *status.Error {
 	switch {
 	case o.Row == "" || len(o.Row) > maxRowName,
 		len(o.Key) != batch.EntryKeySize,
 		o.Token == "" && !o.Look || len(o.Token) > maxToken,
 		len(o.Value) > cfg.Reserve,
 		o.IfVersion < 0:
-		return status.New(status.CodeMalformed, "an op of a claim is out of bounds")
+		return status.New(status.CodeMalformed, "a claim op is out of bounds")
 	}
 	return nil
 }
 
-func (o *Op) batched() batch.Op {
+func (o *Op) toBatchOp() batch.Op {
 	return batch.Op{
 		Slot: batch.Slot{Row: o.Row, Start: o.Start}, Key: o.Key, IfVersion: o.IfVersion, Lazy: o.Lazy, Look: o.Look,
 		Entry: batch.Entry{Version: o.IfVersion + 1, Token: o.Token, Value: o.Value, Expires: o.Expires},
--- a/internal/claims/shared/sender.go
+++ b/internal/claims/shared/sender.go
@@ -15,7 +15,7 @@
 	Addr string // of its control listener
 }
 
-// members are those that may batch, in two forms.
+// members are the nodes that may batch, and their ids in the same order.
 type members struct {
 	all []Member
 	ids []uint64
@@ -23,21 +23,21 @@
 
 // Sender sends ops to the nodes that batch their rows.
 type Sender struct {
-	cfg   Config
-	self  uint64
-	own   *Batcher
-	peers Peers
-	stats stats
+	cfg     Config
+	self    uint64
+	batcher *Batcher
+	peers   Peers
+	stats   stats
 
 	members atomic.Pointer[members]
 
-	mu     sync.Mutex
-	avoid  map[uint64]time.Time // until when a node is passed over
-	misses map[uint64]int       // ops without an answer, in a row
-	purse  float64              // second tries that are paid for
+	mu          sync.Mutex
+	avoidUntil  map[uint64]time.Time // end of the time in which a node is skipped
+	misses      map[uint64]int       // consecutive ops without an answer
+	retryTokens float64              // tokens for second tries
 }
 
-// SetMembers replaces the nodes that may batch; it keeps ms.
+// SetMembers replaces the nodes that may batch. It retains ms.
 func (s *Sender) SetMembers(ms []Member) {
 	next := &members{all: ms, ids: make([]uint64, len(ms))}
 	for i, m := range ms {
@@ -46,13 +46,13 @@
 	s.members.Store(next)
 }
 
-// Submit returns how an op ended, within wait. An op that its row's node does not
-// answer goes to the row's next node, which batches it as well.
+// Submit sends an op to its row's node and returns its result within wait. If that
+// node does not answer, the op also goes to the row's next node.
 func (s *Sender) Submit(ctx context.Context, op Op, wait time.Duration) Answer {
 	start := time.Now()
 	to, ok := s.pick(op.Row, s.self)
 	if !ok {
-		return s.direct(ctx, op, wait)
+		return s.submitLocal(ctx, op, wait)
 	}
 	ans, known := s.send(ctx, to, op, wait-s.cfg.SecondWait)
 	if known && ans.Result != batch.Unavailable {
@@ -62,49 +62,50 @@
 	late := time.Since(start) > (wait-s.cfg.SecondWait)/2
 	switch {
 	case !known && late:
-		s.silent(to.ID)
+		s.missed(to.ID)
 	case !known || ans.Code != "":
-		s.pass(to.ID)
+		s.skip(to.ID)
 	case late:
-		// It waited for the platform, which is slow for all. Were the row given to
-		// another node now, both would fail each other's writes, and the platform
-		// would have twice as many to do.
+		// The node waited for the platform, which is slow for all nodes. Moving the
+		// row to another node now would make both fail each other's writes and double
+		// the number of writes at the platform.
 		return ans
 	}
-	if !s.spend() {
+	if !s.takeToken() {
 		return ans
 	}
-	again := s.second(ctx, to, op, time.Until(start.Add(wait)))
-	if known && (again.Result == batch.OK || again.Result == batch.ConditionFailed) {
-		s.pass(to.ID) // another reaches the platform
+	second := s.submitSecond(ctx, to, op, time.Until(start.Add(wait)))
+	if known && (second.Result == batch.OK || second.Result == batch.ConditionFailed) {
+		s.skip(to.ID) // the next node reaches the platform
 	}
-	if !known && (again.Result == batch.Unavailable || again.Result == batch.Full) {
-		// The first one may have it under way, and a failure here says nothing of
-		// that. Taken for "nothing written", a key would stay held by nobody.
-		again.Result = batch.Ambiguous
+	if !known && (second.Result == batch.Unavailable || second.Result == batch.Full) {
+		// The first node may still have the op in flight, whatever the second one
+		// answers. Reporting "nothing written" could leave the key held without an
+		// owner.
+		second.Result = batch.Ambiguous
 	}
-	return again
+	return second
 }
 
-// second sends an op to the next node of its row.
-func (s *Sender) second(ctx context.Context, first Member, op Op, wait time.Duration) Answer {
+// submitSecond sends an op to the next node of its row.
+func (s *Sender) submitSecond(ctx context.Context, first Member, op Op, wait time.Duration) Answer {
 	to, ok := s.pick(op.Row, first.ID)
 	if !ok {
-		return s.direct(ctx, op, wait)
+		return s.submitLocal(ctx, op, wait)
 	}
 	ans, known := s.send(ctx, to, op, wait)
 	switch {
 	case !known:
-		s.silent(to.ID)
+		s.missed(to.ID)
 	case ans.Result != batch.Unavailable:
 		s.answered(to.ID)
 	}
 	return ans
 }
 
-func (s *Sender) direct(ctx context.Context, op Op, wait time.Duration) Answer {
+func (s *Sender) submitLocal(ctx context.Context, op Op, wait time.Duration) Answer {
 	op.Wait = wait
-	return s.own.Submit(ctx, &op)
+	return s.batcher.Submit(ctx, &op)
 }
 
 // send sends an op to another node; known is false if its answer is lost.
@@ -125,37 +126,35 @@
 		return Answer{Result: batch.Unavailable, Code: ans.Code}, true
 	case ans.Result > batch.Full:
 		s.stats.sent("malformed")
-		return Answer{Result: batch.Ambiguous}, false // of a newer node: it may mean anything
+		return Answer{Result: batch.Ambiguous}, false // from a newer version, meaning unknown
 	}
 	s.stats.sent("answered")
 	return ans, true
 }
 
-// Second tries are paid for by ops that were answered.
-//
-// Symptom without: a second's outage of the platform is not over for many. Each
-// op that failed was tried by further nodes, these failed one another's
-// conditions, and so many writes kept the platform from answering the next ones.
+// A token bucket limits second tries; answered ops refill it. Without it a
+// platform outage of one second lasts much longer: other nodes retry each failed
+// op and fail each other's conditions, and the additional writes keep the platform
+// from answering the next ones.
 const (
-	earned    = 0.5 // of a second try, for an op that was answered
-	maxEarned = 3.0
+	tokensPerAnswer = 0.5 // tokens added per answered op; a second try costs 1
+	maxTokens       = 3.0 // capacity of the bucket
 )
 
 func (s *Sender) answered(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.purse = min(s.purse+earned, maxEarned)
+	s.retryTokens = min(s.retryTokens+tokensPerAnswer, maxTokens)
 	delete(s.misses, id)
 }
 
-// maxMisses is how many ops in a row a node may leave without an answer in time
-// before it is passed over. After one, a fleet that is short of processor time
-// for a moment would spread each row over several nodes, which fail one
-// another's writes.
+// maxMisses is the number of consecutive ops without a timely answer after which a
+// node is skipped. With 1, a fleet that is briefly short of CPU time would spread
+// each row over several nodes, which fail each other's writes.
 const maxMisses = 3
 
-// silent notes that a node did not answer in time.
-func (s *Sender) silent(id uint64) {
+// missed records that a node did not answer in time.
+func (s *Sender) missed(id uint64) {
 	s.mu.Lock()
 	if len(s.misses) < maxAvoided {
 		s.misses[id]++
@@ -166,22 +165,22 @@
 	}
 	s.mu.Unlock()
 	if over {
-		s.pass(id)
+		s.skip(id)
 	}
 }
 
-func (s *Sender) spend() bool {
+func (s *Sender) takeToken() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.purse < 1 {
+	if s.retryTokens < 1 {
 		return false
 	}
-	s.purse--
+	s.retryTokens--
 	return true
 }
 
-// pick returns the node that batches a row, passing over the one with an id that
-// has failed already; ok is false if that is the own one.
+// pick returns the node that batches a row, excluding the node that has already
+// failed; ok is false if the local Batcher is to be used.
 func (s *Sender) pick(row string, failed uint64) (m Member, ok bool) {
 	ms := s.members.Load()
 	if ms == nil {
@@ -197,28 +196,28 @@
 	return ms.all[i], true
 }
 
-// maxAvoided bounds the nodes that are passed over; there are more only where
-// nothing can be reached, and then it does not matter who is asked.
+// maxAvoided bounds the number of skipped nodes. More fail only if no node is
+// reachable, and then the choice of node does not matter.
 const maxAvoided = 256
 
-// pass notes that a node did not do its part.
-func (s *Sender) pass(id uint64) {
+// skip excludes a failed node for AvoidFor.
+func (s *Sender) skip(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.avoid) < maxAvoided {
-		s.avoid[id] = time.Now().Add(s.cfg.AvoidFor)
+	if len(s.avoidUntil) < maxAvoided {
+		s.avoidUntil[id] = time.Now().Add(s.cfg.AvoidFor)
 	}
 }
 
-// avoided returns the nodes that are passed over now, nil if there are none.
+// avoided returns the nodes that are currently skipped, nil if there are none.
 func (s *Sender) avoided() map[uint64]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids map[uint64]bool
 	now := time.Now()
-	for id, until := range s.avoid {
+	for id, until := range s.avoidUntil {
 		if now.After(until) {
-			delete(s.avoid, id)
+			delete(s.avoidUntil, id)
 			continue
 		}
 		if ids == nil {
@@ -229,8 +228,8 @@
 	return ids
 }
 
-// Serve answers another node's op.
-func (s *Sender) Serve(ctx context.Context, op *Op) Answer { return s.own.Submit(ctx, op) }
+// Serve executes an op from another node.
+func (s *Sender) Serve(ctx context.Context, op *Op) Answer { return s.batcher.Submit(ctx, op) }
 
-// Close stops the own Batcher, see Batcher.Close.
-func (s *Sender) Close(ctx context.Context) error { return s.own.Close(ctx) }
+// Close closes the local Batcher, see Batcher.Close.
+func (s *Sender) Close(ctx context.Context) error { return s.batcher.Close(ctx) }
--- a/internal/claims/shared/shared_test.go
+++ b/internal/claims/shared/shared_test.go
@@ -18,11 +18,10 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: a payout is paid twice, or its repeat is told that nothing ran.
-// Events: the caller sends it through three nodes at once, and again later. The
-// nodes agree on the members, or each knows only itself, so that all three batch
-// the row.
-// Cause: a batching node that trusts its memory of the row.
+// Guards against a second run, and against answering a repeat "not run", when a
+// batching node trusts its cached row. A caller uses three nodes concurrently and
+// again later; the nodes agree on the members, or each knows only itself, so that
+// all three batch the row.
 func TestSharedKeyRunsOnce(t *testing.T) {
 	for name, alone := range map[string]bool{"members agreed": false, "members seen differently": true} {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +41,7 @@
 				wg.Wait()
 				time.Sleep(time.Second)
 				for _, n := range f.nodes {
-					res := n.Do(t.Context(), again(req), tgt.pay)
+					res := n.Do(t.Context(), repeat(req), tgt.pay)
 					is.Equal(code(res), status.CodeAnswerNotKept)
 					is.Equal(res.Outcome.Kind, request.Completed)
 					is.Equal(res.Outcome.Sum, claim.Sum([]byte("paid")))
@@ -54,15 +53,13 @@
 	}
 }
 
-// Symptom: a payout is refused, or runs twice, when the node that batches its row
-// does not do its part.
-// Events: the batching node is unreachable; killed after its write; frozen, and
-// resumed after the call is over; refuses as it is stopping; has lost the
-// platform.
-// Cause: a lost answer between nodes taken for a written or a failed claim.
+// Guards against a refused request or a second run when a lost answer between
+// nodes is taken for a written or a failed claim. The batching node is unreachable,
+// killed after its write, paused until after the call, stopping, without the
+// platform, or of a newer version.
 func TestBatchingNodeFails(t *testing.T) {
-	type way = func(context.Context, int, func() Answer) (Answer, error)
-	for name, w := range map[string]way{
+	type transport = func(context.Context, int, func() Answer) (Answer, error)
+	for name, w := range map[string]transport{
 		"unreachable": func(context.Context, int, func() Answer) (Answer, error) { return Answer{}, errLost },
 		"killed between write and answer": func(_ context.Context, _ int, deliver func() Answer) (Answer, error) {
 			deliver()
@@ -92,8 +89,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f, tgt, req := newFleet(t, 3, DefaultConfig()), &target{}, payout()
-				batching, calling := f.other(req)
-				f.way = func(ctx context.Context, to int, deliver func() Answer) (Answer, error) {
+				batching, calling := f.batchingNode(req)
+				f.transport = func(ctx context.Context, to int, deliver func() Answer) (Answer, error) {
 					if to == batching {
 						return w(ctx, to, deliver)
 					}
@@ -104,7 +101,7 @@
 				is.True(time.Since(start) < 100*time.Millisecond+claims.DefaultConfig().Claim.ClaimWait)
 				time.Sleep(10 * time.Second)
 				for _, n := range f.nodes {
-					is.Equal(code(n.Do(t.Context(), again(req), tgt.pay)), status.CodeAnswerNotKept)
+					is.Equal(code(n.Do(t.Context(), repeat(req), tgt.pay)), status.CodeAnswerNotKept)
 				}
 				is.Equal(tgt.runs.Load(), int32(1))
 			})
@@ -112,26 +109,26 @@
 	}
 }
 
-// Random faults at the table and between nodes, under callers that repeat
-// through four nodes of which two see the members differently.
-func TestStormOverSharedRows(t *testing.T) {
+// Random faults at the table and between nodes, while callers repeat keys through
+// four nodes, two of which have different membership views.
+func TestRandomFaultsOverSharedRows(t *testing.T) {
 	const keys, repeats = 40, 10
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, DefaultConfig())
 		f.rows[2].SetMembers([]Member{{ID: 2, Addr: "2"}, {ID: 3, Addr: "3"}})
 		f.rows[3].SetMembers([]Member{{ID: 0, Addr: "0"}, {ID: 3, Addr: "3"}})
-		f.table.SetScript(faults(rand.New(rand.NewPCG(3, 4)), 0.2))
+		f.table.SetScript(randomFaults(rand.New(rand.NewPCG(3, 4)), 0.2))
 		rnd := rand.New(rand.NewPCG(5, 6))
 		var mu sync.Mutex
 		over := false
-		f.way = func(ctx context.Context, _ int, deliver func() Answer) (Answer, error) {
+		f.transport = func(ctx context.Context, _ int, deliver func() Answer) (Answer, error) {
 			mu.Lock()
-			fate, pause := rnd.IntN(8), time.Duration(rnd.IntN(400))*time.Millisecond
+			fault, pause := rnd.IntN(8), time.Duration(rnd.IntN(400))*time.Millisecond
 			if over {
-				fate = 7
+				fault = 7
 			}
 			mu.Unlock()
-			switch fate {
+			switch fault {
 			case 0:
 				return Answer{}, errLost
 			case 1:
@@ -154,7 +151,7 @@
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 				before := targets[i%keys].runs.Load()
-				res := f.nodes[i%4].Do(t.Context(), again(reqs[i%keys]), targets[i%keys].pay)
+				res := f.nodes[i%4].Do(t.Context(), repeat(reqs[i%keys]), targets[i%keys].pay)
 				if res.Outcome.Kind == request.Refused && before > 0 {
 					t.Errorf("key %d is told %s, not run", i%keys, code(res))
 				}
@@ -168,7 +165,7 @@
 		time.Sleep(2 * time.Minute)
 		for i := range targets {
 			ran := targets[i].runs.Load()
-			res := f.nodes[0].Do(t.Context(), again(reqs[i]), targets[i].pay)
+			res := f.nodes[0].Do(t.Context(), repeat(reqs[i]), targets[i].pay)
 			if ran > 1 || targets[i].runs.Load() != 1 || res.Outcome.Kind != request.Completed {
 				t.Errorf("key %d ran %d times in the storm and ends as %v %v", i, ran, res.Outcome.Kind, res.Err)
 			}
@@ -176,30 +173,28 @@
 	})
 }
 
-func TestPlatformDownIsToldTruthfully(t *testing.T) {
+func TestPlatformDownAnswersUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, tgt, req := newFleet(t, 3, DefaultConfig()), &target{}, payout()
-		_, calling := f.other(req)
+		_, calling := f.batchingNode(req)
 		is.Equal(code(f.nodes[calling].Do(t.Context(), req, tgt.pay)), status.Code(""))
 		time.Sleep(time.Second)
 		f.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.Unavailable })
-		res := f.nodes[calling].Do(t.Context(), again(req), tgt.pay)
+		res := f.nodes[calling].Do(t.Context(), repeat(req), tgt.pay)
 		is.Equal(code(res), status.CodePlatformDown)
 		is.Equal(res.Outcome.Kind, request.Unknown)
 		is.True(res.NotRunHere)
 		f.table.SetScript(nil)
-		is.Equal(code(f.nodes[calling].Do(t.Context(), again(req), tgt.pay)), status.CodeAnswerNotKept)
+		is.Equal(code(f.nodes[calling].Do(t.Context(), repeat(req), tgt.pay)), status.CodeAnswerNotKept)
 		is.Equal(tgt.runs.Load(), int32(1))
 	})
 }
 
-// Symptom: outcomes are lost when a batching node is stopped, or its stop takes
-// longer than its grace.
-// Events: it holds an outcome back for others; it is told to stop, while the
-// platform answers, or no longer does.
-// Cause: ops that wait in memory forgotten by shutdown.
-func TestStopDrainsWhatWaits(t *testing.T) {
+// Guards against losing queued outcomes when a batching node stops, and against a
+// stop that exceeds its grace period. The node stops while it delays an outcome
+// for batching, with the platform available or not.
+func TestCloseDrainsQueuedOps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, DefaultConfig())
@@ -207,13 +202,13 @@
 			return &Op{Row: row, Key: "0123456789abcdef", Token: "t", Lazy: true, Wait: time.Second}
 		}
 		got := make(chan Answer, 2)
-		r, idle := f.rows[0], newBatcher(slow{f.table, nil, nil}, f.rows[0].layouts.pool, DefaultConfig(), f.rows[0].stats)
+		r, idle := f.rows[0], newBatcher(slowTable{f.table, nil, nil}, f.rows[0].layouts.pool, DefaultConfig(), f.rows[0].stats)
 		go func() { got <- r.Serve(t.Context(), lazy("a")) }()
 		synctest.Wait()
 		start := time.Now()
 		is.NoErr(r.Close(t.Context()))
 		is.Equal(<-got, Answer{Result: batch.OK})
-		is.Equal(time.Since(start), 4*latency) // a read, as the row is old, and the write
+		is.Equal(time.Since(start), 4*latency) // a read, because the row is old, and the write
 		is.Equal(r.Serve(t.Context(), lazy("a")), Answer{Code: status.CodeDraining})
 
 		stuck, cancel := context.WithTimeout(t.Context(), time.Millisecond)
@@ -225,15 +220,15 @@
 	})
 }
 
-func TestBatcherRefusesWhatExceedsItsBounds(t *testing.T) {
+func TestBatcherEnforcesBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := DefaultConfig()
 		cfg.MaxOps, cfg.MaxRows = 2, 1
-		cfg.Batch.MaxRow = 700 // two claims
+		cfg.Batch.MaxRow = 700 // room for two claims
 		f := newFleet(t, 1, cfg)
 		op := func(row, key string) *Op {
-			return &Op{Row: row, Start: wall(), Key: key + "23456789abcdef", Token: "t", Wait: time.Second}
+			return &Op{Row: row, Start: wallNow(), Key: key + "23456789abcdef", Token: "t", Wait: time.Second}
 		}
 		large := op("a", "01")
 		large.Value = make([]byte, cfg.Batch.Reserve+1)
@@ -248,32 +243,32 @@
 		wg.Wait()
 		is.Equal(f.rows[0].Serve(t.Context(), op("a", "04")), Answer{Result: batch.Full})
 		time.Sleep(time.Minute)
-		is.Equal(f.rows[0].Serve(t.Context(), op("b", "01")), Answer{Result: batch.OK}) // forgot the idle row
+		is.Equal(f.rows[0].Serve(t.Context(), op("b", "01")), Answer{Result: batch.OK}) // the idle row was evicted
 	})
 }
 
-func TestOutcomesFitInTheRoomReserved(t *testing.T) {
+func TestOutcomesFitReservedSpace(t *testing.T) {
 	is := is.New(t)
 	long := make([]byte, 200)
 	row := claim.Row{
-		Version: 1 << 40, State: claim.Done, Since: wall(), Until: wall(), Expires: wall(),
+		Version: 1 << 40, State: claim.Done, Since: wallNow(), Until: wallNow(), Expires: wallNow(),
 		Outcome: claim.Outcome{
 			Kind: request.Failed, Code: status.CodeSuspect, Status: 599, ContentType: string(long),
 			Body: string(long), Size: 1 << 60, Kept: true,
 		},
 	}
-	value, err := bare(row).Encode()
+	value, err := withoutBody(row).Encode()
 	is.NoErr(err)
 	is.True(len(value) <= DefaultConfig().Batch.Reserve)
 	id := "0191d7a2-3c4d-7e5f-8a9b-0c1d2e3f4a5b"
-	is.Equal(len(pack(id)), 16)
-	is.Equal(unpack(pack(id)), id)
-	is.Equal(unpack(pack("not an id")), "not an id")
+	is.Equal(len(packToken(id)), 16)
+	is.Equal(unpackToken(packToken(id)), id)
+	is.Equal(unpackToken(packToken("not an id")), "not an id")
 }
 
-// The writes that 300 calls a second cost a fleet of ten, where each alone costs
-// two.
-func TestWritesOfManyCalls(t *testing.T) {
+// Batching must reduce the writes of 300 calls per second on ten nodes; without it
+// each call costs two writes.
+func TestBatchingReducesWrites(t *testing.T) {
 	const calls = 600
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 10, DefaultConfig())
--- a/internal/claims/shared/stats.go
+++ b/internal/claims/shared/stats.go
@@ -14,12 +14,12 @@
 	s.scope.Tagged(map[string]string{"op": op, "result": result}).Counter("batch_table_ops").Inc(1)
 }
 
-// sent counts an op that went to another node, by how it was answered.
+// sent counts an op sent to another node, by its answer.
 func (s stats) sent(result string) {
 	s.scope.Tagged(map[string]string{"result": result}).Counter("batch_sent").Inc(1)
 }
 
-// refused counts an op that the node's Batcher did not take.
+// refused counts an op that the node's Batcher refused.
 func (s stats) refused(code status.Code) {
 	s.scope.Tagged(map[string]string{"result": string(code)}).Counter("batch_refused").Inc(1)
 }
