--- a/internal/core/claim/batch/batch_test.go
+++ b/internal/core/claim/batch/batch_test.go
@@ -192,12 +192,12 @@
 		}
 		// An entry replaced by a later op of the same batch never appears in a
 		// stored row, so a missing entry is an error only if no newer one exists.
-		written := r.store.written[entryName(op.Key, op.Entry)]
+		found := r.store.written[entryName(op.Key, op.Entry)]
 		now := r.store.rows["row"].Entries[op.Key]
 		switch {
-		case rep.Result == OK && !written && now.Version <= op.Entry.Version:
+		case rep.Result == OK && !found && now.Version <= op.Entry.Version:
 			r.t.Fatalf("%+v returned OK, but the row has %+v", op, now)
-		case rep.Result != OK && rep.Result != Ambiguous && written:
+		case rep.Result != OK && rep.Result != Ambiguous && found:
 			r.t.Fatalf("%+v returned %d, but was written", op, rep.Result)
 		}
 	}
