--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -6,13 +6,13 @@
 	"peardrift/internal/core/member"
 )
 
-func (n *Node) sharedRows() *shared.Rows {
+func (n *Node) newClaimRows() *shared.Rows {
 	n.claimPeers = rpc.NewClaimPeers(rpc.DefaultConfig())
 	return shared.New(n.table, n.claimPeers, uint64(n.self.ID), n.pool, shared.DefaultConfig(), n.metrics.Scope())
 }
 
-// setBatchers takes in who may batch claims. A node that leaves may not: it would
-// hand back what it is sent.
+// setBatchers sets the nodes that may batch claims. A leaving node is excluded because
+// it would return the claims sent to it.
 func (n *Node) setBatchers(v *member.View) {
 	var ms []shared.Member
 	v.All(func(m member.Member) bool {
--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// uptime returns a steady clock that counts the time for which the machine was
-// suspended, unlike the one of package time.
+// uptime returns a monotonic clock that, unlike package time's, includes the time for
+// which the machine was suspended.
 func uptime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Since(processStart) // a kernel without it
+		return time.Since(processStart) // the kernel lacks CLOCK_BOOTTIME
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -23,7 +23,7 @@
 type control struct {
 	log     *zap.Logger
 	self    dataplane.Self
-	node    *Node // for its gauges
+	node    *Node // used for its gauges
 	engine  *dataplane.Engine
 	epoch   time.Time
 	events  chan func()
@@ -31,45 +31,45 @@
 	state   *member.State
 	carrier *rpc.Carrier
 	meter   *rpc.Meter
-	conf    *configuration
-	limits  *limits
+	config  *configManager
+	limiter *limiter
 
-	gen      uint64
-	ticked   time.Duration // when tick last ran
-	shown    shown
-	seen     map[request.TargetID]sighting
-	whole    bool // the members were all known once
-	targetUp bool
-	target   *lifetime.Tracker
-	leaving  bool
-	retiring bool // the node will stop, and takes calls until then
-	overload overload
+	viewGen         uint64
+	lastTick        time.Duration // time of the last tick
+	published       viewInputs
+	incarnations    map[request.TargetID]firstSeen
+	membersComplete bool // the member list has been complete at some time
+	targetUp        bool
+	targetLifetime  *lifetime.Tracker
+	leaving         bool
+	retiring        bool // the node is about to stop and still takes calls
+	overload        overloadDetector
 }
 
-// shown is what the last published view was made of.
-type shown struct {
-	members *member.View
-	index   *confset.Index
-	whole   bool // members are all that there are
-	ready   bool
-	up      bool // the target takes calls
-	leaving bool
-	retires bool // the node will stop
+// viewInputs are the values that a published view is built from.
+type viewInputs struct {
+	members  *member.View
+	index    *confset.Index
+	complete bool // the member list is complete
+	ready    bool
+	targetUp bool // the target accepts calls
+	leaving  bool
+	retiring bool // the node is about to stop
 }
 
-// sighting is when a target's incarnation was first seen.
-type sighting struct {
+// firstSeen records when a target's incarnation was first seen.
+type firstSeen struct {
 	incarnation uint32
 	since       time.Duration
 }
 
-// eventQueue is how many events may wait for the control goroutine. Posting
+// eventQueueLength is the capacity of the control goroutine's event queue. Posting
 // blocks when it is full; only control traffic posts.
-const eventQueue = 256
+const eventQueueLength = 256
 
 func (c *control) now() time.Duration { return time.Since(c.epoch) }
 
-// post runs f on the control goroutine, later.
+// post queues f to run on the control goroutine.
 func (c *control) post(f func()) {
 	select {
 	case c.events <- f:
@@ -77,7 +77,7 @@
 	}
 }
 
-// ask runs f on the control goroutine and waits for it; false once the
+// ask runs f on the control goroutine and waits for it. It returns false if the
 // goroutine has ended.
 func (c *control) ask(f func()) bool {
 	ran := make(chan struct{})
@@ -94,10 +94,10 @@
 }
 
 // loop runs until ctx ends.
-func (c *control) loop(ctx context.Context, every time.Duration) {
+func (c *control) loop(ctx context.Context, interval time.Duration) {
 	defer close(c.done)
-	c.conf.watch.tick()
-	tick := time.NewTimer(cadence.Until(time.Now(), 0, every))
+	c.config.watch.tick()
+	tick := time.NewTimer(cadence.Until(time.Now(), 0, interval))
 	defer tick.Stop()
 	for {
 		select {
@@ -107,119 +107,119 @@
 			f()
 		case <-tick.C:
 			c.tick()
-			tick.Reset(cadence.Until(time.Now(), every/2, every))
+			tick.Reset(cadence.Until(time.Now(), interval/2, interval))
 		}
 	}
 }
 
-// stillAfter is the time without a tick that is told: five ticks' time. Lower tells
-// of a processor that is merely busy, higher of less that explains something.
-const stillAfter = time.Second
+// stallThreshold is the time without a tick that is logged as a stall: five tick
+// intervals. A lower value reports a processor that is merely busy; a higher one hides
+// stalls that explain other failures.
+const stallThreshold = time.Second
 
-// logStill tells that nothing ran here for a while. To the logs alone, a process
-// that was frozen looks like one that had nothing to say, and what it missed
-// meanwhile like something that went wrong afterwards.
-func (c *control) logStill(now time.Duration) {
-	if still := now - c.ticked; c.ticked > 0 && still > stillAfter {
-		c.log.Warn("stood still", zap.Duration("for", still))
+// logStall logs that the control goroutine did not run for a while. Without the line, a
+// frozen process looks idle in the logs, and the events it missed look like later faults.
+func (c *control) logStall(now time.Duration) {
+	if stall := now - c.lastTick; c.lastTick > 0 && stall > stallThreshold {
+		c.log.Warn("stood still", zap.Duration("for", stall))
 	}
-	c.ticked = now
+	c.lastTick = now
 }
 
 func (c *control) tick() {
-	c.logStill(c.now())
+	c.logStall(c.now())
 	spent := c.meter.Take()
 	c.node.metrics.Counters.ControlBytes.Inc(int64(spent))
 	c.state.Spend(spent)
 	c.carrier.Do(c.state.Tick(c.now()))
-	c.conf.learn(c.state)
-	c.conf.tick()
-	c.engine.SetBehind(c.conf.watch.behind())
+	c.config.learnGossiped(c.state)
+	c.config.tick()
+	c.engine.SetBehind(c.config.watch.isStale())
 	c.publish()
-	c.limits.tick()
-	c.node.gauge(c)
-	c.node.tellConnections()
+	c.limiter.tick()
+	c.node.updateGauges(c)
+	c.node.logRejectedConnections()
 }
 
-// publish gives traffic a new view if anything in it changed.
+// publish hands the data plane a new view if any of its inputs changed.
 func (c *control) publish() {
-	next := shown{
-		members: c.state.Snapshot(),
-		index:   c.conf.index(),
-		whole:   c.state.Complete(),
-		ready:   c.judges(),
-		up:      c.targetUp,
-		leaving: c.leaving,
-		retires: c.retiring,
+	next := viewInputs{
+		members:  c.state.Snapshot(),
+		index:    c.config.index(),
+		complete: c.state.Complete(),
+		ready:    c.canRoute(),
+		targetUp: c.targetUp,
+		leaving:  c.leaving,
+		retiring: c.retiring,
 	}
-	if next == c.shown {
+	if next == c.published {
 		return
 	}
-	if next.members != c.shown.members {
-		c.sight(next.members)
-		c.node.gaugeMembers(next.members)
+	if next.members != c.published.members {
+		c.recordIncarnations(next.members)
+		c.node.updateMemberGauges(next.members)
 		c.node.setBatchers(next.members)
-		c.limits.setMembers(next.members)
+		c.limiter.setMembers(next.members)
 	}
-	if next.members != c.shown.members || next.whole != c.shown.whole {
-		c.conf.setPeers(next.members, c.self.Place.Region, next.whole)
+	if next.members != c.published.members || next.complete != c.published.complete {
+		c.config.setPeers(next.members, c.self.Place.Region, next.complete)
 	}
-	if next.whole && !c.shown.whole {
-		_ = c.node.pool.Submit(c.node.recall)
+	if next.complete && !c.published.complete {
+		_ = c.node.pool.Submit(c.node.fetchSuspects)
 	}
-	if next.index != c.shown.index {
-		c.node.metrics.Configure(classes(next.index))
+	if next.index != c.published.index {
+		c.node.metrics.Configure(metricLabels(next.index))
 	}
-	before := c.shown
-	c.shown = next
-	c.gen++
+	before := c.published
+	c.published = next
+	c.viewGen++
 	c.engine.Publish(c.view(next))
 	c.logReady(before)
 }
 
-func (c *control) view(s shown) *dataplane.View {
-	seen := c.seen
+func (c *control) view(s viewInputs) *dataplane.View {
+	seen := c.incarnations
 	return &dataplane.View{
-		Gen:      c.gen,
+		Gen:      c.viewGen,
 		Index:    s.index,
 		Ready:    s.ready,
-		TargetUp: s.up,
+		TargetUp: s.targetUp,
 		Leaving:  s.leaving,
-		Nodes:    count(s.members),
+		Nodes:    countActive(s.members),
 		Peers: func(svc request.Service) []dataplane.Peer {
 			info, ok := s.index.Service(svc)
 			if !ok {
 				return nil
 			}
-			return peers(s.members.Members(svc), info, seen)
+			return routePeers(s.members.Members(svc), info, seen)
 		},
-		Callers: func(svc request.Service) int { return callers(s, svc) },
+		Callers: func(svc request.Service) int { return countCallers(s, svc) },
 	}
 }
 
-// sight notes new incarnations, so that they get their full share of calls only
-// after a while: a target that has just started is cold. The map is replaced,
-// not changed, as traffic reads it.
-func (c *control) sight(v *member.View) {
-	next := make(map[request.TargetID]sighting, len(c.seen))
-	first := c.seen == nil || !c.state.Complete()
+// recordIncarnations records when new incarnations appear, so that their share of calls
+// ramps up: a target that has just started is cold. The map is replaced rather than
+// modified because the data plane reads it concurrently.
+func (c *control) recordIncarnations(v *member.View) {
+	updated := make(map[request.TargetID]firstSeen, len(c.incarnations))
+	joining := c.incarnations == nil || !c.state.Complete()
 	v.All(func(m member.Member) bool {
-		s, ok := c.seen[m.ID]
+		s, ok := c.incarnations[m.ID]
 		if !ok || s.incarnation != m.Record.Incarnation {
-			s = sighting{incarnation: m.Record.Incarnation}
-			if !first {
+			s = firstSeen{incarnation: m.Record.Incarnation}
+			if !joining {
 				s.since = c.now()
 			}
 		}
-		next[m.ID] = s
+		updated[m.ID] = s
 		return true
 	})
-	c.seen = next
+	c.incarnations = updated
 }
 
-// peers describes a service's targets to routing. Slots and connections are the
-// configuration's where a target's own settings name none.
-func peers(ms []member.Member, info *confset.ServiceInfo, seen map[request.TargetID]sighting) []dataplane.Peer {
+// routePeers converts a service's members to routing targets. Slots and connections
+// default to the configuration's where a target's own settings have none.
+func routePeers(ms []member.Member, info *confset.ServiceInfo, seen map[request.TargetID]firstSeen) []dataplane.Peer {
 	out := make([]dataplane.Peer, 0, len(ms))
 	for _, m := range ms {
 		if m.Status == member.Dead {
@@ -240,8 +240,8 @@
 	return out
 }
 
-// count returns the nodes that take part.
-func count(v *member.View) int {
+// countActive returns the number of nodes that are alive or suspect.
+func countActive(v *member.View) int {
 	n := 0
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive || m.Status == member.Suspect {
@@ -252,8 +252,8 @@
 	return n
 }
 
-// callers counts the nodes whose services call svc.
-func callers(s shown, svc request.Service) int {
+// countCallers returns the number of nodes whose services call svc.
+func countCallers(s viewInputs, svc request.Service) int {
 	n := 0
 	for _, name := range s.index.Services() {
 		info, _ := s.index.Service(name)
@@ -264,7 +264,7 @@
 	return n
 }
 
-// exchange answers another node's membership message; called from the control
+// exchange answers another node's membership message. It is called on the control
 // server's goroutines.
 func (c *control) exchange(m *member.Message) *member.Message {
 	var reply *member.Message
@@ -272,8 +272,8 @@
 	return reply
 }
 
-// setTarget takes in whether the target takes calls.
-func (c *control) setTarget(up bool) {
+// setTargetUp records whether the target accepts calls.
+func (c *control) setTargetUp(up bool) {
 	if c.targetUp == up {
 		return
 	}
@@ -281,27 +281,27 @@
 	c.publish()
 }
 
-// targetDied takes in that the own target died: no calls until it is healthy.
-func (c *control) targetDied() {
-	if c.node.outside == nil {
-		c.setTarget(false)
+// handleTargetDeath stops calls to the own target until its health check succeeds.
+func (c *control) handleTargetDeath() {
+	if c.node.integration == nil {
+		c.setTargetUp(false)
 	}
 }
 
-// depart tells the neighbours that the node is gone.
-func (c *control) depart() {
+// announceDeparture tells peers that the node is gone.
+func (c *control) announceDeparture() {
 	c.state.Depart(c.now())
 	c.carrier.Do(c.state.Tick(c.now()))
 }
 
-// retire lets the node be not ready, so that whoever sends it callers stops.
+// retire reports the node as not ready, so that load balancers stop sending callers.
 func (c *control) retire() {
 	c.retiring = true
-	c.limits.retire()
+	c.limiter.releaseLeases()
 	c.publish()
 }
 
-// leave announces that the target takes no new work, for this incarnation.
+// leave announces that the target accepts no new work in this incarnation.
 func (c *control) leave() {
 	if c.leaving {
 		return
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -10,68 +10,67 @@
 	"peardrift/internal/settings"
 )
 
-// health asks the own target whether it takes calls.
+// healthChecker checks whether the own target accepts calls.
 //
-// The endpoint lags and lies, so its word alone changes little: calls that fail
-// tell their callers sooner. It decides only whether the node takes calls at
-// all: at the start, when nobody has called yet, and for a target that drains
-// or has died.
-type health struct {
-	set    settings.Target
-	client dataplane.Transport
-	report func(up bool)
-	shed   chan struct{} // the target has just turned a call away; room for one
+// A health endpoint lags and may be wrong, and failing calls tell their callers sooner.
+// The checks therefore only decide whether the node accepts calls at all: at the start,
+// before any call, and when the target drains or has died.
+type healthChecker struct {
+	cfg       settings.Target
+	client    dataplane.Transport
+	report    func(up bool)
+	shedHints chan struct{} // signals that the target rejected a call; buffer of one
 }
 
-func newHealth(set settings.Target, client dataplane.Transport, report func(up bool)) *health {
-	return &health{set: set, client: client, report: report, shed: make(chan struct{}, 1)}
+func newHealthChecker(set settings.Target, client dataplane.Transport, report func(up bool)) *healthChecker {
+	return &healthChecker{cfg: set, client: client, report: report, shedHints: make(chan struct{}, 1)}
 }
 
-// downAfter is how many checks must fail in a row before the target counts as
-// down, so that one that is merely slow to answer under load isn't taken out.
-const downAfter = 3
+// failuresBeforeDown is the number of consecutive failed checks after which the target
+// counts as down, so that a target that is merely slow under load isn't taken out.
+const failuresBeforeDown = 3
 
-// shedPause is the least time between checks that calls turned away bring about:
-// an overloaded target sheds hundreds a second.
-const shedPause = 100 * time.Millisecond
+// minHintInterval is the minimum time between checks that rejected calls trigger: an
+// overloaded target rejects hundreds of calls per second.
+const minHintInterval = 100 * time.Millisecond
 
-// verdict is what one check says.
-type verdict int
+// checkResult is the result of one check.
+type checkResult int
 
 const (
-	healthy verdict = iota
-	silent          // no answer, or not in time
-	refuses         // the endpoint itself says that the target takes no calls
+	healthy     checkResult = iota
+	unreachable             // no answer, or none in time
+	unhealthy               // the endpoint reports that the target accepts no calls
 )
 
-// hint makes a check due soon. Called from traffic goroutines; it never blocks.
-func (h *health) hint() {
+// requestCheck schedules a check soon. Traffic goroutines call it; it never blocks.
+func (h *healthChecker) requestCheck() {
 	select {
-	case h.shed <- struct{}{}:
+	case h.shedHints <- struct{}{}:
 	default:
 	}
 }
 
 // run checks until ctx ends.
 //
-// A target that drains turns calls away, and its endpoint says so as well. With
-// the endpoint alone, which may lie for a moment, such a target would get calls
-// and fail them until three checks have failed; with the calls alone, one that is
-// overloaded would be taken out. Both together are enough at once.
-func (h *health) run(ctx context.Context) {
-	tick := time.NewTicker(h.set.HealthPeriod)
+// A draining target rejects calls, and its endpoint reports unhealthy. The endpoint alone
+// may be wrong for a moment, so waiting for three failed checks would send a draining
+// target calls that fail; rejected calls alone would take out an overloaded target. Both
+// signals together mark the target down at once.
+func (h *healthChecker) run(ctx context.Context) {
+	tick := time.NewTicker(h.cfg.HealthPeriod)
 	defer tick.Stop()
 	for failed, due, hinted := 0, true, false; ; {
 		switch v := h.check(ctx); {
 		case v == healthy:
 			failed = 0
 			h.report(true)
-		case hinted && v == refuses:
-			failed = downAfter
+		case hinted && v == unhealthy:
+			failed = failuresBeforeDown
 		case due:
 			failed++
 		}
-		if failed >= downAfter {
+		if failed >= failuresBeforeDown {
 			h.report(false)
 		}
 		checked := time.Now()
@@ -81,19 +80,19 @@
 			return
 		case <-tick.C:
 			due = true
-		case <-h.shed:
+		case <-h.shedHints:
 			hinted = true
-			if !wait(ctx, shedPause-time.Since(checked)) {
+			if !sleep(ctx, minHintInterval-time.Since(checked)) {
 				return
 			}
-			due = ready(tick.C)
+			due = tickPending(tick.C)
 		}
 	}
 }
 
-// ready takes a tick that has come. A target that sheds always has hints, and a select
-// between both would put the periodic check off at random.
-func ready(tick <-chan time.Time) bool {
+// tickPending consumes a tick that is already pending. A target that sheds load always has
+// hints pending, and a select between the two would delay the periodic check at random.
+func tickPending(tick <-chan time.Time) bool {
 	select {
 	case <-tick:
 		return true
@@ -102,34 +101,33 @@
 	}
 }
 
-// firstHealthError is the least status by which a target says that it takes no
-// calls.
-const firstHealthError = 500
+// minUnhealthyStatus is the lowest HTTP status that reports an unhealthy target.
+const minUnhealthyStatus = 500
 
-func (h *health) check(ctx context.Context) verdict {
-	if h.set.HealthPath == "" {
-		if h.client.Reachable(h.set.Address) {
+func (h *healthChecker) check(ctx context.Context) checkResult {
+	if h.cfg.HealthPath == "" {
+		if h.client.Reachable(h.cfg.Address) {
 			return healthy
 		}
-		return silent
+		return unreachable
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.set.HealthPeriod)
+	ctx, cancel := context.WithTimeout(ctx, h.cfg.HealthPeriod)
 	defer cancel()
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
 	req.Header.SetMethod("GET")
-	req.Header.SetRequestURI(h.set.HealthPath)
-	req.Header.SetHost(h.set.Address)
-	res, err := h.client.Do(ctx, h.set.Address, req, resp)
+	req.Header.SetRequestURI(h.cfg.HealthPath)
+	req.Header.SetHost(h.cfg.Address)
+	res, err := h.client.Do(ctx, h.cfg.Address, req, resp)
 	if err != nil {
-		return silent
+		return unreachable
 	}
 	if res.Stream != nil {
 		_ = res.Stream.Close()
 	}
-	if resp.StatusCode() >= firstHealthError {
-		return refuses
+	if resp.StatusCode() >= minUnhealthyStatus {
+		return unhealthy
 	}
 	return healthy
 }
--- /dev/null
+++ b/internal/node/integration.go
@@ -0,0 +1,96 @@
+package node
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"peardrift/internal/adapter/hertzhttp"
+	"peardrift/internal/adapter/zaplog"
+	"peardrift/internal/core/lifetime"
+	"peardrift/internal/core/ratelimit"
+	"peardrift/internal/dataplane"
+	"peardrift/internal/port"
+	"peardrift/internal/wire"
+)
+
+// Outside adapts a node to an environment that doesn't use the project's default
+// interfaces: the dialect of callers and targets, the platform's storage of rows and
+// accepted sets, and targets that announce themselves.
+type Outside struct {
+	Dialect wire.Dialect
+	Table   Table
+	Sets    port.WatchedSets
+	// InForceIn is the time within which an accepted set must be in force at every
+	// node; 0 selects the default, 3 s.
+	InForceIn time.Duration
+	// Reports returns the handler for the own target's reports. take returns nil once a
+	// report has been applied, so that it may be acknowledged; refused is called with
+	// the reason for which a report is invalid.
+	Reports func(take func(port.Report) error, refused func(error)) hertzhttp.Handler
+	// Bootstrap reports that the whole fleet starts for the first time.
+	Bootstrap bool
+	// RetryBudget is the number of retries that all nodes together may send to one
+	// service in RetryWindow, in addition to a fraction of its requests.
+	RetryBudget float64
+	RetryWindow time.Duration
+	// Limits are the bounds that the fleet must keep when it enforces organisations'
+	// rate limits.
+	Limits ratelimit.Terms
+}
+
+// Table is the platform's table with a Close method.
+type Table interface {
+	port.Table
+	Close()
+}
+
+// handleReport applies a report of the own target. The report is in force when it returns
+// nil.
+func (n *Node) handleReport(r port.Report) error {
+	if err := lifetime.Check(r, n.self.Service, time.Now()); err != nil {
+		n.logRefusedReport(err)
+		return err
+	}
+	if !n.control.ask(func() { n.control.handleReport(r) }) {
+		return errStopping
+	}
+	return nil
+}
+
+// logRefusedReport logs a report that was rejected.
+func (n *Node) logRefusedReport(err error) { n.log.Warn("report refused", zaplog.Failure(err)) }
+
+// handleOtherInstance records that another instance answers at the target's address.
+func (n *Node) handleOtherInstance(instance string) {
+	_ = n.pool.Submit(func() {
+		n.control.ask(func() { n.control.handleOtherInstance(instance) })
+	})
+}
+
+func (c *control) handleReport(r port.Report) {
+	before := c.targetLifetime.State()
+	c.applyLifetime(before, c.targetLifetime.Report(r), "report")
+}
+
+func (c *control) handleOtherInstance(instance string) {
+	before := c.targetLifetime.State()
+	c.applyLifetime(before, c.targetLifetime.Answered(instance), "answer")
+}
+
+// applyLifetime applies the target's lifetime state. It announces a new lifetime to the
+// other nodes as a new incarnation: their measurements of the previous one, and that it
+// was leaving, don't apply to this one.
+func (c *control) applyLifetime(previous, current lifetime.State, by string) {
+	if previous.Instance == current.Instance && previous.Born == current.Born && previous.Takes == current.Takes && previous.Slots == current.Slots {
+		return
+	}
+	c.engine.SetLifetime(dataplane.Lifetime{Instance: current.Instance, Born: current.Born, Slots: current.Slots, Takes: current.Takes})
+	c.log.Info("target", zap.String("instance", current.Instance), zap.Int64("born", current.Born), zap.Bool("takes", current.Takes),
+		zap.Int("slots", current.Slots), zap.Duration("cold", current.Cold), zap.String("by", by))
+	if current.Takes {
+		rec := c.node.record()
+		rec.Slots = uint32(current.Slots)
+		c.state.Update(c.now(), rec)
+	}
+}
--- a/internal/node/limitrows.go
+++ b/internal/node/limitrows.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	// rowLimit bounds a call of the table.
-	rowLimit = time.Second
-	// peerRowLimit bounds one that another node makes.
-	peerRowLimit = 1500 * time.Millisecond
-	// besideFor is for how long the table is called by another node after it has
-	// turned this one away.
-	besideFor = 5 * time.Second
-	// holderEvery is the time between looks whether a holder's process has ended.
-	holderEvery = time.Second
-	// holderLimit bounds a look.
-	holderLimit = 300 * time.Millisecond
+	// rowTimeout bounds a table call.
+	rowTimeout = time.Second
+	// peerRowTimeout bounds a table call made through another node.
+	peerRowTimeout = 1500 * time.Millisecond
+	// proxyDuration is how long table calls go through another node after the table
+	// was unreachable from this one.
+	proxyDuration = 5 * time.Second
+	// holderProbeInterval is the minimum time between probes for an ended lease holder.
+	holderProbeInterval = time.Second
+	// holderProbeTimeout bounds a probe.
+	holderProbeTimeout = 300 * time.Millisecond
 )
 
 const methodRow = limitsName + ".Row"
 
-// limitRows begins the keys of the rows that name how limits are divided.
-const limitRows = "limits/"
+// limitRowPrefix is the key prefix of the rows that hold the leases of rate limit shards.
+const limitRowPrefix = "limits/"
 
-// limitRow returns the key of a shard's row.
-func limitRow(shards, n int) string { return fmt.Sprintf("%s%d/%d", limitRows, shards, n) }
+// limitRowKey returns the key of a shard's row.
+func limitRowKey(shards, n int) string { return fmt.Sprintf("%s%d/%d", limitRowPrefix, shards, n) }
 
-// RowArgs asks a node to call the table.
+// RowArgs asks a node to make a table call.
 type RowArgs struct {
-	Write bool     // do Put; otherwise read Key
-	Put   port.Put // with Write
-	Key   string   // without Write
+	Write bool     // execute Put; otherwise read Key
+	Put   port.Put // if Write
+	Key   string   // if not Write
 }
 
-// key returns that of the row which is read or written.
+// key returns the key of the row that is read or written.
 func (a *RowArgs) key() string {
 	if a.Write {
 		return a.Put.Item.Key
@@ -57,54 +57,54 @@
 	return a.Key
 }
 
-// RowReply answers it.
+// RowReply is the reply to RowArgs.
 type RowReply struct {
 	Item port.Item
-	Code status.Code // of the failure; empty: none
+	Code status.Code // code of the failure; empty on success
 }
 
-// rows calls the platform's table, through another node where the table turns this one
-// away: a node that divides limits would lose its lease otherwise, though most of the
-// fleet can reach the table.
-type rows struct {
-	table port.Table
-	call  func(ctx context.Context, addr string, in *RowArgs, out *RowReply) error
-	peers func() []string // control addresses of other nodes
-	away  func() bool     // the table turned this node away lately
-	// markAway has away report true for a while.
-	markAway func()
+// rowClient calls the platform's table, through another node while the table is
+// unreachable from this one. Otherwise a lease holder would lose its lease although most
+// of the fleet can reach the table.
+type rowClient struct {
+	table            port.Table
+	call             func(ctx context.Context, addr string, in *RowArgs, out *RowReply) error
+	peers            func() []string // control addresses of the other nodes
+	tableUnreachable func() bool     // a recent call from this node failed
+	// markUnreachable makes tableUnreachable report true for a while.
+	markUnreachable func()
 }
 
-// do makes a call here or, failing that, through another node.
-func (r *rows) do(in RowArgs) (port.Item, error) {
-	if !r.away() {
-		it, err := r.here(in)
+// do makes a table call directly or, if the table is unreachable, through another node.
+func (r *rowClient) do(in RowArgs) (port.Item, error) {
+	if !r.tableUnreachable() {
+		it, err := r.callTable(in)
 		if !errors.Is(err, port.ErrUnavailable) && !errors.Is(err, port.ErrAmbiguous) {
 			return it, err
 		}
-		r.markAway()
+		r.markUnreachable()
 		if in.Write && errors.Is(err, port.ErrAmbiguous) {
-			return it, err // it may have been done; reading tells
+			return it, err // the write may have been applied; a later read tells
 		}
 	}
 	peers := r.peers()
 	if len(peers) == 0 {
-		return r.here(in)
+		return r.callTable(in)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), peerRowLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), peerRowTimeout)
 	defer cancel()
 	var out RowReply
 	if err := r.call(ctx, peers[rand.IntN(len(peers))], &in, &out); err != nil {
-		return port.Item{}, status.Wrap(port.ErrAmbiguous.Code, err, "another node's call of the table")
+		return port.Item{}, status.Wrap(port.ErrAmbiguous.Code, err, "table call through another node")
 	}
 	if out.Code != "" {
-		return port.Item{}, status.New(out.Code, "another node's call of the table failed")
+		return port.Item{}, status.New(out.Code, "table call through another node failed")
 	}
 	return out.Item, nil
 }
 
-func (r *rows) here(in RowArgs) (port.Item, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), rowLimit)
+func (r *rowClient) callTable(in RowArgs) (port.Item, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), rowTimeout)
 	defer cancel()
 	if in.Write {
 		return port.Item{}, r.table.Put(ctx, in.Put)
@@ -112,20 +112,20 @@
 	return r.table.Get(ctx, in.Key)
 }
 
-// serve makes a call for another node, of rows of limits alone.
-func (r *rows) serve(in *RowArgs) RowReply {
-	if !strings.HasPrefix(in.key(), limitRows) {
+// serve makes a table call for another node, restricted to the rows of rate limits.
+func (r *rowClient) serve(in *RowArgs) RowReply {
+	if !strings.HasPrefix(in.key(), limitRowPrefix) {
 		return RowReply{Code: status.CodeRowNotServed}
 	}
-	it, err := r.here(*in)
+	it, err := r.callTable(*in)
 	if err != nil {
 		return RowReply{Code: status.CodeOf(err)}
 	}
 	return RowReply{Item: it}
 }
 
-func (l *limits) newRows(table port.Table) *rows {
-	return &rows{
+func (l *limiter) newRowClient(table port.Table) *rowClient {
+	return &rowClient{
 		table: table,
 		call: func(ctx context.Context, addr string, in *RowArgs, out *RowReply) error {
 			return l.calls.Call(ctx, addr, methodRow, in, out)
@@ -133,18 +133,18 @@
 		peers: func() []string {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			return l.others
+			return l.otherNodes
 		},
-		away:     func() bool { return l.now() < time.Duration(l.away.Load()) },
-		markAway: func() { l.away.Store(int64(l.now() + besideFor)) },
+		tableUnreachable: func() bool { return l.now() < time.Duration(l.proxyUntil.Load()) },
+		markUnreachable:  func() { l.proxyUntil.Store(int64(l.now() + proxyDuration)) },
 	}
 }
 
-// step makes the next call of the table that a shard's lease wants.
-func (l *limits) step(s *shard) {
+// stepLease makes the next table call that a shard's lease requires.
+func (l *limiter) stepLease(s *shard) {
 	now := l.now()
-	if held := s.lease.Held(now); held != s.held {
-		s.held = held
+	if held := s.lease.Held(now); held != s.loggedHeld {
+		s.loggedHeld = held
 		l.log.Info("rate limits divided here", zap.Int("shard", s.n), zap.Bool("holds", held))
 	}
 	if l.retiring {
@@ -153,20 +153,20 @@
 	do, row, version := s.lease.Next(now)
 	switch do {
 	case ratelimit.Read:
-		l.callRow(s, func() func() { return l.read(s) })
+		l.callRowAsync(s, func() func() { return l.readRow(s) })
 	case ratelimit.Write:
-		l.callRow(s, func() func() { return l.write(s, row, version) })
+		l.callRowAsync(s, func() func() { return l.writeRow(s, row, version) })
 	}
 }
 
-// callRow makes a call of the table in the background.
-func (l *limits) callRow(s *shard, f func() func()) {
+// callRowAsync makes a table call in the background.
+func (l *limiter) callRowAsync(s *shard, f func() func()) {
 	err := l.submit(func() {
 		done := f()
 		l.post(func() {
-			l.followRewinds()
+			l.applyRewinds()
 			done()
-			l.step(s)
+			l.stepLease(s)
 		})
 	})
 	if err != nil {
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *limits) read(s *shard) func() {
+func (l *limiter) readRow(s *shard) func() {
 	it, err := l.rows.do(RowArgs{Key: s.key})
 	var row ratelimit.Row
 	if err == nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (l *limits) write(s *shard, row ratelimit.Row, version int64) func() {
+func (l *limiter) writeRow(s *shard, row ratelimit.Row, version int64) func() {
 	value, err := msgpack.Marshal(&row)
 	if err == nil {
 		_, err = l.rows.do(RowArgs{Write: true, Put: port.Put{
@@ -200,34 +200,34 @@
 			IfVersion: version,
 		}})
 	}
-	maybe := err == nil || !errors.Is(err, port.ErrUnavailable)
-	return func() { s.lease.HandleWrite(l.now(), maybe) }
+	mayHaveApplied := err == nil || !errors.Is(err, port.ErrUnavailable)
+	return func() { s.lease.HandleWrite(l.now(), mayHaveApplied) }
 }
 
-// lookAfter looks whether the process that holds a shard's lease has ended: a machine on
-// which nobody listens at its address says so at once.
-func (l *limits) lookAfter(s *shard, holder member.Member) {
+// probeHolder checks whether the process that holds a shard's lease has ended: a machine
+// with no listener at the holder's address refuses the connection at once.
+func (l *limiter) probeHolder(s *shard, holder member.Member) {
 	now := l.now()
-	if now < s.looked+holderEvery {
+	if now < s.holderProbed+holderProbeInterval {
 		return
 	}
-	s.looked = now
+	s.holderProbed = now
 	_ = l.submit(func() {
-		c, err := net.DialTimeout("tcp", holder.Control, holderLimit)
+		c, err := net.DialTimeout("tcp", holder.Control, holderProbeTimeout)
 		if err == nil {
 			_ = c.Close()
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			l.post(func() {
 				s.lease.HolderGone(l.now(), holder.ID)
-				l.step(s)
+				l.stepLease(s)
 			})
 		}
 	})
 }
 
-// Row makes a call of the table for another node.
+// Row makes a table call for another node.
 func (s *limitsService) Row(in *RowArgs, out *RowReply) error {
-	*out = s.control.limits.rows.serve(in)
+	*out = s.control.limiter.rows.serve(in)
 	return nil
 }
--- a/internal/node/limitrows_test.go
+++ b/internal/node/limitrows_test.go
@@ -32,57 +32,57 @@
 	return s.err
 }
 
-// rowsThrough returns rows whose own table is here; one other node has the table there.
-func rowsThrough(here, there *stubTable) *rows {
-	away := false
-	other := &rows{table: there}
-	return &rows{
-		table: here,
+// rowClientVia returns a client with table local and one other node with table remote.
+func rowClientVia(local, remote *stubTable) *rowClient {
+	unreachable := false
+	other := &rowClient{table: remote}
+	return &rowClient{
+		table: local,
 		call: func(_ context.Context, _ string, in *RowArgs, out *RowReply) error {
 			*out = other.serve(in)
 			return nil
 		},
-		peers:    func() []string { return []string{"other"} },
-		away:     func() bool { return away },
-		markAway: func() { away = true },
+		peers:            func() []string { return []string{"other"} },
+		tableUnreachable: func() bool { return unreachable },
+		markUnreachable:  func() { unreachable = true },
 	}
 }
 
-// Guards against a lease that is lost because its holder alone can't reach the table.
-func TestRowsAreReadThroughAnotherNode(t *testing.T) {
+// Guards against losing a lease because only its holder can't reach the table.
+func TestRowIsReadThroughAnotherNodeWhenTableIsUnreachable(t *testing.T) {
 	is := is.New(t)
-	here, there := &stubTable{err: port.ErrUnavailable}, &stubTable{}
-	r := rowsThrough(here, there)
+	local, remote := &stubTable{err: port.ErrUnavailable}, &stubTable{}
+	r := rowClientVia(local, remote)
 	for range 2 {
-		it, err := r.do(RowArgs{Key: limitRow(8, 3)})
+		it, err := r.do(RowArgs{Key: limitRowKey(8, 3)})
 		is.NoErr(err)
 		is.Equal(it.Version, int64(7))
 	}
-	is.Equal(here.calls, 1) // the second call goes to the other node at once
-	is.Equal(there.calls, 2)
+	is.Equal(local.calls, 1) // the second call goes straight to the other node
+	is.Equal(remote.calls, 2)
 }
 
-// Guards against a write that is made twice: it may have taken effect at the first.
-func TestAmbiguousWriteOfARowIsNotRepeated(t *testing.T) {
+// Guards against applying a write twice: an ambiguous one may already have taken effect.
+func TestAmbiguousRowWriteIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	here, there := &stubTable{err: port.ErrAmbiguous}, &stubTable{}
-	_, err := rowsThrough(here, there).do(RowArgs{Write: true, Put: port.Put{Item: port.Item{Key: limitRow(8, 3)}}})
+	local, remote := &stubTable{err: port.ErrAmbiguous}, &stubTable{}
+	_, err := rowClientVia(local, remote).do(RowArgs{Write: true, Put: port.Put{Item: port.Item{Key: limitRowKey(8, 3)}}})
 	is.True(errors.Is(err, port.ErrAmbiguous))
-	is.Equal(there.calls, 0)
+	is.Equal(remote.calls, 0)
 }
 
-// Guards against a node that writes or reads any row of the table for another.
-func TestOnlyRowsOfLimitsAreServed(t *testing.T) {
+// Guards against a node that reads or writes arbitrary table rows for another node.
+func TestOnlyRateLimitRowsAreServed(t *testing.T) {
 	is := is.New(t)
 	table := &stubTable{}
-	r := &rows{table: table}
+	r := &rowClient{table: table}
 	for _, in := range []RowArgs{
 		{Key: "claims/1"},
 		{Write: true, Put: port.Put{Item: port.Item{Key: "claims/1"}}},
-		{Write: true, Key: limitRow(8, 3), Put: port.Put{Item: port.Item{Key: "claims/1"}}},
+		{Write: true, Key: limitRowKey(8, 3), Put: port.Put{Item: port.Item{Key: "claims/1"}}},
 	} {
 		is.Equal(r.serve(&in).Code, status.CodeRowNotServed)
 	}
 	is.Equal(table.calls, 0)
-	is.Equal(r.serve(&RowArgs{Key: limitRow(8, 3)}).Code, status.Code(""))
+	is.Equal(r.serve(&RowArgs{Key: limitRowKey(8, 3)}).Code, status.Code(""))
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -19,78 +19,79 @@
 	"peardrift/internal/status"
 )
 
-// limits carries out what the ratelimit core decides: it asks the nodes that divide the
-// organisations' limits, divides those of the shards whose lease it holds, and lets
-// traffic take from what was granted.
-type limits struct {
-	log    *zap.Logger
-	cfg    ratelimit.Config
-	self   request.TargetID
-	life   uint64
-	first  bool // the whole fleet starts for the first time
-	rows   *rows
-	calls  *rpc.Pool
-	meter  *rpc.Meter
-	submit func(func()) error
-	post   func(func())
-	kick   func(func()) // post that gives up where the queue is full
-	now    func() time.Duration
-	index  func() *confset.Index // on the control goroutine
+// limiter executes the decisions of the ratelimit core: it requests grants from the lease
+// holders of the organisations' limits, grants shares for the shards whose lease it
+// holds, and lets traffic take tokens from the grants.
+type limiter struct {
+	log       *zap.Logger
+	cfg       ratelimit.Config
+	self      request.TargetID
+	processID uint64
+	bootstrap bool // first start of the whole fleet
+	rows      *rowClient
+	calls     *rpc.Pool
+	meter     *rpc.Meter
+	submit    func(func()) error
+	post      func(func())
+	tryPost   func(func()) // post that drops the event if the queue is full
+	now       func() time.Duration
+	index     func() *confset.Index // called on the control goroutine
 
-	rewinds atomic.Int64 // of the table
-	away    atomic.Int64 // until when the table is called by another node
+	rewinds    atomic.Int64 // restores of the table from an older copy
+	proxyUntil atomic.Int64 // time until which table calls go through another node
 
-	mu    sync.Mutex
-	local *ratelimit.Local
-	count int // of the shards; 0: no organisation is limited
-	waits []waits
-	// others are the control addresses of the other nodes.
-	others []string
+	mu         sync.Mutex
+	local      *ratelimit.Local
+	shardCount int // 0: no organisation has a limit
+	waiters    []shardWaiters
+	// otherNodes holds the control addresses of the other nodes.
+	otherNodes []string
 
-	// The rest belongs to the control goroutine.
-	sharded  *confset.Index // from which shards were made
-	shards   []*shard
-	members  *member.View
-	rewound  int64
-	retiring bool
+	// The fields below belong to the control goroutine.
+	shardedIndex *confset.Index // the index that shards were built from
+	shards       []*shard
+	members      *member.View
+	rewindsSeen  int64
+	retiring     bool
 }
 
-// waits are the requests of a shard that wait for an answer.
-type waits struct {
-	answered chan struct{} // closed at the next answer
-	urgent   map[request.Organisation]bool
+// shardWaiters tracks the requests that wait for a shard's grants.
+type shardWaiters struct {
+	replied chan struct{} // closed at the next reply
+	urgent  map[request.Organisation]bool
 }
 
-// shard is what the control goroutine knows of one shard.
+// shard is the control goroutine's state of one shard.
 type shard struct {
-	n      int
-	key    string // of its row
-	lease  *ratelimit.Lease
-	held   bool // as logged last
-	order  []member.Member
-	target request.TargetID // that divides, as far as known; 0: the first in order
-	avoid  map[request.TargetID]time.Duration
-	idle   int // answers in a row by which nobody divides
-	asking bool
-	starts bool // the dividing node hasn't answered since this one started
-	seq    uint64
-	next   time.Duration
-	looked time.Duration // when it was looked whether the holder's process has ended
+	n            int
+	key          string // key of its row
+	lease        *ratelimit.Lease
+	loggedHeld   bool // the last logged value
+	ranked       []member.Member
+	knownHolder  request.TargetID // the lease holder as far as known; 0: ask the first of ranked
+	avoidUntil   map[request.TargetID]time.Duration
+	emptyReplies int // consecutive replies that name no lease holder
+	askInFlight  bool
+	starting     bool // the lease holder hasn't answered since this node started
+	seq          uint64
+	nextAsk      time.Duration
+	holderProbed time.Duration // time of the last probe of the holder
 }
 
 const (
-	// askEvery is the time between looks for what is to be asked.
-	askEvery = time.Second
-	// askLimit bounds a question.
-	askLimit = 700 * time.Millisecond
-	// askSoon is the time to the next question where nobody divides yet.
-	askSoon = 300 * time.Millisecond
-	// avoidFor is for how long a node that didn't answer isn't asked.
-	avoidFor = 2 * time.Second
-	// idleAnswers is after how many of them another node is asked.
-	idleAnswers = 6
-	// takeWait is how long a request may wait for an answer.
-	takeWait = 100 * time.Millisecond
+	// askInterval is the time between periodic requests for grants.
+	askInterval = time.Second
+	// askTimeout bounds a request.
+	askTimeout = 700 * time.Millisecond
+	// askRetryDelay is the time to the next request while no node holds the lease.
+	askRetryDelay = 300 * time.Millisecond
+	// avoidDuration is how long a node that didn't answer isn't asked.
+	avoidDuration = 2 * time.Second
+	// maxEmptyReplies is the number of consecutive replies without a lease holder after
+	// which another node is asked.
+	maxEmptyReplies = 6
+	// takeTimeout is how long a caller's request may wait for a grant.
+	takeTimeout = 100 * time.Millisecond
 )
 
 const (
@@ -98,36 +99,36 @@
 	methodAskLimits = limitsName + ".Ask"
 )
 
-func (n *Node) newLimits(c *control) *limits {
+func (n *Node) newLimiter(c *control) *limiter {
 	cfg := ratelimit.DefaultConfig()
 	first := false
-	if n.outside != nil {
-		cfg.Terms, first = n.outside.Limits, n.outside.Bootstrap
+	if n.integration != nil {
+		cfg.Terms, first = n.integration.Limits, n.integration.Bootstrap
 	}
 	start := uptime()
-	l := &limits{
-		log: n.log, cfg: cfg, self: n.self.ID, life: rand.Uint64(), first: first,
+	l := &limiter{
+		log: n.log, cfg: cfg, self: n.self.ID, processID: rand.Uint64(), bootstrap: first,
 		calls: n.calls, meter: c.meter, submit: n.pool.Submit, post: c.post,
-		kick: func(f func()) {
+		tryPost: func(f func()) {
 			select {
 			case c.events <- f:
 			default:
 			}
 		},
 		now:   func() time.Duration { return uptime() - start },
-		index: c.conf.index,
+		index: c.config.index,
 		local: ratelimit.NewLocal(cfg),
 	}
-	l.rows = l.newRows(n.table)
+	l.rows = l.newRowClient(n.table)
 	n.engine.SetLimiter(l)
 	return l
 }
 
 // Take implements dataplane.Limiter.
-func (l *limits) Take(ctx context.Context, o *confset.OrganisationInfo) *status.Error {
-	v := l.take(o, true)
+func (l *limiter) Take(ctx context.Context, o *confset.OrganisationInfo) *status.Error {
+	v := l.tryTake(o, true)
 	if v == ratelimit.Unknown {
-		v = l.await(ctx, o)
+		v = l.waitAndTake(ctx, o)
 	}
 	if v == ratelimit.Admit {
 		return nil
@@ -135,7 +136,7 @@
 	return l.refusal(o, v)
 }
 
-func (l *limits) take(o *confset.OrganisationInfo, first bool) ratelimit.Verdict {
+func (l *limiter) tryTake(o *confset.OrganisationInfo, first bool) ratelimit.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -145,21 +146,21 @@
 	return l.local.Take(now, o.ID, l.limitOf(o))
 }
 
-// await asks for a part of the limit and takes from it.
-func (l *limits) await(ctx context.Context, o *confset.OrganisationInfo) ratelimit.Verdict {
-	timer := time.NewTimer(takeWait)
+// waitAndTake requests a grant and takes a token from it.
+func (l *limiter) waitAndTake(ctx context.Context, o *confset.OrganisationInfo) ratelimit.Verdict {
+	timer := time.NewTimer(takeTimeout)
 	defer timer.Stop()
 	v := ratelimit.Unknown
 	for v == ratelimit.Unknown {
-		answered, ok := l.want(o.ID)
+		answered, ok := l.requestUrgent(o.ID)
 		if !ok {
 			return v
 		}
 		select {
 		case <-answered:
-			v = l.take(o, false)
+			v = l.tryTake(o, false)
 		case <-timer.C:
-			return l.take(o, false)
+			return l.tryTake(o, false)
 		case <-ctx.Done():
 			return v
 		}
@@ -167,67 +168,68 @@
 	return v
 }
 
-// want has an organisation asked for at once, and returns what is closed at the answer.
-func (l *limits) want(o request.Organisation) (<-chan struct{}, bool) {
+// requestUrgent triggers an immediate request for an organisation's grant. It returns a
+// channel that is closed at the reply, and false if no organisation has a limit.
+func (l *limiter) requestUrgent(o request.Organisation) (<-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.count == 0 {
+	if l.shardCount == 0 {
 		return nil, false
 	}
-	n := ratelimit.ShardOf(o, l.count)
-	w := &l.waits[n]
-	if w.answered == nil {
-		w.answered = make(chan struct{})
+	n := ratelimit.ShardOf(o, l.shardCount)
+	w := &l.waiters[n]
+	if w.replied == nil {
+		w.replied = make(chan struct{})
 	}
 	if len(w.urgent) == 0 {
-		l.kick(func() { l.askFor(n) })
+		l.tryPost(func() { l.askNow(n) })
 	}
 	if w.urgent == nil {
 		w.urgent = make(map[request.Organisation]bool)
 	}
 	w.urgent[o] = true
-	return w.answered, true
+	return w.replied, true
 }
 
-// refusal says why a request isn't let in.
-func (l *limits) refusal(o *confset.OrganisationInfo, v ratelimit.Verdict) *status.Error {
+// refusal returns the error for a request that is not admitted.
+func (l *limiter) refusal(o *confset.OrganisationInfo, v ratelimit.Verdict) *status.Error {
 	l.mu.Lock()
 	s, wait := l.local.State(l.now(), o.ID), l.local.Wait(o.ID)
 	l.mu.Unlock()
 	if v == ratelimit.Over {
-		return status.Refuse(status.CodeOverLimit, max(wait, leastComeBack+rand.N(leastComeBack)),
-			"%s is at its limit of %g requests a second: %.1f tokens are left of a part of %.2f a second, %v old",
+		return status.Refuse(status.CodeOverLimit, max(wait, minOverLimitRetryAfter+rand.N(minOverLimitRetryAfter)),
+			"%s exceeds its limit of %g requests per second: %.1f tokens are left of a grant of %.2f per second, %v old",
 			o.Name, o.Rate, s.Tokens, s.Rate, s.Age.Round(time.Millisecond))
 	}
-	return status.Refuse(status.CodeLimitUnchecked, uncheckedComeBack+rand.N(uncheckedComeBack),
-		"no node could be asked for a part of the limit of %s; the last one is %v old, valid: %t",
+	return status.Refuse(status.CodeLimitUnchecked, minUncheckedRetryAfter+rand.N(minUncheckedRetryAfter),
+		"no node granted a share of the limit of %s; the last grant is %v old, valid: %t",
 		o.Name, s.Age.Round(time.Millisecond), s.Valid)
 }
 
-// uncheckedComeBack is the least advice to a caller whose organisation's limit could not
-// be looked at; it is spread over as much again.
-const uncheckedComeBack = 500 * time.Millisecond
+// minUncheckedRetryAfter is the minimum Retry-After for a caller whose organisation's
+// limit could not be checked; jitter adds up to the same time again.
+const minUncheckedRetryAfter = 500 * time.Millisecond
 
-// leastComeBack is the least advice to a caller that is over its limit; it is spread over
-// as much again. One that comes back sooner is mostly refused again.
-const leastComeBack = 700 * time.Millisecond
+// minOverLimitRetryAfter is the minimum Retry-After for a caller over its limit; jitter
+// adds up to the same time again. Earlier retries are mostly refused again.
+const minOverLimitRetryAfter = 700 * time.Millisecond
 
 // Return implements dataplane.Limiter.
-func (l *limits) Return(taken time.Duration, o *confset.OrganisationInfo) {
+func (l *limiter) Return(taken time.Duration, o *confset.OrganisationInfo) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.local.Return(l.now(), taken, o.ID, l.limitOf(o))
 }
 
 // Now implements dataplane.Limiter.
-func (l *limits) Now() time.Duration { return l.now() }
+func (l *limiter) Now() time.Duration { return l.now() }
 
-func (l *limits) limitOf(o *confset.OrganisationInfo) ratelimit.Limit {
+func (l *limiter) limitOf(o *confset.OrganisationInfo) ratelimit.Limit {
 	return l.cfg.Terms.Limit(o.Rate, o.Burst)
 }
 
-// limit returns an organisation's limit, false if it has none.
-func (l *limits) limit(id request.Organisation) (ratelimit.Limit, bool) {
+// limitByID returns an organisation's limit, false if it has none.
+func (l *limiter) limitByID(id request.Organisation) (ratelimit.Limit, bool) {
 	o, ok := l.index().Organisation(id)
 	if !ok || o.Rate <= 0 {
 		return ratelimit.Limit{}, false
@@ -235,26 +237,27 @@
 	return l.limitOf(o), true
 }
 
-// tick is called at each tick of the control goroutine.
-func (l *limits) tick() {
+// tick runs at each tick of the control goroutine.
+func (l *limiter) tick() {
 	l.reshard()
-	l.followRewinds()
+	l.applyRewinds()
 	now := l.now()
 	for _, s := range l.shards {
-		l.step(s)
-		if now >= s.next {
+		l.stepLease(s)
+		if now >= s.nextAsk {
 			l.ask(s)
 		}
 	}
 }
 
-// reshard makes the shards that the configuration's organisations need.
-func (l *limits) reshard() {
+// reshard rebuilds the shards if the configuration's number of limited organisations
+// requires another count.
+func (l *limiter) reshard() {
 	idx := l.index()
-	if idx == l.sharded {
+	if idx == l.shardedIndex {
 		return
 	}
-	l.sharded = idx
+	l.shardedIndex = idx
 	limited := 0
 	idx.Organisations(func(o *confset.OrganisationInfo) {
 		if o.Rate > 0 {
@@ -268,30 +271,30 @@
 	if count == len(l.shards) {
 		return
 	}
-	first := l.first && l.shards == nil
+	first := l.bootstrap && l.shards == nil
 	l.shards = make([]*shard, count)
 	for i := range l.shards {
 		l.shards[i] = &shard{
-			n: i, key: limitRow(count, i), starts: true,
-			lease: ratelimit.NewLease(l.cfg, l.self, l.life, first),
-			avoid: make(map[request.TargetID]time.Duration),
+			n: i, key: limitRowKey(count, i), starting: true,
+			lease:      ratelimit.NewLease(l.cfg, l.self, l.processID, first),
+			avoidUntil: make(map[request.TargetID]time.Duration),
 		}
 	}
-	l.rank()
+	l.rankMembers()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, w := range l.waits {
-		if w.answered != nil {
-			close(w.answered)
+	for _, w := range l.waiters {
+		if w.replied != nil {
+			close(w.replied)
 		}
 	}
-	l.count, l.waits = count, make([]waits, count)
+	l.shardCount, l.waiters = count, make([]shardWaiters, count)
 }
 
-// setMembers takes in who there is.
-func (l *limits) setMembers(v *member.View) {
+// setMembers updates the members that the shards are ranked by.
+func (l *limiter) setMembers(v *member.View) {
 	l.members = v
-	l.rank()
+	l.rankMembers()
 	var others []string
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive && m.ID != l.self {
@@ -301,48 +304,48 @@
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.others = others
+	l.otherNodes = others
 }
 
-// rank puts the members in each shard's order: the first one is to divide its limits.
-func (l *limits) rank() {
+// rankMembers ranks the members for each shard: the first should hold the shard's lease.
+func (l *limiter) rankMembers() {
 	if l.members == nil {
 		return
 	}
 	for _, s := range l.shards {
-		s.order = s.order[:0]
+		s.ranked = s.ranked[:0]
 		l.members.All(func(m member.Member) bool {
 			if m.Status == member.Alive || m.Status == member.Suspect {
-				s.order = append(s.order, m)
+				s.ranked = append(s.ranked, m)
 			}
 			return true
 		})
-		slices.SortFunc(s.order, func(a, b member.Member) int {
+		slices.SortFunc(s.ranked, func(a, b member.Member) int {
 			return cmp.Compare(b.ID.Order(uint64(s.n)), a.ID.Order(uint64(s.n)))
 		})
 	}
 }
 
-// followRewinds tells the leases when the table came back from an older copy.
-func (l *limits) followRewinds() {
+// applyRewinds notifies the leases when the table was restored from an older copy.
+func (l *limiter) applyRewinds() {
 	n := l.rewinds.Load()
-	if n == l.rewound {
+	if n == l.rewindsSeen {
 		return
 	}
-	l.rewound = n
+	l.rewindsSeen = n
 	for _, s := range l.shards {
 		s.lease.Rewound(l.now())
 	}
 }
 
-// retire gives up what this node divides, for another to take over at once.
-func (l *limits) retire() {
+// releaseLeases releases this node's leases, so that another node can take over at once.
+func (l *limiter) releaseLeases() {
 	l.retiring = true
 	for _, s := range l.shards {
 		row, version, ok := s.lease.Release(l.now())
 		if !ok {
 			continue
 		}
-		_ = l.submit(func() { l.write(s, row, version) })
+		_ = l.submit(func() { l.writeRow(s, row, version) })
 	}
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -11,12 +11,12 @@
 	"peardrift/internal/core/request"
 )
 
-// limitsWithPart returns limits whose node holds a part of one organisation's.
-func limitsWithPart(rate float32) (*limits, *confset.OrganisationInfo) {
+// limiterWithGrant returns a limiter that holds a grant for one organisation.
+func limiterWithGrant(rate float32) (*limiter, *confset.OrganisationInfo) {
 	cfg := ratelimit.DefaultConfig()
-	begun := time.Now()
+	start := time.Now()
 	o := &confset.OrganisationInfo{Name: "acme", ID: "t/acme", Rate: float64(rate)}
-	l := &limits{cfg: cfg, local: ratelimit.NewLocal(cfg), now: func() time.Duration { return time.Since(begun) }}
+	l := &limiter{cfg: cfg, local: ratelimit.NewLocal(cfg), now: func() time.Duration { return time.Since(start) }}
 	l.local.Count(0, o.ID)
 	l.local.Apply(0, 0, []ratelimit.Grant{{
 		Organisation: o.ID, Of: float64(rate), For: cfg.Validity,
@@ -25,15 +25,15 @@
 	return l, o
 }
 
-func TestTakingDoesNotAllocate(t *testing.T) {
-	l, o := limitsWithPart(1e6)
-	is.New(t).Equal(testing.AllocsPerRun(100, func() { l.take(o, true) }), 0.0)
+func TestTryTakeDoesNotAllocate(t *testing.T) {
+	l, o := limiterWithGrant(1e6)
+	is.New(t).Equal(testing.AllocsPerRun(100, func() { l.tryTake(o, true) }), 0.0)
 }
 
 func BenchmarkTake(b *testing.B) {
-	l, o := limitsWithPart(1e9)
+	l, o := limiterWithGrant(1e9)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.take(o, true)
+		l.tryTake(o, true)
 	}
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -13,126 +13,128 @@
 	"peardrift/internal/status"
 )
 
-// face is one HTTP listener to be opened.
-type face struct {
+// listenerSpec describes one HTTP listener to open.
+type listenerSpec struct {
 	key, addr string
-	to        **hertzhttp.Server
+	server    **hertzhttp.Server
 	handle    hertzhttp.Handler
 	conns     *hertzhttp.ConnLimit
 }
 
-// listen opens all listeners, or fails with each that can't be opened.
+// listen opens all listeners. Its error joins the failures of those that can't be opened.
 func (n *Node) listen() error {
 	cfg := hertzhttp.DefaultServerConfig()
-	cfg.IdleTimeout, cfg.MaxHeaderBytes = n.set.Traffic.IdleTimeout, n.set.Traffic.MaxHeaderBytes
-	callers := hertzhttp.NewConnLimit(n.mostConnections(callersShare))
-	inner := hertzhttp.NewConnLimit(n.mostConnections(nodesShare))
+	cfg.IdleTimeout, cfg.MaxHeaderBytes = n.settings.Traffic.IdleTimeout, n.settings.Traffic.MaxHeaderBytes
+	callers := hertzhttp.NewConnLimit(n.connectionLimit(callersShare))
+	inner := hertzhttp.NewConnLimit(n.connectionLimit(nodesShare))
 	ops := hertzhttp.NewConnLimit(opsConnections)
-	n.connections.limits = map[string]*hertzhttp.ConnLimit{"callers": callers, "nodes": inner}
-	l := n.set.Listen
+	n.rejected.limits = map[string]*hertzhttp.ConnLimit{"callers": callers, "nodes": inner}
+	l := n.settings.Listen
 	var failed []error
-	all := []face{
-		{"listen.nodes", l.Nodes, &n.faces.nodes, n.engine.ServeNode, inner},
-		{"listen.ops", l.Ops, &n.faces.ops, n.serveOps, ops},
+	all := []listenerSpec{
+		{"listen.nodes", l.Nodes, &n.servers.nodes, n.engine.ServeNode, inner},
+		{"listen.ops", l.Ops, &n.servers.ops, n.serveOps, ops},
 	}
 	if l.Target == l.Callers {
-		all = append(all, face{"listen.callers", l.Callers, &n.faces.callers, n.engine.ServeOutbound, callers})
+		all = append(all, listenerSpec{"listen.callers", l.Callers, &n.servers.callers, n.engine.ServeOutbound, callers})
 	} else {
-		all = append(all, face{"listen.callers", l.Callers, &n.faces.callers, n.engine.ServeCaller, callers},
-			face{"listen.target", l.Target, &n.faces.target, n.engine.ServeTarget, inner})
+		all = append(all, listenerSpec{"listen.callers", l.Callers, &n.servers.callers, n.engine.ServeCaller, callers},
+			listenerSpec{"listen.target", l.Target, &n.servers.target, n.engine.ServeTarget, inner})
 	}
-	if l.Reports != "" && n.outside != nil {
-		all = append(all, face{"listen.reports", l.Reports, &n.faces.reports, n.outside.Reports(n.reported, n.refused), ops})
+	if l.Reports != "" && n.integration != nil {
+		all = append(all, listenerSpec{"listen.reports", l.Reports, &n.servers.reports, n.integration.Reports(n.handleReport, n.logRefusedReport), ops})
 	}
 	if l.Ready != "" {
-		all = append(all, face{"listen.ready", l.Ready, &n.faces.ready, func(_ context.Context, c *app.RequestContext) { n.serveReady(c) }, ops})
+		all = append(all, listenerSpec{"listen.ready", l.Ready, &n.servers.ready, func(_ context.Context, c *app.RequestContext) { n.serveReady(c) }, ops})
 	}
 	for _, f := range all {
-		nodes := f.to == &n.faces.nodes
+		nodes := f.server == &n.servers.nodes
 		cfg.Conns, cfg.NoDate, cfg.Packed = f.conns, nodes, nodes
 		s, err := hertzhttp.Listen(f.addr, cfg, f.handle)
 		if err != nil {
 			failed = append(failed, status.Wrap(status.CodeListen, status.From(err).Cause, "%s", f.key))
 			continue
 		}
-		*f.to = s
+		*f.server = s
 	}
 	var err error
-	if n.ln, err = listen.Open(l.Control); err != nil {
+	if n.controlListener, err = listen.Open(l.Control); err != nil {
 		failed = append(failed, status.Wrap(status.CodeListen, status.From(err).Cause, "listen.control"))
 	}
 	return errors.Join(failed...)
 }
 
 const (
-	// opsConnections bounds the operators' connections, which have a place of
-	// their own: callers that open all theirs must not hide the node from those
-	// who want to see what is the matter.
+	// opsConnections bounds the operators' connections. They have a limit of their own,
+	// so that callers that use up theirs don't lock operators out.
 	opsConnections = 64
-	// spareFiles are descriptors for what isn't traffic.
-	spareFiles = 64
-	// Shares of the descriptors for connections of callers and of nodes; the rest
-	// is for those that calls go out on, of which there are as many as calls in
-	// flight. Callers have most: the own target may hold a connection for each
-	// request that it runs, and as many again that it closes late. With a quarter
-	// each, the last target of a service that has lost the others was refused the
-	// calls that it needed: its node had room for 1,009, it held up to 1,400. A call
-	// of another node holds one from its arrival on, so nodes need room for what
-	// runs and for what waits: with a fifth, 807, nodes beside targets of 267 slots
-	// closed up to 365 connections a second in a surge, and each ended a call of
-	// which nobody could say whether it had run.
-	callersShare     = 0.4
-	nodesShare       = 0.3
-	leastConnections = 8
+	// reservedDescriptors is the number of file descriptors kept for other uses than
+	// traffic.
+	reservedDescriptors = 64
+	// Shares of the descriptors for connections from callers and from nodes; the rest is
+	// for outgoing connections, one per call in flight. Callers get the largest share:
+	// the own target may hold a connection for each request that it runs, and as many
+	// again that it closes late. With a quarter each (1,009 connections), the last
+	// remaining target of a service was refused calls that it needed: it held up to
+	// 1,400. A call from another node holds a connection from its arrival, so nodes need
+	// room for running and queued calls: with a fifth (807), nodes with targets of 267
+	// slots closed up to 365 connections per second in a surge, and each left a call
+	// with an unknown outcome.
+	callersShare   = 0.4
+	nodesShare     = 0.3
+	minConnections = 8
 )
 
-// mostConnections bounds connections by the settings and by a share of the
-// descriptors. A node that runs out of descriptors can open no connection to its
-// own target or to others, so the bound is lower where the process may open fewer
-// files than the settings would need.
-func (n *Node) mostConnections(part float64) int {
-	most := n.set.Traffic.MaxConnections
+// connectionLimit returns the lower of traffic.maxConnections and a fraction of the file
+// descriptors. A node that runs out of descriptors can't connect to its own target or to
+// other nodes, so the limit is lower where the process may open fewer files than the
+// settings need.
+func (n *Node) connectionLimit(fraction float64) int {
+	limit := n.settings.Traffic.MaxConnections
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return most
+		return limit
 	}
-	have := share(part, int(min(files.Cur, 1<<31)))
-	if have >= most {
-		return most
+	available := descriptorShare(fraction, int(min(files.Cur, 1<<31)))
+	if available >= limit {
+		return limit
 	}
-	have = max(have, leastConnections)
-	n.log.Warn("fewer connections than traffic.maxConnections, for want of file descriptors",
-		zap.Uint64("descriptors", files.Cur), zap.Int("connections", have))
-	return have
+	available = max(available, minConnections)
+	n.log.Warn("connection limit is below traffic.maxConnections: too few file descriptors",
+		zap.Uint64("descriptors", files.Cur), zap.Int("connections", available))
+	return available
 }
 
-// share returns a part of the descriptors that are for traffic.
-func share(part float64, files int) int { return int(part * float64(files-spareFiles)) }
+// descriptorShare returns a fraction of the file descriptors available to traffic.
+func descriptorShare(fraction float64, files int) int {
+	return int(fraction * float64(files-reservedDescriptors))
+}
 
-// connections tells of connections that were closed at once for want of room.
-// Without a line of its own a node that turns its target's calls away looks to
-// everybody like a target that fails.
-type connections struct {
-	limits map[string]*hertzhttp.ConnLimit
-	told   map[string]int64
+// rejectedConnections counts connections that were closed at once because their limit was
+// reached. Without a log line for them, a node that rejects its target's calls looks like
+// a failing target.
+type rejectedConnections struct {
+	limits   map[string]*hertzhttp.ConnLimit
+	reported map[string]int64
 }
 
-// look returns how many were turned away since the last look, by face.
-func (c *connections) look() map[string]int64 {
-	var news map[string]int64
+// sinceLast returns the number of rejected connections since the previous call, by
+// listener.
+func (c *rejectedConnections) sinceLast() map[string]int64 {
+	var counts map[string]int64
 	for face, l := range c.limits {
 		n := l.Turned.Load()
-		if n == c.told[face] {
+		if n == c.reported[face] {
 			continue
 		}
-		if news == nil {
-			news = make(map[string]int64)
+		if counts == nil {
+			counts = make(map[string]int64)
 		}
-		if c.told == nil {
-			c.told = make(map[string]int64)
+		if c.reported == nil {
+			c.reported = make(map[string]int64)
 		}
-		news[face] = n - c.told[face]
-		c.told[face] = n
+		counts[face] = n - c.reported[face]
+		c.reported[face] = n
 	}
-	return news
+	return counts
 }
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -14,8 +14,8 @@
 	"peardrift/internal/dataplane"
 )
 
-// observer gives each hop to metrics, traces and, where something went wrong,
-// logs. Each is bounded in itself.
+// observer passes each hop to metrics, traces and logs; hops that completed are logged at
+// debug level only. Each sink limits its own volume.
 type observer struct {
 	metrics *tallymetrics.Metrics
 	tracer  *oteltrace.Tracer
@@ -27,28 +27,28 @@
 	o.metrics.Hop(h)
 	o.tracer.Hop(h)
 	if h.Kind == dataplane.HopAttempt {
-		return // its call's own hop tells of it
+		return // the hop of its call is logged
 	}
 	level := zap.InfoLevel
 	if h.Outcome == request.Completed {
 		level = zap.DebugLevel
 	}
-	if ce := o.log.Check(level, messages[h.Outcome]); ce != nil {
-		ce.Write(fieldsHop(h)...)
+	if ce := o.log.Check(level, outcomeMessages[h.Outcome]); ce != nil {
+		ce.Write(hopFields(h)...)
 	}
 }
 
-// messages are the log's, by outcome.
-var messages = map[request.Outcome]string{
+// outcomeMessages maps outcomes to log messages.
+var outcomeMessages = map[request.Outcome]string{
 	request.Completed: "call completed",
 	request.Refused:   "call refused",
 	request.Failed:    "call failed",
 	request.Unknown:   "call unknown",
 }
 
-// fieldsHop describes a hop for the log; a retry's reason only where one was
+// hopFields returns a hop's log fields. The retry fields are present only if a retry was
 // decided on.
-func fieldsHop(h *dataplane.Hop) []zap.Field {
+func hopFields(h *dataplane.Hop) []zap.Field {
 	fields := []zap.Field{
 		zap.Stringer("hop", h.Kind), zaplog.Request(h.ID), zaplog.Service(h.Service), zaplog.Class(h.Class),
 		zaplog.Tenant(h.Tenant), zaplog.Outcome(h.Outcome), zap.String("code", string(h.Code)),
@@ -81,8 +81,8 @@
 	return fields
 }
 
-// gauge sets the node's gauges; called on the control goroutine.
-func (n *Node) gauge(c *control) {
+// updateGauges sets the node's gauges. It runs on the control goroutine.
+func (n *Node) updateGauges(c *control) {
 	g := n.metrics.Gauges
 	st := n.engine.GateStats()
 	g.InFlight.Update(float64(n.engine.InFlight()))
@@ -93,27 +93,27 @@
 	g.Backlog.Update(st.Backlog.Seconds())
 	g.Demand.Update(st.Demand)
 	g.Suspects.Update(float64(n.engine.Suspects()))
-	g.ConfigVersion.Update(float64(c.conf.index().Version(n.self.Tenant)))
-	g.Ready.Update(flag(c.shown.ready))
-	g.Draining.Update(flag(c.leaving))
-	g.TargetUp.Update(flag(c.targetUp))
-	if began, over := c.overload.look(c.now(), st.Level > 0); began {
-		n.log.Warn("overload began", fieldsOverload(st)...)
-	} else if over {
-		n.log.Info("overload over", fieldsOverload(st)...)
+	g.ConfigVersion.Update(float64(c.config.index().Version(n.self.Tenant)))
+	g.Ready.Update(boolGauge(c.published.ready))
+	g.Draining.Update(boolGauge(c.leaving))
+	g.TargetUp.Update(boolGauge(c.targetUp))
+	if started, ended := c.overload.observe(c.now(), st.Level > 0); started {
+		n.log.Warn("overload began", overloadFields(st)...)
+	} else if ended {
+		n.log.Info("overload over", overloadFields(st)...)
 	}
 }
 
-// tellConnections logs connections that were turned away since the last tick;
-// called on the control goroutine.
-func (n *Node) tellConnections() {
-	for face, count := range n.connections.look() {
+// logRejectedConnections logs connections rejected since the last tick. It runs on the
+// control goroutine.
+func (n *Node) logRejectedConnections() {
+	for face, count := range n.rejected.sinceLast() {
 		n.log.Warn("connections turned away", zap.String("face", face), zap.Int64("count", count))
 	}
 }
 
-// gaugeMembers sets the gauges that change with the membership only.
-func (n *Node) gaugeMembers(v *member.View) {
+// updateMemberGauges sets the gauges that only membership changes affect.
+func (n *Node) updateMemberGauges(v *member.View) {
 	all, alive := 0, 0
 	v.All(func(m member.Member) bool {
 		all++
@@ -126,15 +126,15 @@
 	n.metrics.Gauges.Alive.Update(float64(alive))
 }
 
-func flag(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// classes names what the metrics keep series for.
-func classes(idx *confset.Index) (services []request.Service, names []request.Class) {
+// metricLabels returns the services and classes that have metric series.
+func metricLabels(idx *confset.Index) (services []request.Service, names []request.Class) {
 	services = idx.Services()
 	for _, s := range services {
 		info, _ := idx.Service(s)
@@ -145,15 +145,15 @@
 	return services, names
 }
 
-// fieldsOverload describes the gate for the log.
-func fieldsOverload(st admission.Stats) []zap.Field {
+// overloadFields returns the gate's log fields.
+func overloadFields(st admission.Stats) []zap.Field {
 	return []zap.Field{
 		zaplog.Level(st.Level), zap.Int("limit", st.Limit),
 		zap.Float64("demand", st.Demand), zap.Int("queued", st.Queued),
 	}
 }
 
-// fieldReport describes a crash report for the log.
-func fieldReport(r suspect.Report) []zap.Field {
+// reportFields returns a crash report's log fields.
+func reportFields(r suspect.Report) []zap.Field {
 	return []zap.Field{zaplog.Target(r.Crash.Target), zap.Int("in_flight", r.InFlight)}
 }
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -12,10 +12,9 @@
 	"peardrift/internal/dataplane"
 )
 
-// Symptom: logs.level debug shows no more than info. Events: an operator wants
-// to see each call of a quiet node. Cause: the page promised a line for each call
-// that completes, and nothing wrote one.
-func TestCompletedCallsAreLoggedAtDebugOnly(t *testing.T) {
+// Guards against a logs.level of debug that shows no more than info: the settings page
+// promises a line for each completed call, and nothing wrote one.
+func TestCompletedCallsAreLoggedOnlyAtDebug(t *testing.T) {
 	for _, tt := range []struct {
 		level zapcore.Level
 		lines []string
--- a/internal/node/ops.go
+++ b/internal/node/ops.go
@@ -12,12 +12,12 @@
 	"peardrift/internal/adapter/tallymetrics"
 )
 
-// Paths of the operators' face.
+// Paths of the operators' listener.
 const (
 	pathLive    = "/live"    // 200 while the process runs
-	pathReady   = "/ready"   // 200 while the node takes calls
-	pathDrain   = "/drain"   // POST: the target leaves
-	pathStatus  = "/status"  // what the node knows, as JSON
+	pathReady   = "/ready"   // 200 while the node accepts calls
+	pathDrain   = "/drain"   // POST: announce that the target is leaving
+	pathStatus  = "/status"  // Status as JSON
 	pathMetrics = "/metrics" // the scrape endpoint
 )
 
@@ -39,13 +39,13 @@
 	}
 }
 
-// serveReady answers by what traffic has been given: what control knows may be
-// ahead of it by a tick.
+// serveReady answers from the published view: the control state may be one tick ahead of
+// it.
 func (n *Node) serveReady(c *app.RequestContext) {
-	obstacles := []string{obstacleStopping}
-	var s shown
-	alive := n.control.ask(func() { s, obstacles = n.control.shown, n.control.obstacles() })
-	if alive && s.open() {
+	obstacles := []string{notReadyStopping}
+	var s viewInputs
+	alive := n.control.ask(func() { s, obstacles = n.control.published, n.control.notReadyReasons() })
+	if alive && s.acceptsCalls() {
 		c.String(http.StatusOK, "ready\n")
 		return
 	}
@@ -61,8 +61,8 @@
 	c.Data(http.StatusOK, tallymetrics.ContentType, b.Bytes())
 }
 
-// serveDrain lets whoever stops the target first say so: the node announces the
-// leave and goes on until the process is stopped itself.
+// serveDrain lets operators announce that the target will stop: the node announces the
+// leave and keeps running until the process itself is stopped.
 func (n *Node) serveDrain(c *app.RequestContext) {
 	if string(c.Method()) != http.MethodPost {
 		c.String(http.StatusMethodNotAllowed, "use POST\n")
@@ -72,7 +72,7 @@
 	c.String(http.StatusAccepted, "leaving\n")
 }
 
-func (f *faces) all() []*hertzhttp.Server {
+func (f *httpServers) all() []*hertzhttp.Server {
 	var out []*hertzhttp.Server
 	for _, s := range []*hertzhttp.Server{f.callers, f.nodes, f.target, f.ops, f.reports, f.ready} {
 		if s != nil {
--- a/internal/node/overload.go
+++ b/internal/node/overload.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// overloadOver is how long nothing must have been refused by level until an
-// overload counts as over. A level touches 0 many times in one overload; a line
-// for each would bury the two that matter.
-const overloadOver = 10 * time.Second
+// overloadEndDelay is how long the admission level must stay 0 until an overload counts
+// as over. The level reaches 0 many times during one overload; a log line for each would
+// hide the start and the end.
+const overloadEndDelay = 10 * time.Second
 
-// overload finds the beginning and end of an overload, for the log.
-type overload struct {
-	on   bool
-	seen time.Duration // when the level was last above 0
+// overloadDetector detects the start and end of an overload for the log.
+type overloadDetector struct {
+	active      bool
+	lastRefusal time.Duration // when the level was last above 0
 }
 
-// look takes in whether the level is above 0 now.
-func (o *overload) look(now time.Duration, refusing bool) (began, over bool) {
+// observe records whether the level is above 0 now.
+func (o *overloadDetector) observe(now time.Duration, refusing bool) (started, ended bool) {
 	if refusing {
-		o.seen = now
-		began = !o.on
-		o.on = true
-		return began, false
+		o.lastRefusal = now
+		started = !o.active
+		o.active = true
+		return started, false
 	}
-	over = o.on && now-o.seen >= overloadOver
-	o.on = o.on && !over
-	return false, over
+	ended = o.active && now-o.lastRefusal >= overloadEndDelay
+	o.active = o.active && !ended
+	return false, ended
 }
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -2,62 +2,62 @@
 
 import "go.uber.org/zap"
 
-// What keeps a node from being ready, in operators' words.
+// Reasons for which a node is not ready, as shown to operators.
 const (
-	obstacleMembers  = "the other nodes are not known yet"
-	obstacleConfig   = "the newest configuration is not in force yet"
-	obstacleService  = "no set in force declares the target's service"
-	obstacleTarget   = "the target does not answer its health check"
-	obstacleLeaving  = "the target is leaving"
-	obstacleStopping = "the node is stopping"
+	notReadyMembers  = "the other nodes are not known yet"
+	notReadyConfig   = "the newest configuration is not in force yet"
+	notReadyService  = "no set in force declares the target's service"
+	notReadyTarget   = "the target does not answer its health check"
+	notReadyLeaving  = "the target is leaving"
+	notReadyStopping = "the node is stopping"
 )
 
-// open: new calls are taken, for the target too.
-func (s shown) open() bool { return s.ready && s.up && !s.leaving && !s.retires }
+// acceptsCalls reports whether new calls are accepted, including those for the target.
+func (s viewInputs) acceptsCalls() bool { return s.ready && s.targetUp && !s.leaving && !s.retiring }
 
 // logReady logs that the node has become ready, or why it no longer is.
-func (c *control) logReady(before shown) {
+func (c *control) logReady(previous viewInputs) {
 	switch {
-	case c.shown.open() && !before.open():
+	case c.published.acceptsCalls() && !previous.acceptsCalls():
 		c.log.Info("ready")
-	case !c.shown.open() && before.open():
-		c.log.Warn("not ready", zap.Strings("because", c.obstacles()))
+	case !c.published.acceptsCalls() && previous.acceptsCalls():
+		c.log.Warn("not ready", zap.Strings("because", c.notReadyReasons()))
 	}
 }
 
-// judges: calls can be judged and sent. A node that took calls before it knew
-// the configuration would refuse them as of unknown services; one that didn't
-// know the other members, for lack of targets.
-func (c *control) judges() bool {
-	_, known := c.conf.index().Service(c.self.Service)
-	known = known || c.conf.index().Routed() // a target whose service has no route has callers all the same
-	return c.membersKnown() && known && c.conf.state.Ready()
+// canRoute reports whether calls can be admitted and routed. A node that accepted calls
+// before it knew the configuration would refuse them as calls of unknown services; before
+// it knew the other members, for lack of targets.
+func (c *control) canRoute() bool {
+	_, known := c.config.index().Service(c.self.Service)
+	known = known || c.config.index().Routed() // a target whose service has no route still has callers
+	return c.membersKnown() && known && c.config.state.Ready()
 }
 
-// membersKnown reports whether the members have been known at some time. A node
-// that serves and then joins through nodes that it finds later knows no less
-// than before: taking it for new would refuse calls for nothing.
+// membersKnown reports whether the member list has ever been complete. A serving node
+// that later joins through further nodes knows no less than before; treating it as new
+// would refuse calls needlessly.
 func (c *control) membersKnown() bool {
-	c.whole = c.whole || c.state.Complete()
-	return c.whole
+	c.membersComplete = c.membersComplete || c.state.Complete()
+	return c.membersComplete
 }
 
-// obstacles returns what keeps the node from being ready for new calls; nothing
-// if it is. A balancer or operator sees only "not ready" otherwise, and the
-// remedies have nothing in common.
-func (c *control) obstacles() []string {
-	_, known := c.conf.index().Service(c.self.Service)
+// notReadyReasons returns the reasons for which the node is not ready for new calls; none
+// if it is ready. Each reason has a different remedy, which "not ready" alone would hide
+// from operators and load balancers.
+func (c *control) notReadyReasons() []string {
+	_, known := c.config.index().Service(c.self.Service)
 	var out []string
 	for _, o := range []struct {
 		holds bool
 		text  string
 	}{
-		{!c.membersKnown(), obstacleMembers},
-		{!c.conf.state.Ready(), obstacleConfig},
-		{c.conf.state.Ready() && !known && !c.conf.index().Routed(), obstacleService},
-		{!c.targetUp, obstacleTarget},
-		{c.leaving, obstacleLeaving},
-		{c.retiring, obstacleStopping},
+		{!c.membersKnown(), notReadyMembers},
+		{!c.config.state.Ready(), notReadyConfig},
+		{c.config.state.Ready() && !known && !c.config.index().Routed(), notReadyService},
+		{!c.targetUp, notReadyTarget},
+		{c.leaving, notReadyLeaving},
+		{c.retiring, notReadyStopping},
 	} {
 		if o.holds {
 			out = append(out, o.text)
--- a/internal/node/rewind_test.go
+++ b/internal/node/rewind_test.go
@@ -12,29 +12,29 @@
 	"peardrift/internal/port"
 )
 
-// Guards against a node that is in no row to join through after the store has come back
-// from a copy, since it was still away when the node looked.
-func TestRowsAreLookedAtUntilTheReturnedStoreAnswers(t *testing.T) {
+// Guards against a node that is in no seed row after the store was restored from a copy,
+// because the store was still unavailable when the node read the rows.
+func TestRejoinRetriesUntilTheRestoredStoreAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		seen := make(chan port.Rewind, 1)
-		const away = 2
-		var looks atomic.Int32
-		go rejoin(ctx, seen, time.Second, func() error {
-			if looks.Add(1) <= away {
+		rewinds := make(chan port.Rewind, 1)
+		const failures = 2
+		var joins atomic.Int32
+		go rejoin(ctx, rewinds, time.Second, func() error {
+			if joins.Add(1) <= failures {
 				return port.ErrUnavailable
 			}
 			return nil
 		})
 		time.Sleep(time.Minute)
-		is.Equal(looks.Load(), int32(0)) // the store has not returned
-		seen <- port.Rewind{}
+		is.Equal(joins.Load(), int32(0)) // the store has not been restored yet
+		rewinds <- port.Rewind{}
 		time.Sleep(time.Minute)
-		is.Equal(looks.Load(), int32(away+1))
-		seen <- port.Rewind{}
+		is.Equal(joins.Load(), int32(failures+1))
+		rewinds <- port.Rewind{}
 		time.Sleep(time.Minute)
-		is.Equal(looks.Load(), int32(away+2)) // once for each return
+		is.Equal(joins.Load(), int32(failures+2)) // once for each restore
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,29 +13,29 @@
 	"peardrift/internal/dataplane"
 )
 
-// Run joins, serves until ctx ends, and then shuts down gracefully. kill ends
-// the shutdown at once.
+// Run joins, serves until ctx ends, and then shuts down gracefully. The end of kill cuts
+// the shutdown short.
 func (n *Node) Run(ctx, kill context.Context) error {
 	if err := n.register(); err != nil {
 		return err
 	}
-	n.engine.OnCrash(n.crashed)
-	n.engine.OnOther(n.otherAnswers)
-	if n.outside == nil {
-		n.health = newHealth(n.set.Target, n.local, func(up bool) {
-			n.control.post(func() { n.control.setTarget(up) })
+	n.engine.OnCrash(n.reportCrash)
+	n.engine.OnOther(n.handleOtherInstance)
+	if n.integration == nil {
+		n.health = newHealthChecker(n.settings.Target, n.local, func(up bool) {
+			n.control.post(func() { n.control.setTargetUp(up) })
 		})
-		n.engine.OnShed(n.health.hint)
+		n.engine.OnShed(n.health.requestCheck)
 	} else {
-		n.engine.SetLifetime(dataplane.Lifetime{}) // nothing runs until the target reports
+		n.engine.SetLifetime(dataplane.Lifetime{}) // no call runs until the target reports
 	}
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
 	n.start(inner)
 	n.log.Info("serving",
-		zap.String("callers", n.faces.callers.Addr()), zap.String("nodes", n.faces.nodes.Addr()),
-		zap.String("target", n.set.Listen.Target), zap.String("control", n.ln.Addr().String()),
-		zap.String("ops", n.faces.ops.Addr()))
+		zap.String("callers", n.servers.callers.Addr()), zap.String("nodes", n.servers.nodes.Addr()),
+		zap.String("target", n.settings.Listen.Target), zap.String("control", n.controlListener.Addr().String()),
+		zap.String("ops", n.servers.ops.Addr()))
 	<-ctx.Done()
 	n.shutdown(kill)
 	stop()
@@ -45,20 +45,20 @@
 }
 
 func (n *Node) start(ctx context.Context) {
-	n.followRewinds(ctx)
-	n.run(func() { _ = n.server.Serve(n.ln) })
-	n.run(func() { n.control.loop(ctx, member.DefaultConfig().TickEvery) })
-	n.run(func() { n.join(ctx) })
+	n.watchRewinds(ctx)
+	n.spawn(func() { _ = n.server.Serve(n.controlListener) })
+	n.spawn(func() { n.control.loop(ctx, member.DefaultConfig().TickEvery) })
+	n.spawn(func() { n.join(ctx) })
 	if n.health != nil {
-		n.run(func() { n.health.run(ctx) })
+		n.spawn(func() { n.health.run(ctx) })
 	}
-	n.run(func() { every(ctx, probeEvery, func(time.Time) { n.engine.ProbeTargets(n.pool.Submit) }) })
-	for _, s := range n.faces.all() {
+	n.spawn(func() { runEvery(ctx, probeInterval, func(time.Time) { n.engine.ProbeTargets(n.pool.Submit) }) })
+	for _, s := range n.servers.all() {
 		s.Start()
 	}
 }
 
-func (n *Node) run(f func()) {
+func (n *Node) spawn(f func()) {
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
@@ -66,26 +66,25 @@
 	}()
 }
 
-// Reload takes in that the settings may have changed. They take a restart; what
-// is said is that the node has heard.
+// Reload logs that a reload was requested. Changed settings take effect at a restart only.
 func (n *Node) Reload() {
-	n.log.Info("reload", zap.String("effect", "settings take effect at the next start; sets reach the node without one"))
+	n.log.Info("reload", zap.String("effect", "settings take effect at the next start; configuration sets need no restart"))
 }
 
-// joinEvery is the time between looks for nodes to join through while the
-// platform does not answer; it doubles while it answers but names few.
-const joinEvery = time.Second
+// joinInterval is the time between reads of the seed rows while the platform does not
+// answer; it doubles while the platform answers but names few nodes.
+const joinInterval = time.Second
 
-// join announces the node: through the peers of the settings at once, and
-// through the platform as soon as it answers.
+// join joins the membership: through the settings' peers at once, and through the
+// platform as soon as it answers.
 func (n *Node) join(ctx context.Context) {
-	s := n.seeds()
+	s := n.newSeedStore()
 	var known []member.Peer
-	for _, p := range n.set.Peers {
+	for _, p := range n.settings.Peers {
 		known = append(known, member.Peer{Control: p})
 	}
 	n.joinThrough(known)
-	if n.outside != nil && n.outside.Bootstrap && !wait(ctx, rand.N(bootstrapSpread)) {
+	if n.integration != nil && n.integration.Bootstrap && !sleep(ctx, rand.N(bootstrapJitter)) {
 		return
 	}
 	for round := 0; ; round++ {
@@ -96,10 +95,10 @@
 		if err != nil {
 			n.log.Warn("no nodes from the platform", zaplog.Failure(err))
 			round = 0
-		} else if round > 0 && len(found) >= enoughSeeds || round >= joinRounds {
+		} else if round > 0 && len(found) >= enoughSeeds || round >= maxJoinRounds {
 			return
 		}
-		if !wait(ctx, joinPause(round)) {
+		if !sleep(ctx, joinDelay(round)) {
 			return
 		}
 		if !wrote && len(found) >= enoughSeeds && n.joined() {
@@ -108,36 +107,35 @@
 	}
 }
 
-// bootstrapSpread is the time over which the nodes of a fleet that starts for the
-// first time look for rows: the later ones find those of the first, and needn't
-// write or look again.
-const bootstrapSpread = 300 * time.Millisecond
+// bootstrapJitter is the time over which the nodes of a fleet that starts for the first
+// time spread their first read of the seed rows: later nodes find the rows of the first
+// ones and need not write or read again.
+const bootstrapJitter = 300 * time.Millisecond
 
-// joined reports whether other nodes have answered.
+// joined reports whether any other node has answered.
 func (n *Node) joined() bool {
 	var others int
-	n.control.ask(func() { others = count(n.control.state.Snapshot()) - 1 })
+	n.control.ask(func() { others = countActive(n.control.state.Snapshot()) - 1 })
 	return others > 0
 }
 
-// joinRounds is how often a node looks again when it found few others, or none that
-// answered, or has written a row itself. Nodes that start together find the rows
-// empty, or only those of the first few: without another look each would think that
-// it is the first, or that these few are all, and their groups would meet only by
-// chance. One that has joined through rows of others is in the groups of those, who
-// look again.
-const joinRounds = 3
+// maxJoinRounds is how often a node reads the seed rows again if it found few others, or
+// none that answered, or has written a row itself. Nodes that start together find the
+// rows empty or only those of the first few; without another read each would take itself
+// for the first, or these few for all, and the partitions would merge only by chance. A
+// node that joined through other nodes' rows is in their partition, and they read again.
+const maxJoinRounds = 3
 
-// joinPause is the time before the next look, drawn so that instances that come
-// back together don't ask the platform all at once.
-func joinPause(round int) time.Duration {
-	pause := joinEvery << min(round, joinRounds)
+// joinDelay returns the time before the next read, with jitter so that instances that
+// restart together don't call the platform at once.
+func joinDelay(round int) time.Duration {
+	pause := joinInterval << min(round, maxJoinRounds)
 	return pause + rand.N(pause)
 }
 
 func (n *Node) joinThrough(ps []member.Peer) {
 	n.control.post(func() {
-		info, ok := n.control.conf.index().Service(n.self.Service)
+		info, ok := n.control.config.index().Service(n.self.Service)
 		if !ok {
 			n.control.state.Join(ps, nil)
 			return
@@ -146,12 +144,12 @@
 	})
 }
 
-// probeEvery is the time between looks for targets that are due to be tried
-// again after their connections broke.
-const probeEvery = 100 * time.Millisecond
+// probeInterval is the time between checks for targets whose broken connections are due
+// for another attempt.
+const probeInterval = 100 * time.Millisecond
 
-// every calls f at each tick until ctx ends.
-func every(ctx context.Context, d time.Duration, f func(time.Time)) {
+// runEvery calls f at each tick until ctx ends.
+func runEvery(ctx context.Context, d time.Duration, f func(time.Time)) {
 	tick := time.NewTimer(cadence.Until(time.Now(), 0, d))
 	defer tick.Stop()
 	for {
@@ -165,44 +163,45 @@
 	}
 }
 
-// shutdown announces the leave, goes on serving while others hear of it, and
-// then waits for what runs.
+// shutdown announces the leave, keeps serving while the announcement spreads, and then
+// waits for the calls in flight.
 //
-// The order matters: a node that closed its listener first would break calls of
-// nodes that haven't heard, and one that ended before its target's calls are
-// through would leave their callers in doubt.
+// The order matters: closing the listener first would break calls of nodes that haven't
+// received the announcement, and ending before the target's calls complete would leave
+// their callers with an unknown outcome.
 func (n *Node) shutdown(kill context.Context) {
-	ctx, cancel := context.WithTimeout(kill, n.set.Shutdown.Grace)
+	ctx, cancel := context.WithTimeout(kill, n.settings.Shutdown.Grace)
 	defer cancel()
 	n.log.Info("leaving")
 	n.engine.Retire()
-	if n.outside != nil {
-		// The target lives on without its node, and others share its load only when
-		// it takes none: so it takes calls until callers have been led away.
+	if n.integration != nil {
+		// The target outlives its node, and other targets take over its load only once
+		// it accepts no calls. It therefore accepts calls until callers are redirected.
 		n.control.ask(n.control.retire)
-		wait(ctx, n.set.Shutdown.Announce)
+		sleep(ctx, n.settings.Shutdown.Announce)
 		n.control.ask(n.control.leave)
 	} else {
 		n.control.ask(n.control.leave)
-		wait(ctx, n.set.Shutdown.Announce)
+		sleep(ctx, n.settings.Shutdown.Announce)
 	}
 	n.engine.Turn()
-	n.drained(ctx)
-	n.control.ask(n.control.limits.leave)
-	n.control.ask(n.control.depart)
-	wait(ctx, departWait)
+	n.waitDrained(ctx)
+	n.control.ask(n.control.limiter.returnGrants)
+	n.control.ask(n.control.announceDeparture)
+	sleep(ctx, departureWait)
 	n.log.Info("stopped", zap.Int("calls", n.engine.InFlight()))
 }
 
-// departWait is how long the last word to other nodes may take. Without it they
-// would find out by silence, and dial a dead address meanwhile.
-const departWait = 300 * time.Millisecond
+// departureWait is the time allowed for the departure message to reach other nodes.
+// Without it they would detect the departure by missed heartbeats and dial a dead address
+// meanwhile.
+const departureWait = 300 * time.Millisecond
 
-// drained waits until no call is in flight and all claims are settled.
-func (n *Node) drained(ctx context.Context) {
-	for n.engine.InFlight() > 0 && wait(ctx, drainPoll) {
+// waitDrained waits until no call is in flight and all claims are settled.
+func (n *Node) waitDrained(ctx context.Context) {
+	for n.engine.InFlight() > 0 && sleep(ctx, drainPollInterval) {
 	}
-	for _, s := range n.faces.all() {
+	for _, s := range n.servers.all() {
 		_ = s.Shutdown(ctx)
 	}
 	if err := n.claims.Close(ctx); err != nil {
@@ -213,10 +212,10 @@
 	}
 }
 
-const drainPoll = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
-// wait sleeps, or returns false when ctx ends first.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d; it returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -227,13 +226,13 @@
 	}
 }
 
-// close releases what New took.
+// close releases the resources that New acquired.
 func (n *Node) close() {
-	for _, s := range n.faces.all() {
+	for _, s := range n.servers.all() {
 		s.Close()
 	}
-	if n.ln != nil {
-		_ = n.ln.Close()
+	if n.controlListener != nil {
+		_ = n.controlListener.Close()
 	}
 	if n.server != nil {
 		n.server.Close()
@@ -241,7 +240,7 @@
 	}
 	n.claimPeers.Close()
 	n.peers.Close()
-	n.far.Close()
+	n.crossZone.Close()
 	n.local.Close()
 	n.engine.Close()
 	n.table.Close()
--- a/internal/node/seeds.go
+++ b/internal/node/seeds.go
@@ -13,42 +13,42 @@
 	"peardrift/internal/status"
 )
 
-// seedSlots is how many rows of the platform's table name nodes to join
-// through. They bound the reads of a node that starts and the writes of all.
-const seedSlots = 16
+// seedRowCount is the number of seed rows in the platform's table. It bounds the reads of
+// a starting node and the writes of all nodes.
+const seedRowCount = 16
 
-// seedFresh is the age at which a row may be taken over by another node. Rows
-// of nodes that have gone cost a joiner one failed connection each.
-const seedFresh = 10 * time.Minute
+// seedMaxAge is the age above which another node may claim a row. Each row of a departed
+// node costs a joining node one failed connection.
+const seedMaxAge = 10 * time.Minute
 
-// seed is the value of a row.
-type seed struct {
+// seedRow is the value of a seed row.
+type seedRow struct {
 	Control string    `json:"control"`
 	Region  string    `json:"region"`
 	At      time.Time `json:"at"`
 }
 
-// seeds finds nodes to join through, and offers this one, in the platform's
-// table. None of it is needed while any peer of the settings can be reached.
-type seeds struct {
+// seedStore finds nodes to join through in the platform's table and adds this node to it.
+// It is not needed while any peer of the settings is reachable.
+type seedStore struct {
 	table port.Table
-	self  seed
+	self  seedRow
 }
 
 const seedPrefix = "seeds/"
 
 func seedKey(slot int) string { return fmt.Sprintf("%s%02d", seedPrefix, slot) }
 
-// join reads the rows in random order, so that many nodes that start together
-// spread over them, and puts this node into the first one that is free or old.
-// It returns the others' addresses, and whether it sent a write. Addresses may come
-// with an error.
-func (s *seeds) join(ctx context.Context) (found []member.Peer, wrote bool, err error) {
+// join reads the rows in random order, so that nodes that start together spread over
+// them, and writes this node into the first row that is free or older than seedMaxAge. It
+// returns the other nodes' addresses and whether it sent a write. It may return addresses
+// together with an error.
+func (s *seedStore) join(ctx context.Context) (found []member.Peer, wrote bool, err error) {
 	if l, ok := s.table.(port.Lister); ok {
-		return s.joinAtOnce(ctx, l)
+		return s.joinByList(ctx, l)
 	}
-	taken := false
-	for _, slot := range rand.Perm(seedSlots) {
+	claimed := false
+	for _, slot := range rand.Perm(seedRowCount) {
 		it, row, err := s.read(ctx, slot)
 		if err != nil {
 			return found, wrote, err
@@ -56,31 +56,31 @@
 		if row.Control != "" && row.Control != s.self.Control {
 			found = append(found, member.Peer{Control: row.Control})
 		}
-		if !taken && (row.Control == s.self.Control || time.Since(row.At) > seedFresh) {
+		if !claimed && (row.Control == s.self.Control || time.Since(row.At) > seedMaxAge) {
 			wrote = true
-			taken = s.take(ctx, seedKey(slot), it.Version) == nil
+			claimed = s.claim(ctx, seedKey(slot), it.Version) == nil
 		}
-		if taken && len(found) >= enoughSeeds {
+		if claimed && len(found) >= enoughSeeds {
 			break
 		}
 	}
 	return found, wrote, nil
 }
 
-// joinAtOnce is join with one read for all rows.
-func (s *seeds) joinAtOnce(ctx context.Context, l port.Lister) (found []member.Peer, wrote bool, err error) {
+// joinByList is join with one read for all rows.
+func (s *seedStore) joinByList(ctx context.Context, l port.Lister) (found []member.Peer, wrote bool, err error) {
 	items, err := l.List(ctx, seedPrefix)
 	if err != nil {
 		return nil, false, err
 	}
 	versions, free := make(map[string]int64), make(map[string]bool)
-	for slot := range seedSlots {
+	for slot := range seedRowCount {
 		free[seedKey(slot)] = true
 	}
 	for _, it := range items {
 		row := decodeSeed(it)
 		if row.Control == s.self.Control {
-			free = map[string]bool{it.Key: true} // its own of before, to be made young again
+			free = map[string]bool{it.Key: true} // this node's own row, which is refreshed
 			versions = map[string]int64{it.Key: it.Version}
 			continue
 		}
@@ -88,48 +88,48 @@
 			found = append(found, member.Peer{Control: row.Control})
 		}
 		versions[it.Key] = it.Version
-		if time.Since(row.At) <= seedFresh {
+		if time.Since(row.At) <= seedMaxAge {
 			delete(free, it.Key)
 		}
 	}
-	for key := range free { // in any order, so that nodes that start together spread
+	for key := range free { // random order, so that nodes that start together spread
 		wrote = true
-		_ = s.take(ctx, key, versions[key])
+		_ = s.claim(ctx, key, versions[key])
 		break
 	}
 	return found, wrote, nil
 }
 
-// enoughSeeds is how many addresses a joiner reads, if so many are there.
+// enoughSeeds is the number of addresses that a joining node reads, if there are as many.
 const enoughSeeds = 4
 
-func (s *seeds) read(ctx context.Context, slot int) (port.Item, seed, error) {
+func (s *seedStore) read(ctx context.Context, slot int) (port.Item, seedRow, error) {
 	it, err := s.table.Get(ctx, seedKey(slot))
 	if errors.Is(err, port.ErrNotFound) {
-		return port.Item{}, seed{}, nil
+		return port.Item{}, seedRow{}, nil
 	}
 	if err != nil {
-		return it, seed{}, err
+		return it, seedRow{}, err
 	}
 	return it, decodeSeed(it), nil
 }
 
-// decodeSeed reads a row. One that is not ours to read is as good as free.
-func decodeSeed(it port.Item) seed {
-	var row seed
+// decodeSeed decodes a row. A row that can't be decoded counts as free.
+func decodeSeed(it port.Item) seedRow {
+	var row seedRow
 	if json.Unmarshal(it.Value, &row) != nil {
-		return seed{}
+		return seedRow{}
 	}
 	return row
 }
 
-// take writes this node into a row if nobody else has meanwhile. A lost answer
-// does no harm: the row either names this node or doesn't.
-func (s *seeds) take(ctx context.Context, key string, version int64) error {
+// claim writes this node into a row if no other node has meanwhile. A lost response is
+// harmless: the row either names this node or doesn't.
+func (s *seedStore) claim(ctx context.Context, key string, version int64) error {
 	s.self.At = time.Now()
 	b, err := json.Marshal(s.self)
 	if err != nil {
-		return status.Wrap(status.CodeInternal, err, "encode a seed")
+		return status.Wrap(status.CodeInternal, err, "encode seed row")
 	}
 	return s.table.Put(ctx, port.Put{
 		Item:      port.Item{Key: key, Version: version + 1, Value: b, Token: s.self.Control},
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -42,23 +42,23 @@
 	return nil
 }
 
-// configService answers peers' questions for configuration. Its methods run on
-// net/rpc's goroutines.
+// configService answers peers' requests for configuration. Its methods run on net/rpc's
+// goroutines.
 type configService struct{ control *control }
 
-// Ask waits for the answer as long as the core keeps the peer waiting.
+// Ask blocks until the core replies to the peer.
 func (s *configService) Ask(in *inforce.Ask, out *inforce.Reply) error {
-	return await(s.control, out, func() <-chan inforce.Reply { return s.control.conf.asked(*in) })
+	return await(s.control, out, func() <-chan inforce.Reply { return s.control.config.handleAsk(*in) })
 }
 
-// Next waits for the answer as long as the watch keeps the child waiting.
+// Next blocks until the watch replies to the child.
 func (s *configService) Next(in *NextArgs, out *NextReply) error {
-	return await(s.control, out, func() <-chan NextReply { return s.control.conf.watch.asked(*in) })
+	return await(s.control, out, func() <-chan NextReply { return s.control.config.watch.handleAsk(*in) })
 }
 
 var errStopping = status.New(status.CodeDraining, "the node is stopping")
 
-// await puts a question on the control goroutine and waits for its answer.
+// await runs question on the control goroutine and waits for its answer.
 func await[T any](c *control, out *T, question func() <-chan T) error {
 	var answer <-chan T
 	if !c.ask(func() { answer = question() }) {
@@ -72,10 +72,10 @@
 	}
 }
 
-// suspectService takes reports of crashes from nodes of the same service.
+// suspectService receives crash reports from nodes of the same service.
 type suspectService struct{ node *Node }
 
-// Recall holds what a node that joins its service is to know.
+// Recall holds the crash reports for a node that joins its service.
 type Recall struct{ Reports []suspect.Report }
 
 // Report merges a report.
@@ -84,29 +84,29 @@
 	return nil
 }
 
-// Recall tells all that is remembered.
+// Recall returns all remembered reports.
 func (s *suspectService) Recall(_ *struct{}, out *Recall) error {
 	out.Reports = s.node.engine.KnownSuspects()
 	return nil
 }
 
-// crashed tells the other nodes of the service what was in flight when the own
-// target died. It goes to each of them directly: the caller sends the request
-// again long before gossip would have arrived.
-func (n *Node) crashed(r suspect.Report) {
+// reportCrash tells the other nodes of the service which requests were in flight when the
+// own target died. It calls each node directly, because the caller retries the request
+// long before gossip would arrive.
+func (n *Node) reportCrash(r suspect.Report) {
 	n.metrics.Counters.TargetCrashes.Inc(1)
-	n.log.Warn("target died", fieldReport(r)...)
+	n.log.Warn("target died", reportFields(r)...)
 	n.control.post(func() {
-		n.control.targetDied()
-		for _, m := range n.control.shown.members.Members(n.self.Service) {
+		n.control.handleTargetDeath()
+		for _, m := range n.control.published.members.Members(n.self.Service) {
 			if m.ID != n.self.ID && m.Status != member.Dead {
-				n.report(m.Control, r)
+				n.sendReport(m.Control, r)
 			}
 		}
 	})
 }
 
-func (n *Node) report(addr string, r suspect.Report) {
+func (n *Node) sendReport(addr string, r suspect.Report) {
 	_ = n.pool.Submit(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
@@ -114,12 +114,12 @@
 	})
 }
 
-// recall asks some node of the own service for the suspects that it knows. A
-// node that starts without them would let each suspect crash its target anew.
-func (n *Node) recall() {
+// fetchSuspects asks a node of the own service for its known suspects. Without them a
+// starting node would let each suspect request crash its target again.
+func (n *Node) fetchSuspects() {
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	for _, addr := range n.colleagues() {
+	for _, addr := range n.servicePeers() {
 		var known Recall
 		if err := n.calls.CallOnce(ctx, addr, methodRecall, &struct{}{}, &known); err != nil {
 			continue
@@ -131,8 +131,8 @@
 	}
 }
 
-// colleagues returns the control addresses of the other nodes of the service.
-func (n *Node) colleagues() []string {
+// servicePeers returns the control addresses of the other nodes of the service.
+func (n *Node) servicePeers() []string {
 	var addrs []string
 	n.control.ask(func() {
 		for _, m := range n.control.state.Snapshot().Members(n.self.Service) {
@@ -144,20 +144,20 @@
 	return addrs
 }
 
-// adminService answers the operators' tool.
+// adminService serves the operators' command-line tool.
 type adminService struct{ node *Node }
 
-// Head takes the hint that a version was accepted.
+// Head receives the hint that a version was accepted.
 func (s *adminService) Head(in *adminapi.HeadArgs, out *adminapi.HeadReply) error {
 	c := s.node.control
 	c.ask(func() {
-		c.conf.do(c.conf.state.Hint(c.now(), in.Tenant, in.Version))
-		out.InForce = c.conf.state.InForce(in.Tenant)
+		c.config.execute(c.config.state.Hint(c.now(), in.Tenant, in.Version))
+		out.InForce = c.config.state.InForce(in.Tenant)
 	})
 	return nil
 }
 
-// Status tells how the node is.
+// Status returns the node's status.
 func (s *adminService) Status(_ *adminapi.StatusArgs, out *adminapi.StatusReply) error {
 	st, ok := s.node.Status()
 	if !ok {
@@ -174,7 +174,7 @@
 	}
 	c := s.node.control
 	c.ask(func() {
-		for _, h := range c.conf.state.Known() {
+		for _, h := range c.config.state.Known() {
 			out.Tenants = append(out.Tenants, tenantStatus(c, h.Tenant, h.Version))
 		}
 	})
@@ -182,5 +182,5 @@
 }
 
 func tenantStatus(c *control, t request.Tenant, known int64) adminapi.TenantStatus {
-	return adminapi.TenantStatus{Tenant: t, InForce: c.conf.state.InForce(t), Known: known}
+	return adminapi.TenantStatus{Tenant: t, InForce: c.config.state.InForce(t), Known: known}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -13,37 +13,37 @@
 	"peardrift/internal/core/request"
 )
 
-// Status is what a node tells operators of itself.
+// Status is the node's state as shown to operators.
 type Status struct {
 	Name     string                   `json:"name"`
 	Build    buildinfo.Info           `json:"build"`
 	Service  request.Service          `json:"service"`
 	Zone     string                   `json:"zone"`
 	Ready    bool                     `json:"ready"`
-	NotReady []string                 `json:"not_ready,omitempty"` // what keeps it from being ready
+	NotReady []string                 `json:"not_ready,omitempty"` // reasons; empty if ready
 	Leaving  bool                     `json:"leaving"`
-	Members  map[string]int           `json:"members"` // by status
+	Members  map[string]int           `json:"members"` // number of members by status
 	Complete bool                     `json:"complete"`
-	Versions map[request.Tenant]int64 `json:"versions"` // in force
+	Versions map[request.Tenant]int64 `json:"versions"` // version in force by tenant
 	InFlight int                      `json:"in_flight"`
 	Gate     Gate                     `json:"gate"`
 	Control  ControlCost              `json:"control"`
 }
 
-// Gate is how the admission gate before the target stands.
+// Gate is the state of the target's admission gate.
 type Gate struct {
-	Limit      int     `json:"limit"`      // requests that may run at once
-	Running    int     `json:"running"`    // requests that run
-	Queued     int     `json:"queued"`     // requests that wait
-	Demand     float64 `json:"demand"`     // recent demand in slots
-	Level      float64 `json:"level"`      // what is less important than this is refused; 0: nothing is
-	Overloaded bool    `json:"overloaded"` // the queue stands
-	ServiceMS  float64 `json:"service_ms"` // expected time of a request on the target
-	BacklogMS  float64 `json:"backlog_ms"` // time that the queue takes
+	Limit      int     `json:"limit"`      // maximum concurrent requests
+	Running    int     `json:"running"`    // running requests
+	Queued     int     `json:"queued"`     // queued requests
+	Demand     float64 `json:"demand"`     // recent demand, in slots
+	Level      float64 `json:"level"`      // requests of lower importance are refused; 0: none are
+	Overloaded bool    `json:"overloaded"` // the queue does not drain
+	ServiceMS  float64 `json:"service_ms"` // expected service time of a request at the target
+	BacklogMS  float64 `json:"backlog_ms"` // expected time to drain the queue
 	Decisions  Counts  `json:"decisions"`
 }
 
-// Counts are the gate's final decisions since the start, by code where it refused.
+// Counts holds the gate's final decisions since the start; refusals are by code.
 type Counts struct {
 	Admitted         uint64 `json:"admitted"`
 	Overloaded       uint64 `json:"overloaded"`
@@ -67,13 +67,13 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// ControlCost is what control has cost since the start.
+// ControlCost is the control plane's traffic since the start.
 type ControlCost struct {
 	Bytes int64 `json:"bytes"` // sent and received, headers included
 	Calls int64 `json:"calls"`
 }
 
-// Status returns a snapshot; false once control has ended.
+// Status returns a snapshot; false if the control goroutine has ended.
 func (n *Node) Status() (Status, bool) {
 	s := Status{
 		Name: n.self.Name, Build: buildinfo.Read(), Service: n.self.Service, Zone: n.self.Place.Zone,
@@ -82,11 +82,11 @@
 	}
 	ok := n.control.ask(func() {
 		c := n.control
-		s.NotReady = c.obstacles()
+		s.NotReady = c.notReadyReasons()
 		s.Ready, s.Leaving, s.Complete = len(s.NotReady) == 0, c.leaving, c.state.Complete()
 		s.Control = ControlCost{Bytes: c.meter.Total(), Calls: c.meter.Calls()}
-		for _, t := range c.conf.index().Tenants() {
-			s.Versions[t] = c.conf.index().Version(t)
+		for _, t := range c.config.index().Tenants() {
+			s.Versions[t] = c.config.index().Version(t)
 		}
 		c.state.Snapshot().All(func(m member.Member) bool {
 			s.Members[m.Status.String()]++
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -10,10 +10,10 @@
 	"peardrift/internal/core/admission"
 )
 
-// Symptom: /status never shows how many requests a leaving target refused.
-// Events: it drains and refuses. Cause: the count and the state had one name in
-// the JSON that was made of the core's own struct, and the state won.
-func TestStatusShowsTheGateWholeAndByStableNames(t *testing.T) {
+// Guards against a /status that never shows how many requests a draining target refused:
+// encoded from the core's own struct, the count and the state shared one JSON key, and
+// the state won.
+func TestStatusShowsAllGateFieldsUnderStableNames(t *testing.T) {
 	is := is.New(t)
 	st := admission.Stats{
 		Counts: admission.Counts{Admitted: 1, Overloaded: 2, OverShare: 3, DeadlineShort: 4, Draining: 5, CanceledQueued: 6},
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -16,28 +16,28 @@
 	"peardrift/internal/port"
 )
 
-// inForceIn is the time for which the watch is built where the platform names none.
-const inForceIn = 3 * time.Second
+// defaultInForceIn is the value of Outside.InForceIn where the platform sets none.
+const defaultInForceIn = 3 * time.Second
 
-// NextArgs is a child's question for the next version.
+// NextArgs is a child's request for the next version.
 type NextArgs struct {
 	Ask  watch.Ask
-	Base int64 // the version from which a delta may start, 0 for the whole set
+	Base int64 // base version of a delta; 0 for the whole set
 }
 
-// NextReply answers it.
+// NextReply is the reply to NextArgs.
 type NextReply struct {
 	Reply watch.Reply
-	Set   *inforce.Reply // nil if there is nothing newer to give
+	Set   *inforce.Reply // nil if there is no newer set
 }
 
-// watcher carries out what the watch core decides: it asks the platform and the
-// parent, and answers the children. Its fields belong to the control goroutine. A
-// nil watcher does nothing.
+// watcher executes the actions of the watch core: it queries the platform and the parent,
+// and answers the children. Its fields belong to the control goroutine. The methods of a
+// nil watcher do nothing.
 type watcher struct {
 	log    *zap.Logger
 	core   *watch.State
-	conf   *configuration
+	conf   *configManager
 	sets   port.WatchedSets
 	tenant request.Tenant
 	calls  *rpc.Pool
@@ -46,66 +46,66 @@
 	post   func(func())
 	now    func() time.Duration
 
-	root    bool          // as logged last
-	stale   time.Duration // since when the mark has been stale; 0 while it is fresh
-	asks    uint64
-	answers map[uint64]pendingNext
-	lost    time.Time // since when the platform has not answered; zero while it does
+	loggedRoot bool          // the last logged role
+	staleSince time.Duration // time since which the version may be stale; 0 while it is fresh
+	lastAskID  uint64
+	pending    map[uint64]pendingNext
+	lostAt     time.Time // time since which the platform has not answered; zero while it does
 }
 
-// pendingNext is a child's question that waits for its answer.
+// pendingNext is a child's request that waits for its reply.
 type pendingNext struct {
 	args NextArgs
 	ch   chan NextReply
 }
 
 func (n *Node) newWatcher(c *control, meter *rpc.Meter) *watcher {
-	if n.outside == nil {
+	if n.integration == nil {
 		return nil
 	}
-	bound := n.outside.InForceIn
+	bound := n.integration.InForceIn
 	if bound <= 0 {
-		bound = inForceIn
+		bound = defaultInForceIn
 	}
 	start := uptime()
 	return &watcher{
-		log: n.log, conf: c.conf, sets: n.outside.Sets, tenant: n.self.Tenant,
+		log: n.log, conf: c.config, sets: n.integration.Sets, tenant: n.self.Tenant,
 		core:  watch.New(watch.ConfigFor(bound), n.self.ID, rand.New(rand.NewPCG(rand.Uint64(), uint64(n.self.ID))), 0),
 		calls: n.calls, meter: meter, submit: n.pool.Submit, post: c.post,
-		now:     func() time.Duration { return uptime() - start },
-		answers: make(map[uint64]pendingNext),
-		stale:   1, // a node that starts has no proof yet
+		now:        func() time.Duration { return uptime() - start },
+		pending:    make(map[uint64]pendingNext),
+		staleSince: 1, // a starting node can't show yet that its version is the newest
 	}
 }
 
-// tick is called at the start, before anything else asks the platform, and at each
-// tick of the control goroutine.
+// tick runs at the start, before anything else calls the platform, and at each tick of
+// the control goroutine.
 func (w *watcher) tick() {
 	if w != nil {
-		w.do(w.core.Tick(w.now()))
-		w.logState(w.now())
+		w.execute(w.core.Tick(w.now()))
+		w.logTransitions(w.now())
 	}
 }
 
-// logState tells when the node begins or ceases to ask the platform for the others,
-// and when it can't say any more that its version is the newest.
-func (w *watcher) logState(now time.Duration) {
-	if root := w.core.Root(now); root != w.root {
-		w.root = root
+// logTransitions logs when the node begins or stops querying the platform on behalf of
+// the others (the root role), and when its version becomes stale or fresh.
+func (w *watcher) logTransitions(now time.Duration) {
+	if root := w.core.Root(now); root != w.loggedRoot {
+		w.loggedRoot = root
 		w.log.Info("watch role", zap.Bool("root", root))
 	}
 	switch stale := w.core.Stale(now); {
-	case stale && w.stale == 0:
-		w.stale = max(now, 1)
-		w.log.Warn("configuration may be old", zap.Bool("root", w.root))
-	case !stale && w.stale != 0:
-		w.log.Info("configuration is the newest", zap.Duration("after", now-w.stale))
-		w.stale = 0
+	case stale && w.staleSince == 0:
+		w.staleSince = max(now, 1)
+		w.log.Warn("configuration may be old", zap.Bool("root", w.loggedRoot))
+	case !stale && w.staleSince != 0:
+		w.log.Info("configuration is the newest", zap.Duration("after", now-w.staleSince))
+		w.staleSince = 0
 	}
 }
 
-// behind reports whether the node can't show that its version is the newest.
-func (w *watcher) behind() bool { return w != nil && w.core.Stale(w.now()) }
+// isStale reports whether the node can't show that its version is the newest.
+func (w *watcher) isStale() bool { return w != nil && w.core.Stale(w.now()) }
 
 func (w *watcher) setPeers(near []inforce.Peer, complete bool) {
 	if w == nil {
@@ -115,19 +115,19 @@
 	for i, p := range near {
 		peers[i] = watch.Peer{ID: p.ID, Addr: p.Addr}
 	}
-	w.do(w.core.SetPeers(w.now(), peers, complete))
+	w.execute(w.core.SetPeers(w.now(), peers, complete))
 }
 
-// installed takes in that a version came in force, by whatever way.
-func (w *watcher) installed(h confset.Head) {
+// handleInstalled records that a version has taken effect, from whatever source.
+func (w *watcher) handleInstalled(h confset.Head) {
 	if w != nil && h.Tenant == w.tenant {
-		w.do(w.core.SetVersion(w.now(), h.Version))
+		w.execute(w.core.SetVersion(w.now(), h.Version))
 	}
 }
 
-// do carries out actions without blocking; outcomes come back by post. What finds no
-// free goroutine is dropped, and fails by its limit.
-func (w *watcher) do(actions []watch.Action) {
+// execute starts actions without blocking; results return through post. An action that
+// finds the pool full is dropped, and the core treats it as failed after its time limit.
+func (w *watcher) execute(actions []watch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case watch.AskPlatform:
@@ -136,7 +136,7 @@
 			args := NextArgs{Ask: a.Ask, Base: w.conf.state.Base(w.tenant)}
 			_ = w.submit(func() { w.askPeer(a, args) })
 		case watch.Answer:
-			w.answer(a)
+			w.sendReply(a)
 		}
 	}
 }
@@ -148,17 +148,17 @@
 	w.post(func() {
 		w.logPlatform(err)
 		if err != nil {
-			w.do(w.core.HandleFailure(w.now(), a.ID))
+			w.execute(w.core.HandleFailure(w.now(), a.ID))
 			return
 		}
 		var version int64
 		if p := change.Set; p != nil {
 			version = p.Head().Version
-			w.conf.do(w.conf.state.Offer(w.conf.now(), p))
+			w.conf.execute(w.conf.state.Offer(w.conf.now(), p))
 		} else if a.After == 0 {
-			w.conf.do(w.conf.state.OfferNone(w.conf.now()))
+			w.conf.execute(w.conf.state.OfferNone(w.conf.now()))
 		}
-		w.do(w.core.HandlePlatform(w.now(), a.ID, version, change.Quiet))
+		w.execute(w.core.HandlePlatform(w.now(), a.ID, version, change.Quiet))
 	})
 }
 
@@ -169,36 +169,36 @@
 	err := w.calls.Call(ctx, a.To.Addr, methodNext, &args, &reply)
 	w.post(func() {
 		if err != nil {
-			w.do(w.core.HandleFailure(w.now(), a.ID))
+			w.execute(w.core.HandleFailure(w.now(), a.ID))
 			return
 		}
 		w.waive(reply.Set)
 		if reply.Set != nil {
-			w.conf.do(w.conf.state.Give(w.conf.now(), w.tenant, *reply.Set))
+			w.conf.execute(w.conf.state.Give(w.conf.now(), w.tenant, *reply.Set))
 		}
-		w.do(w.core.HandleReply(w.now(), a.ID, reply.Reply))
+		w.execute(w.core.HandleReply(w.now(), a.ID, reply.Reply))
 	})
 }
 
-// asked passes a child's question to the core; the answer comes on the channel.
-func (w *watcher) asked(args NextArgs) <-chan NextReply {
+// handleAsk passes a child's request to the core; the reply arrives on the channel.
+func (w *watcher) handleAsk(args NextArgs) <-chan NextReply {
 	ch := make(chan NextReply, 1)
 	if w == nil {
 		ch <- NextReply{}
 		return ch
 	}
-	w.asks++
-	w.answers[w.asks] = pendingNext{args: args, ch: ch}
-	w.do(w.core.HandleAsk(w.now(), w.asks, args.Ask))
+	w.lastAskID++
+	w.pending[w.lastAskID] = pendingNext{args: args, ch: ch}
+	w.execute(w.core.HandleAsk(w.now(), w.lastAskID, args.Ask))
 	return ch
 }
 
-func (w *watcher) answer(a watch.Answer) {
-	p, ok := w.answers[a.ID]
+func (w *watcher) sendReply(a watch.Answer) {
+	p, ok := w.pending[a.ID]
 	if !ok {
 		return
 	}
-	delete(w.answers, a.ID)
+	delete(w.pending, a.ID)
 	r := NextReply{Reply: a.Reply}
 	if a.Reply.Version > a.Have {
 		r.Set = w.conf.state.Since(w.conf.now(), w.tenant, p.args.Base)
@@ -207,11 +207,11 @@
 	p.ch <- r
 }
 
-// nextBytes is what a question and its answer take without a set.
+// nextBytes is the size of a request and its reply without a set.
 const nextBytes = 36
 
-// waive leaves a question and its answer out of the control budget. They are what
-// brings the configuration, and go before all else that is paid from it.
+// waive excludes a request and its reply from the control budget. They deliver the
+// configuration, which has priority over everything else that the budget pays for.
 func (w *watcher) waive(set *inforce.Reply) {
 	size := nextBytes
 	if set != nil {
@@ -220,16 +220,17 @@
 	w.meter.Waive(size)
 }
 
-// logPlatform tells that the platform was lost, or for how long it had been.
+// logPlatform logs that the platform stopped answering, or for how long it had not
+// answered.
 func (w *watcher) logPlatform(err error) {
-	if (err != nil) == !w.lost.IsZero() {
+	if (err != nil) == !w.lostAt.IsZero() {
 		return
 	}
 	if err != nil {
-		w.lost = time.Now()
+		w.lostAt = time.Now()
 		w.log.Warn("store lost", zaplog.Failure(err))
 		return
 	}
-	w.log.Info("store regained", zap.Duration("after", time.Since(w.lost)))
-	w.lost = time.Time{}
+	w.log.Info("store regained", zap.Duration("after", time.Since(w.lostAt)))
+	w.lostAt = time.Time{}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -12,20 +12,20 @@
 	"peardrift/internal/core/watch"
 )
 
-type quietParent struct{}
+type stubParent struct{}
 
-func (quietParent) Next(_ *NextArgs, out *NextReply) error {
+func (stubParent) Next(_ *NextArgs, out *NextReply) error {
 	*out = NextReply{Reply: watch.Reply{Version: 12345, Marked: true, Since: -700 * time.Millisecond}}
 	return nil
 }
 
-// Guards against a node that pays for its children from the budget of the membership,
-// or gets credit for them.
-func TestWhatIsWaivedIsWhatAQuestionTakes(t *testing.T) {
+// Guards against charging a node's membership budget for its children's requests, or
+// crediting it for them.
+func TestWaivedBytesMatchTheCostOfAnAsk(t *testing.T) {
 	is := is.New(t)
 	served, called := &rpc.Meter{}, &rpc.Meter{}
 	s := rpc.NewServer(rpc.DefaultConfig(), served)
-	is.NoErr(s.Register(configName, quietParent{}))
+	is.NoErr(s.Register(configName, stubParent{}))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = s.Serve(ln) }()
@@ -36,7 +36,7 @@
 		args := NextArgs{Ask: watch.Ask{Have: 12345}, Base: 12345}
 		is.NoErr(p.Call(context.Background(), ln.Addr().String(), methodNext, &args, &NextReply{}))
 	}
-	ask() // which opens the connection
+	ask() // opens the connection
 	for _, m := range []*rpc.Meter{served, called} {
 		m.Take()
 		before := m.Total()
@@ -47,7 +47,7 @@
 			ask()
 			m.Waive(nextBytes)
 		}
-		left := m.Take() // that of the one that was not waived
+		left := m.Take() // the cost of the one request that was not waived
 		is.True(left > cost/2 && left < cost*3/2)
 	}
 }
