--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,24 +12,23 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// decoder sets a struct from a YAML tree one field at a time. The library's
-// own decoder ends at its first problem; operators would then mend a file in
-// as many rounds as it has mistakes.
+// decoder decodes a YAML tree into a struct one field at a time. The library's own decoder
+// stops at its first problem, so operators would have to fix a file one mistake at a time.
 type decoder struct {
-	problems []Problem
-	at       map[string]position // of each field that the file has
-	broken   bool                // the file could not be read as YAML
+	problems   []Problem
+	positions  map[string]position // position of each field in the file
+	unparsable bool                // the file could not be parsed as YAML
 }
 
 type position struct{ line, column int }
 
-// document sets the struct that out points to.
-func (d *decoder) document(n ast.Node, out any) {
-	d.structure("", n, reflect.ValueOf(out).Elem())
+// decodeDocument decodes n into the struct that out points to.
+func (d *decoder) decodeDocument(n ast.Node, out any) {
+	d.decodeStruct("", n, reflect.ValueOf(out).Elem())
 }
 
-// structure sets the fields of v from the mapping n.
-func (d *decoder) structure(path string, n ast.Node, v reflect.Value) {
+// decodeStruct sets the fields of v from the mapping n.
+func (d *decoder) decodeStruct(path string, n ast.Node, v reflect.Value) {
 	var values []*ast.MappingValueNode
 	switch m := n.(type) {
 	case nil, *ast.NullNode, *ast.CommentGroupNode:
@@ -42,64 +41,64 @@
 		d.report(path, n.GetToken(), "must be a mapping of keys to values")
 		return
 	}
-	fields := fieldsOf(v.Type())
+	fields := fieldsByKey(v.Type())
 	for _, value := range values {
 		key := value.Key.GetToken()
-		field := join(path, key.Value)
+		field := joinPath(path, key.Value)
 		i, ok := fields[key.Value]
 		if !ok {
 			d.report(field, key, "is not a known key")
 			continue
 		}
-		d.at[field] = position{key.Position.Line, key.Position.Column}
-		d.value(field, value.Value, v.Field(i))
+		d.positions[field] = position{key.Position.Line, key.Position.Column}
+		d.decodeValue(field, value.Value, v.Field(i))
 	}
 }
 
-// value sets one field, which is a struct or a leaf.
-func (d *decoder) value(field string, n ast.Node, v reflect.Value) {
+// decodeValue sets one field, which is a struct or a leaf.
+func (d *decoder) decodeValue(field string, n ast.Node, v reflect.Value) {
 	if v.Kind() == reflect.Struct {
-		d.structure(field, n, v)
+		d.decodeStruct(field, n, v)
 		return
 	}
 	if n == nil || n.Type() == ast.NullType {
 		return
 	}
-	if !plain(n) {
+	if !isPlain(n) {
 		d.report(field, n.GetToken(), "must be a plain value: tags, anchors and aliases aren't supported")
 		return
 	}
 	leaf := reflect.New(v.Type())
 	if truncates(n, v) || yaml.NodeToValue(n, leaf.Interface()) != nil {
-		d.report(field, n.GetToken(), "must be "+expected(v.Interface()))
+		d.report(field, n.GetToken(), "must be "+describeType(v.Interface()))
 		return
 	}
 	v.Set(leaf.Elem())
 }
 
-// plain reports whether n is a scalar or a list of scalars. The library's
-// decoder panics on some tagged values (a list field given "!x 0"), which would
-// end the process with a stack trace instead of a problem with its place.
-func plain(n ast.Node) bool {
+// isPlain reports whether n is a scalar or a list of scalars. The library's decoder panics
+// on some tagged values (such as "!x 0" for a list field), which would end the process with
+// a stack trace instead of a problem with its position.
+func isPlain(n ast.Node) bool {
 	switch n := n.(type) {
 	case *ast.SequenceNode:
-		return !slices.ContainsFunc(n.Values, func(v ast.Node) bool { return !plain(v) })
+		return !slices.ContainsFunc(n.Values, func(v ast.Node) bool { return !isPlain(v) })
 	case *ast.MappingNode, *ast.MappingValueNode:
-		return true // of the wrong kind, which the decoder says itself
+		return true // wrong type, which the decoder reports itself
 	default:
 		_, scalar := n.(ast.ScalarNode)
 		return scalar && n.Type() != ast.TagType && n.Type() != ast.AliasType && n.Type() != ast.AnchorType
 	}
 }
 
-// truncates reports whether the library would silently cut a fraction off: an
-// operator who writes 1.5 would get 1 and no word about it.
+// truncates reports whether the library would silently drop a fraction: 1.5 would become 1
+// without a problem.
 func truncates(n ast.Node, v reflect.Value) bool {
 	return n.Type() == ast.FloatType && v.CanInt()
 }
 
-// expected says in words which values fit a setting.
-func expected(setting any) string {
+// describeType describes the values that a setting accepts.
+func describeType(setting any) string {
 	switch setting.(type) {
 	case time.Duration:
 		return "a duration with its unit, such as 250ms or 5s"
@@ -108,16 +107,16 @@
 	case float64:
 		return "a number"
 	case []string:
-		return "a list of texts"
+		return "a list of strings"
 	default:
-		return "a text"
+		return "a string"
 	}
 }
 
-// broke notes why the file can't be read as YAML.
-func (d *decoder) broke(p Problem) {
+// markUnparsable records why the file can't be parsed as YAML.
+func (d *decoder) markUnparsable(p Problem) {
 	d.problems = append(d.problems, p)
-	d.broken = true
+	d.unparsable = true
 }
 
 func (d *decoder) report(field string, t *token.Token, message string) {
@@ -128,13 +127,13 @@
 	d.problems = append(d.problems, p)
 }
 
-// locate fills in where the file has the fields of ps, or the nearest section
-// around them.
-func (d *decoder) locate(ps []Problem) []Problem {
+// addPositions fills in the positions of the fields of ps in the file, or of the nearest
+// enclosing section.
+func (d *decoder) addPositions(ps []Problem) []Problem {
 	for i := range ps {
 		path := ps[i].Field
 		for path != "" && ps[i].Line == 0 {
-			at := d.at[path]
+			at := d.positions[path]
 			ps[i].Line, ps[i].Column = at.line, at.column
 			path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 		}
@@ -142,8 +141,8 @@
 	return ps
 }
 
-// problemOf turns an error of the YAML library into a problem.
-func problemOf(field string, err error) Problem {
+// yamlProblem converts an error of the YAML library into a problem.
+func yamlProblem(field string, err error) Problem {
 	p := Problem{Field: field, Message: err.Error()}
 	var e yaml.Error
 	if errors.As(err, &e) {
@@ -155,8 +154,8 @@
 	return p
 }
 
-// fieldsOf maps the keys of a struct type to its field indices.
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldsByKey maps the keys of a struct type to its field indices.
+func fieldsByKey(t reflect.Type) map[string]int {
 	m := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
 		m[t.Field(i).Tag.Get("yaml")] = i
@@ -164,7 +163,7 @@
 	return m
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/settings/default.go
+++ b/internal/settings/default.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Default returns the settings that a file is read over. They lack what each
-// node must be told: its name, region, zone, target, and the platform.
+// Default returns the default settings, which a file overrides. They lack the values that
+// each node requires: its name, region, zone, target, and the platform.
 func Default() Settings {
 	return Settings{
 		Target: Target{HealthPath: "/health", HealthPeriod: time.Second},
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -12,24 +12,24 @@
 	"github.com/matryer/is"
 )
 
-// row is a line of a table in the operators' page: key, unit, default, meaning.
-var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| ([^|]+) \\| [^|]+ \\|$")
+// tableRow matches a table row of the settings page: key, unit, default, meaning.
+var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| ([^|]+) \\| [^|]+ \\|$")
 
-// TestPageListsSettings holds the page to the code: each key once, no others,
-// and each default as it is.
-func TestPageListsSettings(t *testing.T) {
+// Checks that the settings page lists each key exactly once, no other keys, and the
+// defaults of the code.
+func TestDocumentationListsAllSettings(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/operators/settings.md")
 	is.NoErr(err)
 	documented := map[string]string{}
-	for _, m := range row.FindAllStringSubmatch(string(page), -1) {
+	for _, m := range tableRow.FindAllStringSubmatch(string(page), -1) {
 		if _, ok := documented[m[1]]; ok {
 			t.Errorf("%s is listed twice", m[1])
 		}
 		documented[m[1]] = m[2]
 	}
 	defaults := reflect.ValueOf(Default())
-	keys := leaves("", defaults.Type())
+	keys := settingKeys("", defaults.Type())
 	is.Equal(len(documented), len(keys))
 	for _, k := range keys {
 		text, ok := documented[k]
@@ -37,7 +37,7 @@
 			t.Errorf("%s is not listed", k)
 			continue
 		}
-		if v := lookup(defaults, k); !v.IsZero() && !sameDefault(strings.Trim(text, "`"), v.Interface()) {
+		if v := lookup(defaults, k); !v.IsZero() && !equalsDefault(strings.Trim(text, "`"), v.Interface()) {
 			t.Errorf("%s: the page has default %s, the code %v", k, text, v)
 		}
 	}
@@ -46,12 +46,12 @@
 // lookup returns the value of a setting by its key.
 func lookup(v reflect.Value, key string) reflect.Value {
 	for name := range strings.SplitSeq(key, ".") {
-		v = v.Field(fieldsOf(v.Type())[name])
+		v = v.Field(fieldsByKey(v.Type())[name])
 	}
 	return v
 }
 
-func sameDefault(text string, v any) bool {
+func equalsDefault(text string, v any) bool {
 	if want, ok := v.(time.Duration); ok {
 		d, err := time.ParseDuration(text)
 		return err == nil && d == want
--- a/internal/settings/files.go
+++ b/internal/settings/files.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// appendable finds files that lines or spans are to be appended to and can't be.
-// A check that passed over them would let a restart fail at the worst moment.
-func appendable(s *Settings) []Problem {
+// checkAppendable returns a problem for each log or trace file that can't be appended to.
+// Without this check the file would only fail at the restart.
+func checkAppendable(s *Settings) []Problem {
 	var ps []Problem
 	for _, f := range []struct{ field, path string }{
 		{"logs.file", s.Logs.File},
@@ -25,8 +25,8 @@
 	return ps
 }
 
-// canAppend tries to open a file as its writer will. It creates none; where there
-// is none yet, the folder must take one.
+// canAppend opens a file the way its writer does. It creates none: if the file doesn't
+// exist, its folder must be writable.
 func canAppend(path string) error {
 	info, err := os.Stat(path)
 	switch {
@@ -35,7 +35,7 @@
 	case err != nil:
 		return err
 	case !info.Mode().IsRegular() && !info.IsDir():
-		return nil // a pipe or device, which opening could disturb
+		return nil // opening a pipe or device could have side effects
 	}
 	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return f.Close()
 }
 
-// mayWrite is access(2)'s W_OK.
-const mayWrite = 2
+// accessWrite is W_OK of access(2).
+const accessWrite = 2
 
 func canCreateIn(dir string) error {
 	info, err := os.Stat(dir)
@@ -55,7 +55,7 @@
 	if !info.IsDir() {
 		return &fs.PathError{Op: "create in", Path: dir, Err: syscall.ENOTDIR}
 	}
-	if err := syscall.Access(dir, mayWrite); err != nil {
+	if err := syscall.Access(dir, accessWrite); err != nil {
 		return &fs.PathError{Op: "create in", Path: dir, Err: err}
 	}
 	return nil
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,11 +12,11 @@
 	"peardrift/internal/status"
 )
 
-// maxFileBytes bounds a file of settings; a larger one is a wrong path.
+// maxFileBytes bounds a settings file; a larger file indicates a wrong path.
 const maxFileBytes = 64 << 10
 
-// Load reads the file at path over the defaults. Its failure is an *Invalid
-// with all problems found, or a *status.Error where the file can't be read.
+// Load reads the file at path over the defaults. Its error is an *Invalid with all
+// problems found, or a *status.Error if the file can't be read.
 func Load(path string) (Settings, error) {
 	b, err := read(path)
 	if err != nil {
@@ -25,10 +25,10 @@
 	return Parse(path, b)
 }
 
-// LoadPlatform reads the section platform of the file at path over its defaults,
-// for a tool that needs nothing else. Other sections are skipped, as a node
-// checks them. What is there must be well formed; what is missing is for
-// Platform.Complete to find. It fails as Load does.
+// LoadPlatform reads the section platform of the file at path over its defaults, for tools
+// that need nothing else. Problems in other sections are ignored; a node reports them. The
+// values in the section must be well formed; Platform.Complete reports missing ones. Its
+// errors are those of Load.
 func LoadPlatform(path string) (Platform, error) {
 	b, err := read(path)
 	if err != nil {
@@ -39,12 +39,12 @@
 		return p.Field != "" && p.Field != platformKey && !strings.HasPrefix(p.Field, platformKey+".")
 	})
 	if len(ps) > 0 {
-		return Platform{}, invalid(path, ps)
+		return Platform{}, newInvalid(path, ps)
 	}
 	return s.Platform, nil
 }
 
-// read returns a file's content, at most one byte more than it may have.
+// read returns a file's content, at most maxFileBytes+1 bytes.
 func read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -58,16 +58,16 @@
 	return b, nil
 }
 
-// Parse is Load for a file's content; name is only used in problems.
+// Parse is Load for a file's content; name is used only in problems.
 func Parse(name string, content []byte) (Settings, error) {
 	s, d := decode(content)
-	if d.broken {
-		return Settings{}, invalid(name, d.problems)
+	if d.unparsable {
+		return Settings{}, newInvalid(name, d.problems)
 	}
-	ps := append(d.problems, d.locate(validate(&s))...)
-	ps = append(ps, d.locate(resolveKeys(&s.Platform, os.Getenv))...)
+	ps := append(d.problems, d.addPositions(validate(&s))...)
+	ps = append(ps, d.addPositions(resolveKeys(&s.Platform, os.Getenv))...)
 	if len(ps) > 0 {
-		return Settings{}, invalid(name, ps)
+		return Settings{}, newInvalid(name, ps)
 	}
 	if s.Node.Instance == "" {
 		s.Node.Instance = s.Node.Name
@@ -75,30 +75,30 @@
 	return s, nil
 }
 
-// decode sets what a file's content says over the defaults. Nothing is set, and
-// the decoder is broken, if the content is no YAML that can be read.
+// decode decodes a file's content over the defaults. If the content isn't valid YAML, it
+// sets nothing and the decoder is marked unparsable.
 func decode(content []byte) (Settings, *decoder) {
 	s := Default()
-	d := &decoder{at: map[string]position{}}
+	d := &decoder{positions: map[string]position{}}
 	if len(content) > maxFileBytes {
-		d.broke(Problem{Message: fmt.Sprintf("is larger than %d bytes", maxFileBytes)})
+		d.markUnparsable(Problem{Message: fmt.Sprintf("is larger than %d bytes", maxFileBytes)})
 		return s, d
 	}
-	if t := tooDeep(content); t != nil {
+	if t := findTooDeep(content); t != nil {
 		d.report("", t, fmt.Sprintf("is nested deeper than %d", maxNesting))
-		d.broken = true
+		d.unparsable = true
 		return s, d
 	}
 	file, err := parser.ParseBytes(content, 0)
 	if err != nil {
-		d.broke(problemOf("", err))
+		d.markUnparsable(yamlProblem("", err))
 		return s, d
 	}
 	if len(file.Docs) > 1 {
 		d.report("", file.Docs[1].Start, "there is more than one YAML document")
 	}
 	if len(file.Docs) > 0 {
-		d.document(file.Docs[0].Body, &s)
+		d.decodeDocument(file.Docs[0].Body, &s)
 	}
 	return s, d
 }
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -16,7 +16,7 @@
 	"peardrift/internal/status"
 )
 
-const minimal = `node: {name: feed-1, region: bangkok, zone: bangkok-a}
+const minimalYAML = `node: {name: feed-1, region: bangkok, zone: bangkok-a}
 target: {service: feed.khaosan, address: "127.0.0.1:8080"}
 platform:
   table: {endpoint: "http://127.0.0.1:8000"}
@@ -27,7 +27,7 @@
 
 func TestMinimalFileKeepsDefaults(t *testing.T) {
 	is := is.New(t)
-	got, err := Parse("node.yaml", []byte(minimal+"listen: {ops: \"127.0.0.1:0\"}\nlogs:\ntraffic: {uploadTimeout: 90s}\npeers: [\"10.0.0.1:7403\"]\n"))
+	got, err := Parse("node.yaml", []byte(minimalYAML+"listen: {ops: \"127.0.0.1:0\"}\nlogs:\ntraffic: {uploadTimeout: 90s}\npeers: [\"10.0.0.1:7403\"]\n"))
 	is.NoErr(err)
 	want := Default()
 	want.Node = Node{Name: "feed-1", Region: "bangkok", Zone: "bangkok-a", Instance: "feed-1"}
@@ -40,13 +40,13 @@
 	is.Equal(got, want)
 }
 
-func TestExampleLoads(t *testing.T) {
+func TestExampleLoadsAndListsAllSettings(t *testing.T) {
 	is := is.New(t)
 	b, err := os.ReadFile("../../examples/node.yaml")
 	is.NoErr(err)
 	_, err = Parse("node.yaml", b)
 	is.NoErr(err)
-	for _, k := range leaves("", reflect.TypeFor[Settings]()) {
+	for _, k := range settingKeys("", reflect.TypeFor[Settings]()) {
 		name := k[strings.LastIndex(k, ".")+1:]
 		if !regexp.MustCompile(`(?m)^[# ]*` + name + `:`).Match(b) {
 			t.Errorf("the example lacks %s", k)
@@ -54,14 +54,14 @@
 	}
 }
 
-// leaves returns the keys of all settings that aren't sections.
-func leaves(path string, typ reflect.Type) []string {
+// settingKeys returns the keys of all settings that aren't sections.
+func settingKeys(path string, typ reflect.Type) []string {
 	var keys []string
 	for i := range typ.NumField() {
 		f := typ.Field(i)
-		key := join(path, f.Tag.Get("yaml"))
+		key := joinPath(path, f.Tag.Get("yaml"))
 		if f.Type.Kind() == reflect.Struct {
-			keys = append(keys, leaves(key, f.Type)...)
+			keys = append(keys, settingKeys(key, f.Type)...)
 		} else {
 			keys = append(keys, key)
 		}
@@ -69,38 +69,37 @@
 	return keys
 }
 
-// Symptom: a node starts with a mistyped setting, for example on a default
-// limit. Events: an operator edits the file; the key or value is wrong.
-// Cause: a lenient decoder drops what it doesn't know.
-func TestEachProblemHasItsPlace(t *testing.T) {
+// Guards against a node that starts with a mistyped setting, for example with a default
+// limit, because a lenient decoder drops unknown keys and values.
+func TestProblemsNameTheirPosition(t *testing.T) {
 	tests := []struct{ name, yaml, want string }{
-		{"unknown key", minimal + "logs:\n  levle: info\n", "f:9:3: logs.levle is not a known key"},
-		{"unknown section", minimal + "log: {}\n", "f:8:1: log is not a known key"},
-		{"wrong type", minimal + "logs:\n  perSecond: many\n", "f:9:14: logs.perSecond must be a whole number"},
-		{"fraction for a whole number", minimal + "logs:\n  perSecond: 1.5\n", "f:9:14: logs.perSecond must be a whole number"},
-		{"section as text", minimal + "logs: info\n", "f:8:7: logs must be a mapping"},
-		{"duplicate key", minimal + "logs: {level: info}\nlogs: {level: warn}\n", "f:9:1: mapping key \"logs\" already defined"},
-		{"tagged list", minimal + "peers: !x 0\n", "f:8:8: peers must be a plain value"},
-		{"mapping for a list", minimal + "peers: {a: b}\n", "peers must be a list of texts"},
-		{"broken YAML", minimal + "logs: {level: info\n", "f:8:7: "},
-		{"two documents", minimal + "---\nlogs: {}\n", "f:8:1: there is more than one"},
-		{"host name", minimal + "listen:\n  ops: localhost:80\n", `f:9:3: listen.ops must be an IP address with a port, 0 for any free one, is "localhost:80"`},
-		{"target without port", strings.Replace(minimal, "127.0.0.1:8080", "127.0.0.1:0", 1), "f:2:33: target.address must be an IP address with a port"},
-		{"bad service", strings.Replace(minimal, "feed.khaosan", "feed", 1), `f:2:10: target.service must be a service as "service.tenant", is "feed"`},
-		{"duration without unit", minimal + "shutdown:\n  grace: 30\n", "f:9:10: shutdown.grace must be a duration with its unit"},
-		{"duration too long", minimal + "target2: {}\ntraffic:\n  idleTimeout: 2h\n", "f:10:3: traffic.idleTimeout must be at most 1h"},
-		{"grace within announce", minimal + "shutdown: {announce: 30s}\n", "shutdown.grace must be more than announce"},
-		{"same listener", minimal + "listen:\n  ops: 127.0.0.1:7400\n", `f:9:3: listen.ops takes the address of listen.callers, "127.0.0.1:7400"`},
-		{"listener under a wildcard", minimal + "listen:\n  ops: 0.0.0.0:7400\n", "f:9:3: listen.ops takes the address of listen.callers"},
-		{"nothing to advertise", minimal + "listen:\n  nodes: 0.0.0.0:7401\n", "advertise.data must be an address that other nodes can call"},
-		{"bad peer", minimal + "peers:\n  - 10.0.0.1:7403\n  - node-2:7403\n", "f:8:1: peers[1] must be an IP address with a port"},
-		{"bad level", minimal + "logs: {level: all}\n", "logs.level must be one of debug info warn error"},
-		{"no URL", strings.Replace(minimal, "http://127.0.0.1:8000", "127.0.0.1:8000", 1), "platform.table.endpoint must be an http or https URL"},
-		{"key file missing", strings.Replace(minimal, "secretKey: key-s", "secretKeyFile: /nonexistent/key", 1), "f:7:3: platform.secretKeyFile "},
-		{"folder of the log missing", minimal + "logs:\n  file: /nonexistent/log\n", "f:9:3: logs.file can't be appended to: stat /nonexistent: no such file"},
-		{"log file that is a folder", minimal + "logs: {file: /}\ntraces: {file: /nonexistent/spans}\n", "f:8:8: logs.file can't be appended to: open /: is a directory\nf:9:10: traces.file can't be"},
-		{"log file under a file", minimal + "logs: {file: load_test.go/log}\n", "f:8:8: logs.file can't be appended to: stat load_test.go/log: not a directory"},
-		{"no key", strings.Replace(minimal, "  secretKey: key-s\n", "", 1), "f:3:1: platform.secretKey is required"},
+		{"unknown key", minimalYAML + "logs:\n  levle: info\n", "f:9:3: logs.levle is not a known key"},
+		{"unknown section", minimalYAML + "log: {}\n", "f:8:1: log is not a known key"},
+		{"wrong type", minimalYAML + "logs:\n  perSecond: many\n", "f:9:14: logs.perSecond must be a whole number"},
+		{"fraction for a whole number", minimalYAML + "logs:\n  perSecond: 1.5\n", "f:9:14: logs.perSecond must be a whole number"},
+		{"section as text", minimalYAML + "logs: info\n", "f:8:7: logs must be a mapping"},
+		{"duplicate key", minimalYAML + "logs: {level: info}\nlogs: {level: warn}\n", "f:9:1: mapping key \"logs\" already defined"},
+		{"tagged list", minimalYAML + "peers: !x 0\n", "f:8:8: peers must be a plain value"},
+		{"mapping for a list", minimalYAML + "peers: {a: b}\n", "peers must be a list of strings"},
+		{"broken YAML", minimalYAML + "logs: {level: info\n", "f:8:7: "},
+		{"two documents", minimalYAML + "---\nlogs: {}\n", "f:8:1: there is more than one"},
+		{"host name", minimalYAML + "listen:\n  ops: localhost:80\n", `f:9:3: listen.ops must be an IP address with a port, 0 for any free one, is "localhost:80"`},
+		{"target without port", strings.Replace(minimalYAML, "127.0.0.1:8080", "127.0.0.1:0", 1), "f:2:33: target.address must be an IP address with a port"},
+		{"bad service", strings.Replace(minimalYAML, "feed.khaosan", "feed", 1), `f:2:10: target.service must be a service as "service.tenant", is "feed"`},
+		{"duration without unit", minimalYAML + "shutdown:\n  grace: 30\n", "f:9:10: shutdown.grace must be a duration with its unit"},
+		{"duration too long", minimalYAML + "target2: {}\ntraffic:\n  idleTimeout: 2h\n", "f:10:3: traffic.idleTimeout must be at most 1h"},
+		{"grace within announce", minimalYAML + "shutdown: {announce: 30s}\n", "shutdown.grace must be more than announce"},
+		{"same listener", minimalYAML + "listen:\n  ops: 127.0.0.1:7400\n", `f:9:3: listen.ops takes the address of listen.callers, "127.0.0.1:7400"`},
+		{"listener under a wildcard", minimalYAML + "listen:\n  ops: 0.0.0.0:7400\n", "f:9:3: listen.ops takes the address of listen.callers"},
+		{"nothing to advertise", minimalYAML + "listen:\n  nodes: 0.0.0.0:7401\n", "advertise.data must be an address that other nodes can call"},
+		{"bad peer", minimalYAML + "peers:\n  - 10.0.0.1:7403\n  - node-2:7403\n", "f:8:1: peers[1] must be an IP address with a port"},
+		{"bad level", minimalYAML + "logs: {level: all}\n", "logs.level must be one of debug info warn error"},
+		{"no URL", strings.Replace(minimalYAML, "http://127.0.0.1:8000", "127.0.0.1:8000", 1), "platform.table.endpoint must be an http or https URL"},
+		{"key file missing", strings.Replace(minimalYAML, "secretKey: key-s", "secretKeyFile: /nonexistent/key", 1), "f:7:3: platform.secretKeyFile "},
+		{"folder of the log missing", minimalYAML + "logs:\n  file: /nonexistent/log\n", "f:9:3: logs.file can't be appended to: stat /nonexistent: no such file"},
+		{"log file that is a folder", minimalYAML + "logs: {file: /}\ntraces: {file: /nonexistent/spans}\n", "f:8:8: logs.file can't be appended to: open /: is a directory\nf:9:10: traces.file can't be"},
+		{"log file under a file", minimalYAML + "logs: {file: load_test.go/log}\n", "f:8:8: logs.file can't be appended to: stat load_test.go/log: not a directory"},
+		{"no key", strings.Replace(minimalYAML, "  secretKey: key-s\n", "", 1), "f:3:1: platform.secretKey is required"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -116,21 +115,20 @@
 	}
 }
 
-// Symptom: the process is killed for its memory at the start. Events: a file of
-// a few KiB opens thousands of collections. Cause: the parser's memory goes by
-// the square of the depth.
+// Guards against a process killed for its memory at the start: a file of a few KiB can
+// nest thousands of collections, and the parser's memory is quadratic in the depth.
 func TestDeepNestingIsRefusedBeforeParsing(t *testing.T) {
 	is := is.New(t)
 	for _, open := range []string{"[", "[\n", "{a: ", "- ", "? ", "!x "} {
 		_, err := Parse("f", []byte("peers:\n  "+strings.Repeat(open, maxFileBytes/len(open)-10)))
 		is.True(err != nil)
-		is.True(strings.Contains(err.Error(), "nested deeper")) // says what is wrong
+		is.True(strings.Contains(err.Error(), "nested deeper")) // the error names the cause
 	}
 	ok := strings.Repeat("- a\n", 1000) + strings.Repeat("[", maxNesting) + strings.Repeat("]", maxNesting)
-	is.Equal(tooDeep([]byte(ok)), nil)
+	is.Equal(findTooDeep([]byte(ok)), nil)
 }
 
-func TestAllProblemsAtOnce(t *testing.T) {
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("f", []byte("node:\n  name: a b\n  colour: red\nlogs: {perSecond: no}\npeers: [x]\n"))
 	var inv *Invalid
@@ -149,7 +147,7 @@
 	keyFile := filepath.Join(dir, "key")
 	is.NoErr(os.WriteFile(keyFile, []byte("from-file\n"), 0o600))
 	t.Setenv(EnvSecretKey, "from-env")
-	y := strings.NewReplacer("accessKey: key-a", "accessKeyFile: "+keyFile, "  secretKey: key-s\n", "").Replace(minimal)
+	y := strings.NewReplacer("accessKey: key-a", "accessKeyFile: "+keyFile, "  secretKey: key-s\n", "").Replace(minimalYAML)
 	path := filepath.Join(dir, "node.yaml")
 	is.NoErr(os.WriteFile(path, []byte(y), 0o600))
 	s, err := Load(path)
@@ -168,7 +166,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(minimal)
+	f.Add(minimalYAML)
 	f.Add("peers: [[[[{a: [{b: - - ? !x &a *a\n")
 	f.Add("peers: *a\nlogs: &a {<<: *a}\n")
 	f.Add("peers: !x 0\nlogs: {level: !x [a]}\n")
--- a/internal/settings/nesting.go
+++ b/internal/settings/nesting.go
@@ -5,33 +5,33 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxNesting bounds how deep YAML collections may stand in each other; the
-// deepest of a node's settings is three.
+// maxNesting bounds the nesting depth of YAML collections; a node's settings need three
+// levels.
 const maxNesting = 16
 
-// tooDeep finds the first collection that is nested too deep. The library's
-// parser takes time and memory by the square of the depth: 32 KiB of "[" took
-// it 2 s and 1.9 GB, which on a small instance ends the process, or another
-// one, without a word about the file.
-func tooDeep(content []byte) *token.Token {
-	flow, entries := 0, 0
+// findTooDeep returns the first token that is nested too deep, nil if there is none. The
+// library's parser takes time and memory quadratic in the depth: 32 KiB of "[" took 2 s and
+// 1.9 GB, which on a small instance gets the process, or another one, killed without any
+// message about the file.
+func findTooDeep(content []byte) *token.Token {
+	flowDepth, blockDepth := 0, 0
 	for _, t := range lexer.Tokenize(string(content)) {
 		switch t.Type {
 		case token.SequenceStartType, token.MappingStartType:
-			flow++
+			flowDepth++
 		case token.SequenceEndType, token.MappingEndType:
-			flow--
+			flowDepth--
 		case token.SequenceEntryType, token.MappingKeyType, token.TagType:
-			entries++ // "- - - x" nests as "[[[x]]]" does
-			if entries > maxNesting {
+			blockDepth++ // "- - - x" nests as "[[[x]]]" does
+			if blockDepth > maxNesting {
 				return t
 			}
 			continue
 		}
-		if flow > maxNesting {
+		if flowDepth > maxNesting {
 			return t
 		}
-		entries = 0
+		blockDepth = 0
 	}
 	return nil
 }
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -9,10 +9,10 @@
 	"peardrift/internal/status"
 )
 
-// Problem is one thing wrong with a file of settings.
+// Problem is one problem in a settings file.
 type Problem struct {
-	Line, Column int    // 1-based; 0 where the file doesn't have the field
-	Field        string // as in "listen.callers"; empty for broken YAML
+	Line, Column int    // 1-based; 0 if the file lacks the field
+	Field        string // such as "listen.callers"; empty if the file isn't valid YAML
 	Message      string
 }
 
@@ -25,13 +25,13 @@
 	return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, s)
 }
 
-// Invalid is the failure of Load: all that is wrong with one file.
+// Invalid is the error of Load: all problems of one file.
 type Invalid struct {
 	File     string
-	Problems []Problem // by line and column, never empty
+	Problems []Problem // sorted by line and column, never empty
 }
 
-// Error implements error, one line a problem.
+// Error implements error, with one line per problem.
 func (e *Invalid) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -49,7 +49,7 @@
 	return status.New(status.CodeInvalidSettings, "%d problems", len(e.Problems))
 }
 
-func invalid(file string, ps []Problem) *Invalid {
+func newInvalid(file string, ps []Problem) *Invalid {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column), cmp.Compare(a.Field, b.Field))
 	})
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -9,7 +9,7 @@
 	"peardrift/internal/status"
 )
 
-// Environment variables that hold the platform's keys where the file doesn't.
+// Environment variables with the platform's keys, used if the settings don't provide them.
 const (
 	EnvAccessKey = "PEARDRIFT_ACCESS_KEY"
 	EnvSecretKey = "PEARDRIFT_SECRET_KEY"
@@ -17,13 +17,13 @@
 
 const redacted = "[redacted]"
 
-// Secret is a key that must not reach logs. Printing or encoding a whole
-// Settings value, for example in a log line at the start, would otherwise
-// publish it to all who read the logs; every usual way to print it therefore
-// yields a placeholder, and Reveal is the one way to the key.
+// Secret is a key that must not reach logs. Printing or encoding a whole Settings value,
+// for example in a start-up log line, would disclose the key to everyone who reads the
+// logs. Formatting and encoding therefore yield a placeholder, and only Reveal returns the
+// key.
 type Secret string
 
-// Reveal returns the key itself.
+// Reveal returns the key in plain text.
 func (s Secret) Reveal() string { return string(s) }
 
 // String implements fmt.Stringer.
@@ -71,11 +71,11 @@
 	return ps
 }
 
-// maxKeyBytes bounds a file that holds a key; a longer one is a wrong path.
+// maxKeyBytes bounds a key file; a longer file indicates a wrong path.
 const maxKeyBytes = 4096
 
-// readKey reads a file that holds a key. It reads no more than a key may have,
-// so that a device or a huge file by mistake costs no memory.
+// readKey reads a key file. It reads at most maxKeyBytes+1 bytes, so that a device or a
+// huge file given by mistake costs no memory.
 func readKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -12,9 +12,9 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// newValidator returns the validator with the checks that the struct tags of
-// this package name.
-var newValidator = sync.OnceValue(func() *validator.Validate {
+// settingsValidator returns the validator with the custom checks named in this package's
+// struct tags.
+var settingsValidator = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("yaml") })
 	checks := map[string]validator.Func{
@@ -30,36 +30,36 @@
 	return v
 })
 
-// isAddress reports whether s is an IP address with a port of at least
-// minPort. Host names are refused: nodes have no resolver to rely on, and a
-// name that resolves anew could move a listener or a peer unnoticed.
+// isAddress reports whether s is an IP address with a port of at least minPort. Host names
+// are rejected: nodes can't rely on a resolver, and a name that resolves differently could
+// move a listener or a peer unnoticed.
 func isAddress(s string, minPort uint16) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && a.Port() >= minPort
 }
 
-// isService reports whether s is "service.tenant".
+// isService reports whether s has the form "service.tenant".
 func isService(v *validator.Validate, s string) bool {
 	service, tenant, ok := strings.Cut(s, ".")
 	return ok && !strings.Contains(tenant, ".") &&
 		v.Var(service, "hostname_rfc1123") == nil && v.Var(tenant, "hostname_rfc1123") == nil
 }
 
-// validate returns all that is wrong with the values of s.
+// validate returns all problems of the values of s.
 func validate(s *Settings) []Problem {
-	ps := append(violations(s), distinctListeners(s.Listen)...)
-	ps = append(ps, reachable(s)...)
-	return append(ps, appendable(s)...)
+	ps := append(violations(s), checkDistinctListeners(s.Listen)...)
+	ps = append(ps, checkAdvertised(s)...)
+	return append(ps, checkAppendable(s)...)
 }
 
-// Check returns what is wrong with settings that no file holds, but for their
-// section platform, which they don't use. Its failure is an *Invalid.
+// Check validates settings that don't come from a file. It ignores their section platform,
+// which is unused, and sets Node.Instance if it is empty. Its error is an *Invalid.
 func Check(s *Settings) error {
 	ps := slices.DeleteFunc(validate(s), func(p Problem) bool {
 		return strings.HasPrefix(p.Field, platformKey+".")
 	})
 	if len(ps) > 0 {
-		return invalid("settings", ps)
+		return newInvalid("settings", ps)
 	}
 	if s.Node.Instance == "" {
 		s.Node.Instance = s.Node.Name
@@ -67,22 +67,22 @@
 	return nil
 }
 
-// violations returns what the tags of a struct's fields forbid.
+// violations returns the problems found by the validation tags of a struct.
 func violations(section any) []Problem {
 	var fields validator.ValidationErrors
-	if !errors.As(newValidator().Struct(section), &fields) {
+	if !errors.As(settingsValidator().Struct(section), &fields) {
 		return nil
 	}
 	var ps []Problem
 	for _, f := range fields {
 		_, path, _ := strings.Cut(f.Namespace(), ".")
-		ps = append(ps, Problem{Field: path, Message: message(f)})
+		ps = append(ps, Problem{Field: path, Message: violationMessage(f)})
 	}
 	return ps
 }
 
-// message says in words what a check expects.
-func message(f validator.FieldError) string {
+// violationMessage describes what a failed check expects.
+func violationMessage(f validator.FieldError) string {
 	var want string
 	switch f.Tag() {
 	case "required":
@@ -113,10 +113,10 @@
 	return fmt.Sprintf("must be %s, is %q", want, fmt.Sprint(f.Value()))
 }
 
-// distinctListeners finds listeners that take each other's address. The
-// second to open would fail, or, with one of them on all addresses, callers
-// could end up at a listener that trusts them.
-func distinctListeners(l Listen) []Problem {
+// checkDistinctListeners returns a problem for each listener whose address overlaps with
+// another's. The second one to open would fail, or, if one listens on all addresses,
+// callers could reach a listener that trusts them.
+func checkDistinctListeners(l Listen) []Problem {
 	all := []struct{ field, addr string }{
 		{"listen.callers", l.Callers},
 		{"listen.nodes", l.Nodes},
@@ -129,8 +129,8 @@
 	var ps []Problem
 	for i, a := range all {
 		for _, b := range all[:i] {
-			both := a.field == "listen.target" && b.field == "listen.callers" && a.addr == b.addr
-			if overlap(a.addr, b.addr) && !both {
+			shared := a.field == "listen.target" && b.field == "listen.callers" && a.addr == b.addr
+			if addressesOverlap(a.addr, b.addr) && !shared {
 				ps = append(ps, Problem{Field: a.field, Message: fmt.Sprintf("takes the address of %s, %q", b.field, b.addr)})
 			}
 		}
@@ -138,7 +138,7 @@
 	return ps
 }
 
-func overlap(a, b string) bool {
+func addressesOverlap(a, b string) bool {
 	x, errX := netip.ParseAddrPort(a)
 	y, errY := netip.ParseAddrPort(b)
 	if errX != nil || errY != nil || x.Port() != y.Port() || x.Port() == 0 {
@@ -147,9 +147,10 @@
 	return x.Addr() == y.Addr() || x.Addr().IsUnspecified() || y.Addr().IsUnspecified()
 }
 
-// reachable finds advertised addresses that other nodes couldn't call. Such a
-// node would join and look healthy to itself, while each call to it fails.
-func reachable(s *Settings) []Problem {
+// checkAdvertised returns a problem for each advertised address that other nodes can't
+// call. With one, a node would join and consider itself healthy while each call to it
+// fails.
+func checkAdvertised(s *Settings) []Problem {
 	pairs := []struct{ field, advertise, listen string }{
 		{"advertise.data", s.Advertise.Data, s.Listen.Nodes},
 		{"advertise.control", s.Advertise.Control, s.Listen.Control},
