--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon is peardriftd's command line: flags, signals, exit codes.
+// Package daemon implements peardriftd's command line: flags, signals, exit codes.
 //
-// The process calls Main once. It checks the settings, binds the listeners and
-// runs the node on the calling goroutine; another one waits for signals.
+// The process calls Main once. Main checks the settings, binds the listeners and runs the
+// node on the calling goroutine; other goroutines wait for signals.
 package daemon
 
 import (
@@ -25,17 +25,17 @@
 // Exit codes of peardriftd.
 const (
 	ExitOK       = 0
-	ExitFailure  = 1 // it ran and failed
-	ExitUsage    = 2 // the command line can't be used
-	ExitSettings = 3 // the settings can't be used; nothing was announced
-	ExitListen   = 4 // an address is taken; nothing was announced
+	ExitFailure  = 1 // the node failed
+	ExitUsage    = 2 // the command line is invalid
+	ExitSettings = 3 // the settings are invalid; nothing was announced
+	ExitListen   = 4 // an address is in use; nothing was announced
 )
 
 type options struct {
-	Settings string `short:"s" long:"settings" value-name:"FILE" description:"the node's settings (YAML); needed"`
+	Settings string `short:"s" long:"settings" value-name:"FILE" description:"the node's settings (YAML); required"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
-	Platform bool   `long:"platform" description:"run on the users' platform: its settings are read in place of a file"`
-	Version  bool   `long:"version" description:"show the node's own version and exit"`
+	Platform bool   `long:"platform" description:"run on the users' platform and read its settings instead of a file"`
+	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
 // Main runs peardriftd and returns its exit code.
@@ -53,13 +53,13 @@
 		return ExitOK
 	}
 	if opts.Platform {
-		return onPlatform(opts.Check, stdout, stderr)
+		return runOnPlatform(opts.Check, stdout, stderr)
 	}
 	if opts.Settings == "" {
 		fmt.Fprintln(stderr, status.New(status.CodeInvalidSettings, "--settings FILE is missing"))
 		return ExitUsage
 	}
-	set, err := settings.Load(opts.Settings)
+	cfg, err := settings.Load(opts.Settings)
 	if err != nil {
 		return fail(stderr, err)
 	}
@@ -67,12 +67,12 @@
 		fmt.Fprintf(stdout, "%s: settings are usable\n", opts.Settings)
 		return ExitOK
 	}
-	return serve(set, nil, stderr)
+	return serve(cfg, nil, stderr)
 }
 
-// onPlatform runs the node with the platform's settings.
-func onPlatform(check bool, stdout, stderr io.Writer) int {
-	set, out, err := platform.Enter()
+// runOnPlatform runs the node with the platform's settings.
+func runOnPlatform(check bool, stdout, stderr io.Writer) int {
+	cfg, integration, err := platform.Enter()
 	if err != nil {
 		return fail(stderr, err)
 	}
@@ -80,7 +80,7 @@
 		fmt.Fprintln(stdout, "the platform's settings are usable")
 		return ExitOK
 	}
-	return serve(set, out, stderr)
+	return serve(cfg, integration, stderr)
 }
 
 func usage(rest []string, err error, stdout, stderr io.Writer) int {
@@ -96,26 +96,26 @@
 	return ExitUsage
 }
 
-// serve runs the node until SIGTERM or SIGINT; a second one ends it at once.
-func serve(set settings.Settings, out *node.Outside, stderr io.Writer) int {
-	tuneGC(set.Limits.MemoryBytes)
+// serve runs the node until SIGTERM or SIGINT; a second signal ends it at once.
+func serve(cfg settings.Settings, integration *node.Outside, stderr io.Writer) int {
+	tuneGC(cfg.Limits.MemoryBytes)
 	tuneProcs()
-	// Either signal would end the process with all its calls in the middle.
-	// SIGPIPE comes of a log line written to a standard error whose reader has
-	// gone; ignored, the write fails and the line is lost. SIGHUP comes of a
-	// terminal that is closed, or of an operator who wants the settings to be
-	// read again, which takes a restart.
+	// By default SIGPIPE and SIGHUP would end the process and abort its calls. SIGPIPE
+	// results from a log line written to a standard error whose reader has gone; when it
+	// is ignored, the write fails and the line is lost. SIGHUP results from a closed
+	// terminal, or from an operator who wants to reload the settings, which requires a
+	// restart.
 	signal.Ignore(syscall.SIGPIPE)
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
-	n, err := node.New(set, out)
+	n, err := node.New(cfg, integration)
 	if err != nil {
 		return fail(stderr, err)
 	}
 	sigs := make(chan os.Signal, 2)
 	signal.Notify(sigs, syscall.SIGTERM, syscall.SIGINT)
 	ctx, stop := context.WithCancel(context.Background())
-	kill, end := context.WithCancel(context.Background())
+	killCtx, cancelKill := context.WithCancel(context.Background())
 	go func() {
 		for range hups {
 			n.Reload()
@@ -125,9 +125,9 @@
 		<-sigs
 		stop()
 		<-sigs
-		end()
+		cancelKill()
 	}()
-	if err := n.Run(ctx, kill); err != nil {
+	if err := n.Run(ctx, killCtx); err != nil {
 		return fail(stderr, err)
 	}
 	return ExitOK
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -12,7 +12,8 @@
 
 const exampleFile = "../../examples/node.yaml"
 
-// Whatever doesn't serve ends with its own code, and says why where it belongs.
+// Each invocation that doesn't serve exits with its own code and prints to one stream only:
+// results to stdout, errors to stderr.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.yaml")
@@ -22,7 +23,7 @@
 	for _, tt := range []struct {
 		args        []string
 		exit        int
-		out, errors string // parts of what is printed
+		out, errors string // substrings of the output
 	}{
 		{[]string{"--help"}, ExitOK, "--check", ""},
 		{[]string{"--version"}, ExitOK, "peardriftd ", ""},
@@ -39,6 +40,6 @@
 		if !strings.Contains(out.String(), tt.out) || !strings.Contains(errors.String(), tt.errors) {
 			t.Errorf("%v: printed %q and %q", tt.args, out.String(), errors.String())
 		}
-		is.True((out.Len() == 0) != (errors.Len() == 0)) // one of them only
+		is.True((out.Len() == 0) != (errors.Len() == 0)) // exactly one of them
 	}
 }
--- a/internal/daemon/gc.go
+++ b/internal/daemon/gc.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	// envGC is by which operators set the percentage themselves.
+	// envGC is the environment variable with which operators set the percentage.
 	envGC = "GOGC"
-	// smallGCPercent is the same where memory is bounded, and so has its price.
-	smallGCPercent = 100
-	// gcPercent is by how much the heap grows between two collections. A node's
-	// heap is small, so at the runtime's own 100 a busy one collects several
-	// times a second, and calls that are under way then wait for a processor or
-	// help to collect. docs/decisions/garbage-collection.md has the figures.
+	// boundedGCPercent is gcPercent's counterpart for processes with a memory limit,
+	// where memory is scarce.
+	boundedGCPercent = 100
+	// gcPercent is the heap growth between two collections, in percent. A node's heap
+	// is small: at the runtime's default of 100 a busy node collects several times per
+	// second, and calls in flight then wait for a processor or assist the collector.
+	// docs/decisions/garbage-collection.md has the figures.
 	gcPercent = 400
 )
 
-// memoryShare is the part of the process's memory from which on the collector
-// works harder. The rest is for what isn't on the heap: stacks of the system,
-// bytes received and not yet read.
-const memoryShare = 0.6
+// memoryLimitFraction is the fraction of the process's memory limit that is set as the
+// runtime's soft memory limit. The rest is for memory outside the heap: system stacks, and
+// bytes received but not yet read.
+const memoryLimitFraction = 0.6
 
-// tuneGC lets the heap grow more between collections, unless the environment
-// says by how much, and less as it nears the memory that the process may use; 0:
-// not known.
+// tuneGC sets the garbage collector's parameters for a memory limit in bytes; 0: unknown.
+// With a limit it sets the soft memory limit; without one it lets the heap grow more
+// between collections, unless GOGC is set.
 func tuneGC(memory int64) {
 	if memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
-		debug.SetGCPercent(smallGCPercent)
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memory)))
+		debug.SetGCPercent(boundedGCPercent)
 		return
 	}
 	if os.Getenv(envGC) == "" {
--- a/internal/daemon/procs.go
+++ b/internal/daemon/procs.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// envProcs is by which operators set the number themselves.
+	// envProcs is the environment variable with which operators set the number.
 	envProcs = "GOMAXPROCS"
-	// maxProcs is on how many processors a node's own code runs at once. By
-	// itself the runtime takes all of the machine's. A node has a few hundred
-	// calls a second, so that most of them find it idle; with many processors
-	// each then wakes further threads to look for work that isn't there, and
-	// takes them from the target. docs/decisions/processors.md has the figures.
+	// maxProcs is the maximum number of processors that run a node's Go code at once;
+	// the runtime's default is all of the machine's. At a few hundred calls per second
+	// most calls find the node idle; with many processors each call then wakes further
+	// threads that spin in search of work and take processors from the target.
+	// docs/decisions/processors.md has the figures.
 	maxProcs = 2
 )
 
-// tuneProcs bounds the processors, unless the environment says how many.
+// tuneProcs bounds GOMAXPROCS by maxProcs unless the environment sets it.
 func tuneProcs() {
 	if os.Getenv(envProcs) == "" && runtime.GOMAXPROCS(0) > maxProcs {
 		runtime.GOMAXPROCS(maxProcs)
--- a/internal/daemon/procs_test.go
+++ b/internal/daemon/procs_test.go
@@ -7,10 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a node takes its target's processors, or can't be given more.
-// Events: a node starts on a large instance, without and with a number of its
-// operators' own, or on a small one. Cause: the runtime's number stays.
-func TestProcessorsAreBoundedUnlessOperatorsSay(t *testing.T) {
+// Guards against a node that takes its target's processors because the runtime's default
+// stays in place, and against one that ignores the operators' GOMAXPROCS.
+func TestProcessorsAreBoundedUnlessTheEnvironmentSetsThem(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	t.Cleanup(func() { runtime.GOMAXPROCS(before) })
 	for name, tt := range map[string]struct {
