--- a/internal/apply/accept.go
+++ b/internal/apply/accept.go
@@ -14,14 +14,14 @@
 	"peardrift/internal/status"
 )
 
-// CodeShares: the shares of all tenants would exceed the whole.
+// CodeShares is the code of an apply after which the shares of all tenants would exceed 1.
 const CodeShares status.Code = "shares-exceeded"
 
-// shareSlack absorbs rounding in the sum of shares.
-const shareSlack = 1e-9
+// shareTolerance allows for rounding errors in the sum of shares.
+const shareTolerance = 1e-9
 
-// Conflict is the failure of an apply whose base is not the accepted version
-// any more. It matches status.CodeConflict.
+// Conflict is the error of an apply whose base is not the accepted version. It matches
+// status.CodeConflict.
 type Conflict struct {
 	Tenant  request.Tenant
 	Base    int64
@@ -30,27 +30,28 @@
 
 // Error implements error.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("the set of %s is at version %d, not %d: look at what changed and apply again on base %d",
+	return fmt.Sprintf("the set of %s is at version %d, not %d: review the changes and apply again on base %d",
 		c.Tenant, c.Current, c.Base, c.Current)
 }
 
-// Unwrap returns the typed failure that callers compare with.
+// Unwrap returns the *status.Error with status.CodeConflict.
 func (c *Conflict) Unwrap() error {
 	return status.New(status.CodeConflict, "version %d is accepted", c.Current)
 }
 
-// Accepted tells of a successful apply.
+// Accepted is the result of a successful apply.
 type Accepted struct {
 	Version int64
 	Digest  confset.Digest
-	// Settled: an earlier apply of the same set on the same base had been
-	// accepted already.
+	// Settled reports that an earlier apply of the same set on the same base was
+	// already accepted.
 	Settled bool
-	// Unchanged: the accepted version has the same content, so there is no new one.
+	// Unchanged reports that the accepted version has the same content, so that no new
+	// version was created.
 	Unchanged bool
 }
 
-// attempt is one apply under way.
+// attempt is the state of one apply.
 type attempt struct {
 	*Store
 	set    confset.Set
@@ -61,15 +62,15 @@
 	token  string
 }
 
-// Apply submits a whole set that was made from version base (0: the tenant has
-// none yet). Its failures:
+// Apply submits a whole set that is based on version base (0: the tenant has none yet).
+// Its errors:
 //
-//   - status.CodeInvalidSet: the set is not valid
-//   - *Conflict: another version than base is accepted
-//   - CodeShares: the shares of all tenants would exceed the whole
-//   - status.CodePlatformDown: the platform can't be reached, nothing was accepted
-//   - status.CodeOutcomeUnknown: it may have been accepted; asking again with the
-//     same set and base settles it
+//   - status.CodeInvalidSet: the set is invalid
+//   - *Conflict: the accepted version is not base
+//   - CodeShares: the shares of all tenants would exceed 1
+//   - status.CodePlatformDown: the platform is unreachable; nothing was accepted
+//   - status.CodeOutcomeUnknown: the set may have been accepted; applying the same
+//     set and base again resolves it
 func (s *Store) Apply(ctx context.Context, set confset.Set, base int64, by string) (Accepted, error) {
 	if ps := confset.Validate(set); len(ps) > 0 {
 		return Accepted{}, status.New(status.CodeInvalidSet, "%s: %s (%d problems in all)",
@@ -80,21 +81,21 @@
 		return Accepted{}, err
 	}
 	a := &attempt{Store: s, set: set, by: by, base: base, body: body, digest: digest, token: s.token()}
-	if done, acc, err := a.compare(ctx); done || err != nil {
+	if done, acc, err := a.checkCurrent(ctx); done || err != nil {
 		return acc, err
 	}
 	if err := a.putObject(ctx); err != nil {
 		return Accepted{}, err
 	}
-	return a.decide(ctx)
+	return a.commit(ctx)
 }
 
-// compare looks at the accepted version; done means that there is nothing to
-// write.
-func (a *attempt) compare(ctx context.Context) (done bool, acc Accepted, err error) {
+// checkCurrent compares the accepted version with the base; done means that there is
+// nothing to write.
+func (a *attempt) checkCurrent(ctx context.Context) (done bool, acc Accepted, err error) {
 	current, digest, err := a.current(ctx)
 	if err != nil {
-		return false, acc, status.Wrap(status.CodeOf(err), err, "the accepted version can't be read; nothing was written")
+		return false, acc, status.Wrap(status.CodeOf(err), err, "cannot read the accepted version; nothing was written")
 	}
 	if current == a.base {
 		acc = Accepted{Version: current, Digest: a.digest, Unchanged: true}
@@ -103,7 +104,7 @@
 	if current > a.base {
 		r, err := a.Version(ctx, a.set.Tenant, a.base+1)
 		if err != nil && !errors.Is(err, port.ErrNotFound) {
-			return false, acc, status.Wrap(status.CodeOf(err), err, "the history can't be read; nothing was written")
+			return false, acc, status.Wrap(status.CodeOf(err), err, "cannot read the history; nothing was written")
 		}
 		if err == nil && r.Digest == a.digest {
 			return true, Accepted{Version: r.Version, Digest: r.Digest, Settled: true}, nil
@@ -121,54 +122,54 @@
 	return head.Version, head.Digest, err
 }
 
-// putObject writes the set's bytes. Nothing refers to them yet, so whether a
-// lost write took effect does not matter: it is made again.
+// putObject writes the set's bytes. Nothing refers to them yet, so a write with a lost
+// response is simply repeated.
 func (a *attempt) putObject(ctx context.Context) error {
 	err := a.retry(ctx, func() error {
 		return a.objects.Put(ctx, objectName(a.set.Tenant, a.digest), a.body)
 	})
 	if err != nil {
-		return status.Wrap(status.CodePlatformDown, err, "the object store does not take the set; nothing was accepted")
+		return status.Wrap(status.CodePlatformDown, err, "cannot write the set to the object store; nothing was accepted")
 	}
 	return nil
 }
 
-// decide makes the write that decides until its outcome is known.
-func (a *attempt) decide(ctx context.Context) (Accepted, error) {
-	inDoubt := false
+// commit makes the deciding write and retries it until its outcome is known.
+func (a *attempt) commit(ctx context.Context) (Accepted, error) {
+	ambiguous := false
 	err := a.retry(ctx, func() error {
-		err := a.write(ctx)
+		err := a.writeOnce(ctx)
 		if errors.Is(err, port.ErrAmbiguous) {
-			inDoubt = true
+			ambiguous = true
 		}
-		if err == nil || (!inDoubt && !errors.Is(err, port.ErrConditionFailed)) {
+		if err == nil || (!ambiguous && !errors.Is(err, port.ErrConditionFailed)) {
 			return err
 		}
-		return a.settle(ctx, err)
+		return a.resolve(ctx, err)
 	})
 	switch {
 	case err == nil:
 		return Accepted{Version: a.base + 1, Digest: a.digest}, nil
-	case decided(err) || (final(err) && !inDoubt):
+	case isRejected(err) || (isPermanent(err) && !ambiguous):
 		return Accepted{}, err
-	case inDoubt:
+	case ambiguous:
 		return Accepted{}, status.Wrap(status.CodeOutcomeUnknown, err,
-			"the set may have been accepted as version %d; ask again with the same set and base %d", a.base+1, a.base)
+			"the set may have been accepted as version %d; apply the same set again on base %d", a.base+1, a.base)
 	default:
 		return Accepted{}, status.Wrap(status.CodePlatformDown, err, "nothing was accepted")
 	}
 }
 
-// write makes the deciding write once.
-func (a *attempt) write(ctx context.Context) error {
-	puts, err := a.puts(ctx)
+// writeOnce makes one attempt at the deciding write.
+func (a *attempt) writeOnce(ctx context.Context) error {
+	puts, err := a.buildPuts(ctx)
 	if err != nil {
 		return err
 	}
 	return a.table.PutAll(ctx, puts)
 }
 
-func (a *attempt) puts(ctx context.Context) ([]port.Put, error) {
+func (a *attempt) buildPuts(ctx context.Context) ([]port.Put, error) {
 	t, version := a.set.Tenant, a.base+1
 	value := record{
 		Digest: a.digest.String(), Object: objectName(t, a.digest), Bytes: len(a.body),
@@ -178,11 +179,11 @@
 	if err != nil {
 		return nil, err
 	}
-	past, err := encodeRow(historyKey(t, version), 1, a.token, value)
+	history, err := encodeRow(historyKey(t, version), 1, a.token, value)
 	if err != nil {
 		return nil, err
 	}
-	puts := []port.Put{{Item: head, IfVersion: a.base}, {Item: past}}
+	puts := []port.Put{{Item: head, IfVersion: a.base}, {Item: history}}
 	share, err := a.sharePut(ctx)
 	if err != nil || share == nil {
 		return puts, err
@@ -190,10 +191,10 @@
 	return append(puts, *share), nil
 }
 
-// sharePut checks the tenant's share against the whole and returns the write of
-// the ledger, nil if the share does not change. A ledger that changes between
-// this read and the write fails the write's condition, so two tenants that
-// raise their shares at the same time can't together exceed the whole.
+// sharePut checks that the sum of all shares stays within 1 and returns the write of the
+// ledger, nil if the share does not change. A ledger that changes between this read and
+// the write fails the write's condition, so two tenants that raise their shares
+// concurrently can't exceed 1 together.
 func (a *attempt) sharePut(ctx context.Context) (*port.Put, error) {
 	version, l, err := a.ledger(ctx)
 	if err != nil {
@@ -207,8 +208,8 @@
 	for _, share := range l.Shares {
 		sum += share
 	}
-	if sum > 1+shareSlack {
-		return nil, status.New(CodeShares, "the shares of all %d tenants would be %.4g with %.4g for %s; 1 is the whole",
+	if sum > 1+shareTolerance {
+		return nil, status.New(CodeShares, "the shares of all %d tenants would be %.4g with %.4g for %s; the maximum is 1",
 			len(l.Shares), sum, a.set.Share, a.set.Tenant)
 	}
 	it, err := encodeRow(sharesKey, version+1, a.token, l)
@@ -218,11 +219,11 @@
 	return &port.Put{Item: it, IfVersion: version}, nil
 }
 
-// settle finds out what became of a write that failed with cause, or of an
-// earlier one in doubt: nil if it was accepted, a *Conflict if another one was,
-// else cause, for another attempt: the head has not moved, and an earlier write
-// may still land.
-func (a *attempt) settle(ctx context.Context, cause error) error {
+// resolve determines the outcome of a write that failed with cause, or of an earlier
+// ambiguous one. It returns nil if it was accepted, a *Conflict if another set was, else
+// cause, which leads to another attempt: the head is unchanged, and an earlier write may
+// still take effect.
+func (a *attempt) resolve(ctx context.Context, cause error) error {
 	r, err := a.Version(ctx, a.set.Tenant, a.base+1)
 	switch {
 	case errors.Is(err, port.ErrNotFound):
@@ -239,16 +240,16 @@
 	return &Conflict{Tenant: a.set.Tenant, Base: a.base, Current: current}
 }
 
-// decided reports whether a failure says for certain that the set was not and
-// will not be accepted, even after a write in doubt. Of CodeShares it does: the
-// ledger has changed since that write's condition was read, so it can't land.
-func decided(err error) bool {
+// isRejected reports whether an error proves that the set was not and will not be accepted,
+// even after an ambiguous write. CodeShares does: the ledger has changed since that write's
+// condition was read, so the write can't take effect.
+func isRejected(err error) bool {
 	code := status.CodeOf(err)
 	return code == status.CodeConflict || code == CodeShares
 }
 
-// final reports whether another attempt can't change a failure.
-func final(err error) bool {
+// isPermanent reports whether a retry can't succeed after err.
+func isPermanent(err error) bool {
 	var e *status.Error
 	if !errors.As(err, &e) {
 		return false
@@ -261,17 +262,17 @@
 	}
 }
 
-// retry repeats op while its failure may pass, within the configured attempts.
+// retry repeats op while its error is transient, up to the configured attempts.
 func (a *attempt) retry(ctx context.Context, op func() error) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = a.cfg.Pause
-	pause.MaxInterval = a.cfg.MaxPause
+	policy := backoff.NewExponentialBackOff()
+	policy.InitialInterval = a.cfg.Pause
+	policy.MaxInterval = a.cfg.MaxPause
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		err := op()
-		if err != nil && final(err) {
+		if err != nil && isPermanent(err) {
 			return struct{}{}, backoff.Permanent(err)
 		}
 		return struct{}{}, err
-	}, backoff.WithBackOff(pause), backoff.WithMaxTries(uint(a.cfg.Attempts)))
+	}, backoff.WithBackOff(policy), backoff.WithMaxTries(uint(a.cfg.Attempts)))
 	return err
 }
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -16,7 +16,7 @@
 	"peardrift/internal/status"
 )
 
-// testStore returns a store over fakes whose tokens and time are fixed.
+// testStore returns a store with deterministic tokens and a fixed time.
 func testStore(table port.Table, objects port.Objects) *Store {
 	s := New(table, objects, Config{Attempts: 3, Pause: time.Nanosecond, MaxPause: time.Nanosecond})
 	n := 0
@@ -25,7 +25,7 @@
 	return s
 }
 
-// testSet returns a valid set that differs from others by its slots.
+// testSet returns a valid set; slots distinguishes it from others.
 func testSet(t request.Tenant, share float64, slots int) confset.Set {
 	return confset.Set{Tenant: t, Share: share, Services: []confset.Service{{
 		Name: "feed", Slots: slots, Connections: slots + 1000,
@@ -60,16 +60,15 @@
 
 	acc, err := s.Apply(ctx, testSet("khaosan", 0.5, 3), 3, "ada")
 	is.NoErr(err)
-	is.True(acc.Unchanged && acc.Version == 3) // the same content makes no version
+	is.True(acc.Unchanged && acc.Version == 3) // the same content creates no version
 	_, err = s.Apply(ctx, confset.Set{Tenant: "khaosan"}, 3, "ada")
 	is.Equal(status.CodeOf(err), status.CodeInvalidSet)
 	is.Equal(objects.Len(), 3)
 }
 
-// Symptom: one operator's change is gone, and nobody was told. Events: two
-// operators start from version 1 and apply different sets. Cause: the later
-// write replaced the earlier one without looking at what it started from.
-func TestSecondOperatorSeesConflict(t *testing.T) {
+// Guards against a silently lost update: two operators apply different sets based on
+// version 1, and the later write replaces the earlier one without checking its base.
+func TestApplyOnStaleBaseIsAConflict(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := testStore(porttest.NewTable(), porttest.NewObjects())
@@ -86,18 +85,16 @@
 	is.True(errors.As(err, &conflict)) // a base that was never accepted
 	acc, err := s.Apply(ctx, testSet("khaosan", 0.5, 2), 1, "ada")
 	is.NoErr(err)
-	is.True(acc.Settled) // asking again for what won is no conflict
+	is.True(acc.Settled) // repeating the accepted apply is no conflict
 }
 
-// Symptom: an operator is told that an apply failed, and it is in force; or
-// that it succeeded, and it never was. Events: the deciding write's answer, or
-// the write itself, is lost; or the write lands after its writer gave up on it.
-// Cause: a lost answer was taken for a failure, or the head that had not moved
-// yet for proof that it never will.
-func TestLostAnswers(t *testing.T) {
+// Guards against reporting failure for an apply that takes effect, or success for one that
+// doesn't: the deciding write or its response is lost or delayed, and a lost response is
+// taken for a failure, or an unchanged head for proof that the write never takes effect.
+func TestLostResponsesAreResolved(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		faults []porttest.Fault // of the deciding writes, in their order
+		faults []porttest.Fault // of the deciding writes, in order
 		want   status.Code      // "" for accepted
 	}{
 		{"answer lost", []porttest.Fault{porttest.LostAnswer}, ""},
@@ -129,18 +126,17 @@
 				is.NoErr(err)
 				is.Equal(acc.Version, int64(1))
 			}
-			acc, err = s.Apply(ctx, testSet("khaosan", 0.5, 1), 0, "ada") // asking again settles all of them
+			acc, err = s.Apply(ctx, testSet("khaosan", 0.5, 1), 0, "ada") // repeating the apply resolves all of them
 			is.NoErr(err)
 			is.Equal(acc.Version, int64(1))
 		})
 	}
 }
 
-// Symptom: an operator is told "nothing was accepted" and the set is in force.
-// Events: the write takes effect, its answer is lost, and then the platform goes
-// down, so that the row can't be read back. Cause: the read's failure was
-// reported in place of the doubt.
-func TestOutageAfterLostAnswerIsUnknown(t *testing.T) {
+// Guards against reporting "nothing was accepted" for a set in force: the write takes
+// effect, its response is lost, the platform goes down, and the failure to read the row
+// back must not replace the unknown outcome.
+func TestOutageAfterLostResponseIsUnknown(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := porttest.NewTable()
@@ -166,9 +162,9 @@
 	is.True(acc.Settled || acc.Unchanged)
 }
 
-// Symptom: a head names an object that no node can fetch. Events: the object
-// store is down while the table is up. Cause: the head was written first.
-func TestObjectFirst(t *testing.T) {
+// Guards against a head that names a missing object, which results from writing the head
+// first while the object store is down.
+func TestObjectIsWrittenBeforeHead(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table, objects := porttest.NewTable(), porttest.NewObjects()
@@ -180,7 +176,7 @@
 	is.True(errors.Is(err, port.ErrNotFound))
 }
 
-func TestSharesAreCheckedAgainstTheWhole(t *testing.T) {
+func TestSharesMustNotExceedOne(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := porttest.NewTable()
@@ -192,7 +188,7 @@
 	_, err = s.Apply(ctx, testSet("kalahari", 0.4, 1), 0, "grace")
 	is.NoErr(err)
 	_, err = s.Apply(ctx, testSet("khaosan", 0.5, 1), 1, "ada")
-	is.NoErr(err) // a tenant may give some back
+	is.NoErr(err) // a tenant may lower its share
 	_, err = s.Apply(ctx, testSet("kalahari", 0.5, 1), 1, "grace")
 	is.NoErr(err)
 }
--- a/internal/apply/doc.go
+++ b/internal/apply/doc.go
@@ -1,29 +1,27 @@
-// Package apply accepts configuration sets and reads accepted ones, over the
+// Package apply accepts configuration sets and reads accepted ones. It stores them in the
 // platform's table service and object store.
 //
 // # Rows
 //
 //	config/<tenant>/head              the version in force: digest, object, token
-//	config/<tenant>/history/<version> one for each accepted version
+//	config/<tenant>/history/<version> one row per accepted version
 //	config/shares                     the share ledger: tenant -> share
 //
-// and the object config/<tenant>/<digest> holds the set's canonical bytes.
+// The object config/<tenant>/<digest> holds the set's canonical bytes.
 //
 // # Acceptance
 //
-// The object is written first: its name has its digest, so writing it again is
-// harmless, and an object without a head is never read. Then one transaction
-// writes the head under the condition that it still has the version that the
-// operator started from, the history row under the condition that there is
-// none, and, if the tenant's share changes, the ledger under the condition that
-// it has not changed since the sum was checked. That write alone decides which
-// of several operators wins. Versions rise by one with each acceptance.
+// The object is written first: its name contains its digest, so writing it again is
+// idempotent, and an object without a head is never read. Then one transaction writes the
+// head on condition that it still has the base version, the history row on condition that
+// it doesn't exist, and, if the tenant's share changes, the ledger on condition that it has
+// not changed since the sum was checked. That transaction alone decides which of several
+// concurrent applies wins. Each acceptance increments the version by one.
 //
-// A write whose answer was lost is settled by the token in the row that it
-// would have written. Until that row exists the write may still land, so the
-// head not having moved proves nothing: the same write, with the same token, is
-// made again, and whichever of the two lands first, the version has the same
-// content.
+// A write whose response was lost is resolved by the token in the row that it would have
+// written. Until that row exists the write may still take effect, so an unchanged head
+// proves nothing: the same write is repeated with the same token, and whichever of the two
+// takes effect first, the version has the same content.
 //
-// A Store is safe for concurrent use; all methods end by ctx's deadline.
+// A Store is safe for concurrent use; all methods return by ctx's deadline.
 package apply
--- a/internal/apply/race_test.go
+++ b/internal/apply/race_test.go
@@ -16,20 +16,20 @@
 	"peardrift/internal/status"
 )
 
-// interrupted is a table that lets something else happen before each call: the
-// other operators' applies, so that they interleave in one goroutine.
-type interrupted struct {
+// interruptingTable runs a hook before each call. The hook runs other applies, so that
+// applies interleave in one goroutine.
+type interruptingTable struct {
 	port.Table
 	before      func()
 	beforeWrite func() // may be nil
 }
 
-func (i *interrupted) Get(ctx context.Context, key string) (port.Item, error) {
+func (i *interruptingTable) Get(ctx context.Context, key string) (port.Item, error) {
 	i.before()
 	return i.Table.Get(ctx, key)
 }
 
-func (i *interrupted) PutAll(ctx context.Context, ps []port.Put) error {
+func (i *interruptingTable) PutAll(ctx context.Context, ps []port.Put) error {
 	i.before()
 	if i.beforeWrite != nil {
 		i.beforeWrite()
@@ -39,20 +39,18 @@
 
 var tenants = []request.Tenant{"khaosan", "kalahari"}
 
-// operator applies one set, again and again until the outcome is known.
-type operator struct {
+// applyCall is one apply with its result.
+type applyCall struct {
 	set  confset.Set
 	base int64
 	acc  Accepted
 	err  error
 }
 
-// Symptom: two operators are both told that their set is in force, or one is
-// told of a conflict and is in force. Events: applies of several operators in
-// two tenants in any interleaving, with answers and writes lost, writes that
-// land late and outages. Cause: any step between reading the head and telling
-// the operator that trusts what it has not verified.
-func TestExactlyOneWins(t *testing.T) {
+// Guards against two applies on one base that both report success, or a conflict reported
+// for an apply that took effect. Applies for two tenants interleave at random, with lost
+// and delayed writes, lost responses and outages.
+func TestExactlyOneApplyWins(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table, objects := porttest.NewTable(), porttest.NewObjects()
 		faulty := true
@@ -66,9 +64,9 @@
 		table.SetScript(script)
 		objects.SetScript(script)
 
-		ops := drawOperators(rt)
+		ops := drawApplies(rt)
 		next := 0
-		via := &interrupted{Table: table}
+		via := &interruptingTable{Table: table}
 		s := testStore(via, objects)
 		runNext := func() {
 			op := ops[next]
@@ -89,12 +87,12 @@
 	})
 }
 
-func drawOperators(rt *rapid.T) []*operator {
-	ops := make([]*operator, rapid.IntRange(2, 6).Draw(rt, "operators"))
+func drawApplies(rt *rapid.T) []*applyCall {
+	ops := make([]*applyCall, rapid.IntRange(2, 6).Draw(rt, "operators"))
 	for i := range ops {
 		tenant := rapid.SampledFrom(tenants).Draw(rt, "tenant")
 		share := rapid.SampledFrom([]float64{0.4, 0.5, 0.7}).Draw(rt, "share")
-		ops[i] = &operator{
+		ops[i] = &applyCall{
 			set:  testSet(tenant, share, i+1),
 			base: rapid.Int64Range(0, 2).Draw(rt, "base"),
 		}
@@ -102,7 +100,7 @@
 	return ops
 }
 
-func checkOutcomes(rt *rapid.T, s *Store, ops []*operator) {
+func checkOutcomes(rt *rapid.T, s *Store, ops []*applyCall) {
 	ctx := context.Background()
 	winners := make(map[string]bool)
 	for i, op := range ops {
@@ -128,15 +126,15 @@
 			rt.Fatalf("two operators won on %s", key)
 		}
 		winners[key] = winners[key] || won
-		again, err := s.Apply(ctx, op.set, op.base, "ada")
-		if won && (err != nil || again.Version != op.base+1) {
-			rt.Fatalf("operator %d won, asking again says %v %v", i, again, err)
+		repeated, err := s.Apply(ctx, op.set, op.base, "ada")
+		if won && (err != nil || repeated.Version != op.base+1) {
+			rt.Fatalf("operator %d won, asking again says %v %v", i, repeated, err)
 		}
 	}
 	checkLedger(rt, s)
 }
 
-// checkLedger verifies that the ledger says what the heads say, within the whole.
+// checkLedger verifies that the ledger matches the heads and that its sum is at most 1.
 func checkLedger(rt *rapid.T, s *Store) {
 	_, shares, err := s.Tenants(context.Background())
 	if err != nil {
@@ -150,7 +148,7 @@
 		}
 		sum += head.Share
 	}
-	if sum > 1+shareSlack {
+	if sum > 1+shareTolerance {
 		rt.Fatalf("shares of %v in all", sum)
 	}
 }
@@ -162,14 +160,13 @@
 	return status.CodeOf(err)
 }
 
-// Symptom: the shares in force are more than the whole. Events: two tenants apply
-// their first sets with 0.6 each; the second one is accepted between the check
-// of the first one's sum and its write. Cause: the sum was checked, and then
-// written without asking whether it still was the sum.
-func TestSharesRace(t *testing.T) {
+// Guards against shares in force that exceed 1: two tenants apply their first sets with
+// 0.6 each, and the second is accepted between the first one's check of the sum and its
+// write, which must be conditional on an unchanged ledger.
+func TestConcurrentAppliesKeepShareBound(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	via := &interrupted{Table: porttest.NewTable()}
+	via := &interruptingTable{Table: porttest.NewTable()}
 	s := testStore(via, porttest.NewObjects())
 	interrupt := true
 	via.before = func() {}
--- a/internal/apply/rows.go
+++ b/internal/apply/rows.go
@@ -11,12 +11,12 @@
 	"peardrift/internal/status"
 )
 
-// sharesKey is the row of the share ledger.
+// sharesKey is the key of the share ledger's row.
 const sharesKey = "config/shares"
 
 func headKey(t request.Tenant) string { return "config/" + string(t) + "/head" }
 
-// historyKey pads the version, so that rows sort by it in the platform's tools.
+// historyKey zero-pads the version so that rows sort by version in the platform's tools.
 func historyKey(t request.Tenant, version int64) string {
 	return fmt.Sprintf("config/%s/history/%012d", t, version)
 }
@@ -25,17 +25,17 @@
 	return "config/" + string(t) + "/" + d.String()
 }
 
-// Record tells of one accepted version of a tenant's set.
+// Record describes one accepted version of a tenant's set.
 type Record struct {
 	Tenant  request.Tenant
 	Version int64
 	Digest  confset.Digest
 	Object  string    // name in the object store
-	Bytes   int       // of the canonical set
-	Share   float64   // the tenant's share as of this version
-	By      string    // who applied it, as the operator's tool was told
-	At      time.Time // the operator's clock; for people only, nothing is ordered by it
-	Token   string    // names the write that decided
+	Bytes   int       // size of the canonical encoding
+	Share   float64   // the tenant's share in this version
+	By      string    // who applied it, as given to the command-line tool
+	At      time.Time // from the operator's clock; informational, never used for ordering
+	Token   string    // identifies the deciding write
 }
 
 // record is the value of head and history rows.
@@ -48,7 +48,7 @@
 	At     time.Time `json:"at"`
 }
 
-// ledger is the value of the share ledger.
+// ledger is the value of the share ledger's row.
 type ledger struct {
 	Shares map[request.Tenant]float64 `json:"shares"`
 }
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// decodeRecord reads a head or history row as the given version.
+// decodeRecord decodes a head or history row of the given version.
 func decodeRecord(t request.Tenant, version int64, it port.Item) (Record, error) {
 	var r record
 	if err := decodeRow(it, &r); err != nil {
--- a/internal/apply/store.go
+++ b/internal/apply/store.go
@@ -15,19 +15,19 @@
 	"peardrift/internal/status"
 )
 
-// Config holds what an acceptance may spend.
+// Config holds the retry parameters of an apply.
 type Config struct {
-	// Attempts bounds how often one step (writing the object, the deciding
-	// write) is made. Default 5. Lower leaves more applies unknown or
+	// Attempts bounds the attempts at each step (writing the object, the deciding
+	// write). Default 5. Lower leaves more applies with an unknown outcome or
 	// unavailable in a short outage; higher makes an operator wait longer.
 	Attempts int
 
-	// Pause is the wait before the second attempt; it doubles, up to MaxPause,
-	// and is drawn between half and the whole of that. Default 50ms. Lower
-	// settles sooner; higher spares a platform in trouble.
+	// Pause is the delay before the second attempt. It grows by a factor of 1.5 per
+	// attempt up to MaxPause, with a jitter of 50% either way. Default 50ms. Lower
+	// resolves sooner; higher puts less load on a failing platform.
 	Pause time.Duration
 
-	// MaxPause bounds the wait between attempts. Default 1s.
+	// MaxPause bounds the delay between attempts before jitter. Default 1s.
 	MaxPause time.Duration
 }
 
@@ -36,7 +36,7 @@
 	return Config{Attempts: 5, Pause: 50 * time.Millisecond, MaxPause: time.Second}
 }
 
-// Store reads and accepts sets.
+// Store accepts sets and reads accepted ones.
 type Store struct {
 	table   port.Table
 	objects port.Objects
@@ -53,8 +53,8 @@
 // Table returns the platform's table.
 func (s *Store) Table() port.Table { return s.table }
 
-// Head returns the accepted version of a tenant's set; port.ErrNotFound if none
-// was ever accepted.
+// Head returns the accepted version of a tenant's set, or port.ErrNotFound if none was ever
+// accepted.
 func (s *Store) Head(ctx context.Context, t request.Tenant) (Record, error) {
 	it, err := s.table.Get(ctx, headKey(t))
 	if errors.Is(err, port.ErrNotFound) {
@@ -66,8 +66,7 @@
 	return decodeRecord(t, it.Version, it)
 }
 
-// Version returns what is known of one accepted version; port.ErrNotFound if
-// there is none.
+// Version returns the record of one accepted version, or port.ErrNotFound if there is none.
 func (s *Store) Version(ctx context.Context, t request.Tenant, version int64) (Record, error) {
 	it, err := s.table.Get(ctx, historyKey(t, version))
 	if errors.Is(err, port.ErrNotFound) {
@@ -79,8 +78,8 @@
 	return decodeRecord(t, version, it)
 }
 
-// History returns up to limit accepted versions, the newest first, one read for
-// each.
+// History returns up to limit accepted versions, newest first. It makes one read per
+// version.
 func (s *Store) History(ctx context.Context, t request.Tenant, limit int) ([]Record, error) {
 	head, err := s.Head(ctx, t)
 	if err != nil {
@@ -97,8 +96,8 @@
 	return out, nil
 }
 
-// Tenants returns the tenants that have an accepted set with their shares,
-// sorted; none if nothing was ever accepted.
+// Tenants returns the sorted tenants that have an accepted set, and their shares; none if
+// nothing was ever accepted.
 func (s *Store) Tenants(ctx context.Context) ([]request.Tenant, map[request.Tenant]float64, error) {
 	_, l, err := s.ledger(ctx)
 	if err != nil {
@@ -120,12 +119,12 @@
 	return set, err
 }
 
-// Body fetches the canonical bytes of an accepted set, not yet verified.
+// Body fetches the canonical bytes of an accepted set without verifying them.
 func (s *Store) Body(ctx context.Context, t request.Tenant, d confset.Digest) ([]byte, error) {
 	return s.objects.Get(ctx, objectName(t, d))
 }
 
-// ledger returns the share ledger's row version (0: no row yet) and content.
+// ledger returns the row version (0: no row yet) and the content of the share ledger.
 func (s *Store) ledger(ctx context.Context) (int64, ledger, error) {
 	l := ledger{Shares: make(map[request.Tenant]float64)}
 	it, err := s.table.Get(ctx, sharesKey)
