--- a/internal/port/porttest/doc.go
+++ b/internal/port/porttest/doc.go
@@ -1,30 +1,30 @@
-// Package porttest holds in-memory fakes of the platform for tests: a table and
-// an object store that keep the contracts of package port and can be made to
-// fail in each way that the contracts allow.
+// Package porttest provides in-memory fakes of the platform for tests: a table and an
+// object store that implement the contracts of package port and can fail in every way that
+// the contracts allow.
 //
-// They are safe for concurrent use. A Script decides about each call under the
+// The fakes are safe for concurrent use. A Script chooses the fault of each call under the
 // fake's lock, so a test with one goroutine and a seeded script is deterministic.
 package porttest
 
-// Fault is what happens to one call.
+// Fault is the fault injected into one call.
 type Fault uint8
 
 // The faults.
 const (
-	// None: the call is served.
+	// None serves the call.
 	None Fault = iota
-	// Unavailable: the platform can't be reached; nothing happens.
+	// Unavailable fails the call without any effect.
 	Unavailable
-	// LostAnswer: the write takes effect, its answer is lost.
+	// LostAnswer applies the write and loses its response.
 	LostAnswer
-	// LostRequest: the write has no effect, but its writer can't know.
+	// LostRequest drops the write; its writer can't tell.
 	LostRequest
-	// Late: the writer learns nothing, and the write is tried when the fake is
-	// next called or Flush is called.
+	// Late loses the response and delays the write until the next call of the fake or
+	// of Flush.
 	Late
 )
 
-// Op names the method of a call.
+// Op is the method of a call.
 type Op string
 
 // The methods of both fakes.
@@ -34,6 +34,6 @@
 	OpPutAll Op = "put-all"
 )
 
-// Script decides about one call by its method and its (first) key. For reads
-// every fault but None means Unavailable. A nil Script lets all pass.
+// Script chooses the fault of one call by its method and its first key. For reads every
+// fault but None acts as Unavailable. A nil Script injects no faults.
 type Script func(op Op, key string) Fault
--- a/internal/port/porttest/objects.go
+++ b/internal/port/porttest/objects.go
@@ -20,7 +20,7 @@
 // NewObjects returns an empty object store.
 func NewObjects() *Objects { return &Objects{bodies: make(map[string][]byte)} }
 
-// SetScript replaces the script; nil ends all faults. Late means LostAnswer here.
+// SetScript replaces the script; nil ends all faults. Late acts as LostAnswer here.
 func (o *Objects) SetScript(s Script) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,7 +38,7 @@
 func (o *Objects) Get(ctx context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.fault(ctx, OpGet, name) != None {
+	if o.nextFault(ctx, OpGet, name) != None {
 		return nil, port.ErrUnavailable
 	}
 	body, ok := o.bodies[name]
@@ -52,7 +52,7 @@
 func (o *Objects) Put(ctx context.Context, name string, body []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	switch o.fault(ctx, OpPut, name) {
+	switch o.nextFault(ctx, OpPut, name) {
 	case Unavailable:
 		return port.ErrUnavailable
 	case LostRequest:
@@ -66,7 +66,7 @@
 	}
 }
 
-func (o *Objects) fault(ctx context.Context, op Op, name string) Fault {
+func (o *Objects) nextFault(ctx context.Context, op Op, name string) Fault {
 	if ctx.Err() != nil {
 		return Unavailable
 	}
--- a/internal/port/porttest/table.go
+++ b/internal/port/porttest/table.go
@@ -10,11 +10,11 @@
 
 // Table is a fake port.Table.
 type Table struct {
-	mu     sync.Mutex
-	rows   map[string]port.Item
-	late   [][]port.Put
-	script Script
-	counts map[Op]int
+	mu      sync.Mutex
+	rows    map[string]port.Item
+	delayed [][]port.Put
+	script  Script
+	counts  map[Op]int
 }
 
 var _ port.Table = (*Table)(nil)
@@ -31,25 +31,25 @@
 	t.script = s
 }
 
-// Count returns how many calls of a method were made.
+// Count returns the number of calls of a method.
 func (t *Table) Count(op Op) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.counts[op]
 }
 
-// Flush tries the late writes, in their order.
+// Flush attempts the delayed writes in order.
 func (t *Table) Flush() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.flush()
+	t.flushDelayed()
 }
 
 // Get implements port.Table.
 func (t *Table) Get(ctx context.Context, key string) (port.Item, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.begin(ctx, OpGet, key) != None {
+	if t.startCall(ctx, OpGet, key) != None {
 		return port.Item{}, port.ErrUnavailable
 	}
 	it, ok := t.rows[key]
@@ -76,7 +76,7 @@
 func (t *Table) write(ctx context.Context, op Op, ps []port.Put) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	switch t.begin(ctx, op, ps[0].Item.Key) {
+	switch t.startCall(ctx, op, ps[0].Item.Key) {
 	case Unavailable:
 		return port.ErrUnavailable
 	case LostRequest:
@@ -85,7 +85,7 @@
 		t.apply(ps)
 		return port.ErrAmbiguous
 	case Late:
-		t.late = append(t.late, ps)
+		t.delayed = append(t.delayed, ps)
 		return port.ErrAmbiguous
 	default:
 		if !t.apply(ps) {
@@ -95,10 +95,10 @@
 	}
 }
 
-// begin counts a call, lets late writes land and asks the script.
-func (t *Table) begin(ctx context.Context, op Op, key string) Fault {
+// startCall counts a call, attempts the delayed writes and returns the call's fault.
+func (t *Table) startCall(ctx context.Context, op Op, key string) Fault {
 	t.counts[op]++
-	t.flush()
+	t.flushDelayed()
 	if ctx.Err() != nil {
 		return Unavailable
 	}
@@ -108,14 +108,14 @@
 	return t.script(op, key)
 }
 
-func (t *Table) flush() {
-	for _, ps := range t.late {
+func (t *Table) flushDelayed() {
+	for _, ps := range t.delayed {
 		t.apply(ps)
 	}
-	t.late = nil
+	t.delayed = nil
 }
 
-// apply does all the writes if all their conditions hold.
+// apply makes all the writes if all their conditions hold, and reports whether they did.
 func (t *Table) apply(ps []port.Put) bool {
 	for _, p := range ps {
 		row, ok := t.rows[p.Item.Key]
