--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -11,9 +11,9 @@
 	return shared.New(n.table, n.claimPeers, uint64(n.self.ID), n.pool, shared.DefaultConfig(), n.metrics.Scope())
 }
 
-// setBatchers sets the nodes that may batch claims. A leaving node is excluded because
-// it would return the claims sent to it.
-func (n *Node) setBatchers(v *member.View) {
+// updateClaimBatchers sets the nodes that may batch claims. A leaving node is excluded
+// because it would return the claims sent to it.
+func (n *Node) updateClaimBatchers(v *member.View) {
 	var ms []shared.Member
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -158,7 +158,7 @@
 	if next.members != c.published.members {
 		c.recordIncarnations(next.members)
 		c.node.updateMemberGauges(next.members)
-		c.node.setBatchers(next.members)
+		c.node.updateClaimBatchers(next.members)
 		c.limiter.setMembers(next.members)
 	}
 	if next.members != c.published.members || next.complete != c.published.complete {
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -22,8 +22,8 @@
 	shedHints chan struct{} // signals that the target rejected a call; buffer of one
 }
 
-func newHealthChecker(set settings.Target, client dataplane.Transport, report func(up bool)) *healthChecker {
-	return &healthChecker{cfg: set, client: client, report: report, shedHints: make(chan struct{}, 1)}
+func newHealthChecker(cfg settings.Target, client dataplane.Transport, report func(up bool)) *healthChecker {
+	return &healthChecker{cfg: cfg, client: client, report: report, shedHints: make(chan struct{}, 1)}
 }
 
 // failuresBeforeDown is the number of consecutive failed checks after which the target
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -53,7 +53,7 @@
 	Canceled         uint64 `json:"canceled"`
 }
 
-func gateOf(st admission.Stats) Gate {
+func newGate(st admission.Stats) Gate {
 	return Gate{
 		Limit: st.Limit, Running: st.Running, Queued: st.Queued, Demand: st.Demand,
 		Level: st.Level.AsImportance(), Overloaded: st.Active,
@@ -77,7 +77,7 @@
 func (n *Node) Status() (Status, bool) {
 	s := Status{
 		Name: n.self.Name, Build: buildinfo.Read(), Service: n.self.Service, Zone: n.self.Place.Zone,
-		InFlight: n.engine.InFlight(), Gate: gateOf(n.engine.GateStats()),
+		InFlight: n.engine.InFlight(), Gate: newGate(n.engine.GateStats()),
 		Members: make(map[string]int), Versions: make(map[request.Tenant]int64),
 	}
 	ok := n.control.ask(func() {
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -20,7 +20,7 @@
 		Limit:  7, Running: 8, Queued: 9, Level: 30<<16 + 1<<15, Active: true, Demand: 10.5,
 		Service: 1500 * time.Microsecond, Backlog: time.Second, Draining: true,
 	}
-	b, err := json.Marshal(gateOf(st))
+	b, err := json.Marshal(newGate(st))
 	is.NoErr(err)
 	is.Equal(string(b), `{"limit":7,"running":8,"queued":9,"demand":10.5,"level":30.5,"overloaded":true,`+
 		`"service_ms":1.5,"backlog_ms":1000,"decisions":{"admitted":1,"overloaded":2,"over-share":3,`+
