--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -6,14 +6,14 @@
 	"peardrift/internal/core/member"
 )
 
-func (n *Node) sharedRows() *shared.Rows {
+func (n *Node) newClaimRows() *shared.Rows {
 	n.claimPeers = rpc.NewClaimPeers(rpc.DefaultConfig())
 	return shared.New(n.table, n.claimPeers, uint64(n.self.ID), n.pool, shared.DefaultConfig(), n.metrics.Scope())
 }
 
-// setBatchers takes in who may batch claims. A node that leaves may not: it would
-// hand back what it is sent.
-func (n *Node) setBatchers(v *member.View) {
+// updateClaimBatchers sets the nodes that may batch claims. A leaving node is excluded
+// because it would return the claims sent to it.
+func (n *Node) updateClaimBatchers(v *member.View) {
 	var ms []shared.Member
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive {
