--- a/internal/adapter/hertzhttp/body.go
+++ b/internal/adapter/hertzhttp/body.go
@@ -9,37 +9,37 @@
 	"peardrift/internal/status"
 )
 
-// hertz ends a message in chunks in order also when the source of its body
-// fails. Its receiver would take the first part of an answer, or of an upload,
-// for the whole. The two readers here close the connection before the failure
-// gets to the codec, so that the end can't be written.
+// hertz writes the terminating chunk of a chunked message even when its body
+// reader fails, so the receiver would take a truncated response or upload for a
+// complete one. The two readers below close the connection before the codec sees
+// the error, so that the terminating chunk can't be written.
 
-// source is the body of an outgoing request.
-type source struct {
-	r    io.Reader
-	conn io.Closer
-	left int // bytes still to come; negative if unknown
-	err  error
+// requestBody is the body of an outgoing request.
+type requestBody struct {
+	reader    io.Reader
+	conn      io.Closer
+	remaining int // bytes not yet read; negative if unknown
+	err       error
 }
 
-// guardSource makes a request's body stream break the connection when it fails.
-func guardSource(req *protocol.Request, conn io.Closer) *source {
+// guardRequestBody closes the connection if the request's body stream fails.
+func guardRequestBody(req *protocol.Request, conn io.Closer) *requestBody {
 	if !req.IsBodyStream() {
 		return nil
 	}
 	n := req.Header.ContentLength()
-	s := &source{r: req.BodyStream(), conn: conn, left: n}
-	req.ConstructBodyStream(nil, s) // SetBodyStream would close the present one
+	s := &requestBody{reader: req.BodyStream(), conn: conn, remaining: n}
+	req.ConstructBodyStream(nil, s) // SetBodyStream would close the current stream
 	return s
 }
 
 // Read implements io.Reader.
-func (s *source) Read(p []byte) (int, error) {
-	n, err := s.r.Read(p)
-	if s.left >= 0 {
-		s.left -= n
+func (s *requestBody) Read(p []byte) (int, error) {
+	n, err := s.reader.Read(p)
+	if s.remaining >= 0 {
+		s.remaining -= n
 	}
-	if err == io.EOF && s.left > 0 {
+	if err == io.EOF && s.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil && err != io.EOF {
@@ -49,38 +49,39 @@
 	return n, err
 }
 
-// failure returns why the body failed, nil if it didn't. The peer is not to
-// blame for it.
-func (s *source) failure() error {
+// cause returns the error that ended the body early, or nil. Such an error is not
+// the peer's fault.
+func (s *requestBody) cause() error {
 	if s == nil || s.err == nil {
 		return nil
 	}
 	if status.CodeOf(s.err) == status.CodeTooLarge {
 		return s.err
 	}
-	return status.Wrap(status.CodeCanceled, s.err, "the request's body broke off")
+	return status.Wrap(status.CodeCanceled, s.err, "reading the request body failed")
 }
 
-// sink is the body of an answer on its way out.
-type sink struct {
+// responseBody is the body of a response being sent.
+type responseBody struct {
 	io.Reader
-	conn io.Closer
-	end  func()
+	conn    io.Closer
+	onClose func()
 }
 
-// guardAnswer makes an answer's body stream break the connection when it fails,
-// and calls end when it is closed. It reports whether there is such a stream.
-func guardAnswer(c *app.RequestContext, end func()) bool {
+// guardResponseBody closes the connection if the response's body stream fails, and
+// calls onClose when the stream is closed. It reports whether the response has a
+// body stream.
+func guardResponseBody(c *app.RequestContext, end func()) bool {
 	if !c.Response.IsBodyStream() {
 		return false
 	}
-	s := &sink{Reader: c.Response.BodyStream(), conn: c.GetConn(), end: end}
+	s := &responseBody{Reader: c.Response.BodyStream(), conn: c.GetConn(), onClose: end}
 	c.Response.SetBodyStreamNoReset(s, c.Response.Header.ContentLength())
 	return true
 }
 
 // Read implements io.Reader.
-func (s *sink) Read(p []byte) (int, error) {
+func (s *responseBody) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if err != nil && err != io.EOF {
 		_ = s.conn.Close()
@@ -89,8 +90,8 @@
 }
 
 // Close implements io.Closer.
-func (s *sink) Close() error {
-	defer s.end()
+func (s *responseBody) Close() error {
+	defer s.onClose()
 	if c, ok := s.Reader.(io.Closer); ok {
 		return c.Close()
 	}
--- a/internal/adapter/hertzhttp/body_test.go
+++ b/internal/adapter/hertzhttp/body_test.go
@@ -13,11 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a planned stop cuts long downloads.
-// Events: a server is told to stop while an answer is being streamed, after its
-// handler has returned.
-// Cause: only requests in the handler are waited for.
-func TestShutdownWaitsForAStreamedAnswer(t *testing.T) {
+// A shutdown must wait for a response that is still streamed after its handler has
+// returned, not only for requests in the handler.
+func TestShutdownWaitsForStreamedResponse(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe()
 	s, err := Listen("127.0.0.1:0", DefaultServerConfig(), func(_ context.Context, c *app.RequestContext) {
@@ -28,11 +26,11 @@
 	go func() { _, _ = io.WriteString(w, "the first, ") }()
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
-	res, err := cl.Do(context.Background(), s.Addr(), get("/"), &protocol.Response{})
+	res, err := cl.Do(context.Background(), s.Addr(), newGet("/"), &protocol.Response{})
 	is.NoErr(err)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	is.True(s.Shutdown(ctx) != nil) // still writing
+	is.True(s.Shutdown(ctx) != nil) // still streaming
 	stopped := make(chan error)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
 	go func() {
@@ -46,10 +44,10 @@
 	is.NoErr(<-stopped)
 }
 
-// Symptom: an upload that a target turned away at once is in doubt.
-// Events: a target answers 503 and closes the connection while the body is
-// still being sent. Cause: the failed write hides the answer that is there.
-func TestAnswerBeforeTheBodyIsSent(t *testing.T) {
+// A target may answer 503 and close the connection while the body is being sent.
+// The write error must not hide that response, or the outcome of the upload would
+// be unknown.
+func TestResponseBeforeBodyIsSent(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -61,14 +59,14 @@
 				return
 			}
 			_, _ = c.Read(make([]byte, 100))
-			write(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nbusy")
-			_ = c.Close() // with much unread: a reset
+			writeString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nbusy")
+			_ = c.Close() // resets the connection, since much is unread
 		}
 	}()
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
 	for range 20 {
-		req := get("/")
+		req := newGet("/")
 		req.Header.SetMethod("POST")
 		req.SetBodyStream(bytes.NewReader(make([]byte, 8<<20)), 8<<20)
 		var resp protocol.Response
@@ -77,6 +75,6 @@
 		is.True(res.Stream == nil)
 		is.Equal(resp.StatusCode(), 503)
 		is.Equal(string(resp.Body()), "busy")
-		is.Equal(cl.pool(ln.Addr().String()).open(), 0)
+		is.Equal(cl.pool(ln.Addr().String()).openCount(), 0)
 	}
 }
--- a/internal/adapter/hertzhttp/client_test.go
+++ b/internal/adapter/hertzhttp/client_test.go
@@ -17,14 +17,13 @@
 	"peardrift/internal/status"
 )
 
-// peer serves each connection with script, which gets each request read.
-func peer(t *testing.T, script func(n int, c net.Conn, r *http.Request)) string {
-	return accepting(t, func(n int, c net.Conn) { serveScript(n, c, script) })
+// startPeer calls script for each request that it reads and returns its address.
+func startPeer(t *testing.T, script func(n int, c net.Conn, r *http.Request)) string {
+	return acceptEach(t, func(n int, c net.Conn) { serveScript(n, c, script) })
 }
 
-// accepting serves each connection on a goroutine of its own and returns the
-// address.
-func accepting(t *testing.T, serve func(n int, c net.Conn)) string {
+// acceptEach serves each connection on its own goroutine and returns the address.
+func acceptEach(t *testing.T, serve func(n int, c net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +54,7 @@
 	}
 }
 
-func get(path string) *protocol.Request {
+func newGet(path string) *protocol.Request {
 	req := &protocol.Request{}
 	req.Header.SetMethod("GET")
 	req.Header.SetRequestURI(path)
@@ -63,19 +62,17 @@
 	return req
 }
 
-func write(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
+func writeString(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
 
-// Symptom: a GET runs twice although nobody retried it.
-// Events: a pooled connection is closed by the peer just after the second call
-// was written on it.
-// Cause: an HTTP client repeats idempotent calls on its own.
-func TestNoRepeatOnAConnectionClosedByThePeer(t *testing.T) {
+// The client must not repeat a request, not even an idempotent one, when the peer
+// closes a pooled connection just after the request was written.
+func TestNoRepeatOnConnectionClosedByPeer(t *testing.T) {
 	is := is.New(t)
 	seen := make(chan string, 10)
-	addr := peer(t, func(n int, c net.Conn, r *http.Request) {
+	addr := startPeer(t, func(n int, c net.Conn, r *http.Request) {
 		seen <- r.URL.Path
 		if r.URL.Path == "/first" {
-			write(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+			writeString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			return
 		}
 		_ = c.Close()
@@ -83,33 +80,31 @@
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
 	var resp protocol.Response
-	_, err := cl.Do(context.Background(), addr, get("/first"), &resp)
+	_, err := cl.Do(context.Background(), addr, newGet("/first"), &resp)
 	is.NoErr(err)
-	res, err := cl.Do(context.Background(), addr, get("/second"), &resp)
+	res, err := cl.Do(context.Background(), addr, newGet("/second"), &resp)
 	is.Equal(status.CodeOf(err), status.CodeConnectionLost)
 	is.True(res.Sent && res.Reused)
 	is.Equal(<-seen, "/first")
 	is.Equal(<-seen, "/second")
-	is.Equal(len(seen), 0) // not sent again
+	is.Equal(len(seen), 0) // not repeated
 }
 
-func TestNothingSentWithoutAConnection(t *testing.T) {
+func TestNothingSentWithoutConnection(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	_ = ln.Close()
 	cl := NewClient(DefaultClientConfig())
-	res, err := cl.Do(context.Background(), addr, get("/"), &protocol.Response{})
+	res, err := cl.Do(context.Background(), addr, newGet("/"), &protocol.Response{})
 	is.Equal(status.CodeOf(err), status.CodeConnectFailed)
-	is.True(!res.Sent) // the call may be refused as not run
+	is.True(!res.Sent) // may be reported as not executed
 }
 
-// Symptom: a request crashes more targets than it may, as some crashes are not
-// counted.
-// Events: a target dies; its node looks at once whether it still takes
-// connections. Cause: a dying process's listener takes some until it is closed,
-// and resets them.
+// The listener of a dying process accepts connections until it is closed, and
+// resets them. If they counted as reachable, crashes of targets would go uncounted
+// and a request could crash more targets than it may.
 func TestDyingPeerIsNotReachable(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,54 +117,52 @@
 	}()
 	cl := NewClient(DefaultClientConfig())
 	is.True(!cl.Reachable(ln.Addr().String()))
-	is.True(cl.Reachable(peer(t, func(int, net.Conn, *http.Request) {})))
+	is.True(cl.Reachable(startPeer(t, func(int, net.Conn, *http.Request) {})))
 }
 
-// Symptom: a caller gets the end of another call's answer.
-// Events: an answer is left half read, or its call is canceled; its connection
-// carries the next call.
-// Cause: the connection went back to the pool with bytes of the old answer.
-func TestHalfReadAnswerEndsItsConnection(t *testing.T) {
+// A connection with unread bytes of a partly read or canceled response must not
+// return to the pool, or the next call would read them.
+func TestPartlyReadResponseClosesItsConnection(t *testing.T) {
 	is := is.New(t)
 	big := strings.Repeat("x", 1<<20)
 	conns := make(chan int, 10)
-	addr := peer(t, func(n int, c net.Conn, r *http.Request) {
+	addr := startPeer(t, func(n int, c net.Conn, r *http.Request) {
 		conns <- n
 		if r.URL.Path == "/big" {
-			write(c, "HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n"+big)
+			writeString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\n\r\n"+big)
 			return
 		}
-		write(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		writeString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
 	var resp protocol.Response
-	res, err := cl.Do(context.Background(), addr, get("/big"), &resp)
+	res, err := cl.Do(context.Background(), addr, newGet("/big"), &resp)
 	is.NoErr(err)
 	_, err = io.ReadFull(res.Stream, make([]byte, 1000))
 	is.NoErr(err)
 	is.NoErr(res.Stream.Close())
 	is.True(!res.Stream.Whole())
 	var next protocol.Response
-	_, err = cl.Do(context.Background(), addr, get("/"), &next)
+	_, err = cl.Do(context.Background(), addr, newGet("/"), &next)
 	is.NoErr(err)
 	is.Equal(string(next.Body()), "ok")
 	is.Equal(<-conns, 0)
 	is.Equal(<-conns, 1) // a new connection
 }
 
-func TestWholeStreamGivesItsConnectionBack(t *testing.T) {
+func TestCompleteStreamReturnsItsConnection(t *testing.T) {
 	is := is.New(t)
 	conns := make(chan int, 10)
-	addr := peer(t, func(n int, c net.Conn, r *http.Request) {
+	addr := startPeer(t, func(n int, c net.Conn, r *http.Request) {
 		conns <- n
-		write(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
+		writeString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 	})
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
 	for range 3 {
 		var resp protocol.Response
-		res, err := cl.Do(context.Background(), addr, get("/"), &resp)
+		res, err := cl.Do(context.Background(), addr, newGet("/"), &resp)
 		is.NoErr(err)
 		b, err := io.ReadAll(res.Stream)
 		is.NoErr(err)
@@ -179,10 +172,9 @@
 	}
 }
 
-// Symptom: a truncated answer passes for a whole one.
-// Events: the peer dies in the middle of an answer.
-// Cause: an answer that ends with its connection has no length to miss.
-func TestCutAnswersAreSeen(t *testing.T) {
+// A response that is cut off when the peer dies must not pass for a complete one,
+// also if it has no length.
+func TestTruncatedResponsesAreDetected(t *testing.T) {
 	for name, head := range map[string]string{
 		"short":   "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n5\r\nde",
@@ -192,34 +184,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			addr := peer(t, func(_ int, c net.Conn, _ *http.Request) {
-				write(c, head)
+			addr := startPeer(t, func(_ int, c net.Conn, _ *http.Request) {
+				writeString(c, head)
 				_ = c.Close()
 			})
 			cl := NewClient(DefaultClientConfig())
 			defer cl.Close()
-			res, err := cl.Do(context.Background(), addr, get("/"), &protocol.Response{})
+			res, err := cl.Do(context.Background(), addr, newGet("/"), &protocol.Response{})
 			if err == nil {
 				_, err = io.ReadAll(res.Stream)
 				is.NoErr(res.Stream.Close())
 				is.True(!res.Stream.Whole())
 			}
-			is.True(err != nil) // the cut is seen
+			is.True(err != nil) // the truncation is detected
 		})
 	}
 }
 
-// Symptom: work for callers that have gone fills the targets.
-// Events: the caller cancels while the peer works, with or without a body.
-// Cause: the client did not end the call, or the server did not look.
-func TestCanceledCallEndsAtThePeer(t *testing.T) {
+// A call that is canceled while the peer processes it, with or without a body,
+// must end at the peer too, or abandoned work fills the targets.
+func TestCanceledCallEndsAtPeer(t *testing.T) {
 	for _, body := range []string{"", "a small body"} {
 		t.Run("body "+body, func(t *testing.T) {
 			is := is.New(t)
-			begun := make(chan struct{})
+			started := make(chan struct{})
 			ended := make(chan struct{})
 			s, err := Listen("127.0.0.1:0", DefaultServerConfig(), func(ctx context.Context, c *app.RequestContext) {
-				close(begun)
+				close(started)
 				<-ctx.Done()
 				close(ended)
 			})
@@ -230,34 +221,34 @@
 			defer cl.Close()
 			ctx, cancel := context.WithCancel(context.Background())
 			go func() {
-				<-begun
+				<-started
 				cancel()
 			}()
-			req := get("/")
+			req := newGet("/")
 			if body != "" {
 				req.Header.SetMethod("POST")
 				req.SetBodyString(body)
 			}
 			res, err := cl.Do(ctx, s.Addr(), req, &protocol.Response{})
 			is.Equal(status.CodeOf(err), status.CodeCanceled)
-			is.True(res.Sent) // may have run
-			<-ended           // the peer saw it
+			is.True(res.Sent) // may have been executed
+			<-ended           // the peer noticed
 		})
 	}
 }
 
-func TestDeadlineEndsACallOnASilentConnection(t *testing.T) {
+func TestDeadlineEndsCallOnSilentConnection(t *testing.T) {
 	is := is.New(t)
-	addr := peer(t, func(int, net.Conn, *http.Request) { select {} })
+	addr := startPeer(t, func(int, net.Conn, *http.Request) { select {} })
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
-	_, err := cl.Do(ctx, addr, get("/"), &protocol.Response{})
+	_, err := cl.Do(ctx, addr, newGet("/"), &protocol.Response{})
 	is.Equal(status.CodeOf(err), status.CodeDeadlineExceeded)
 }
 
-func TestBusyPortIsATypedFailure(t *testing.T) {
+func TestPortInUseIsATypedError(t *testing.T) {
 	is := is.New(t)
 	s, err := Listen("127.0.0.1:0", DefaultServerConfig(), nil)
 	is.NoErr(err)
@@ -266,29 +257,29 @@
 	is.Equal(status.CodeOf(err), status.CodeListen)
 }
 
-func TestIdleConnectionsAreReaped(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	addr := peer(t, func(_ int, c net.Conn, _ *http.Request) {
-		write(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	addr := startPeer(t, func(_ int, c net.Conn, _ *http.Request) {
+		writeString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		_, _ = c.Read(make([]byte, 1))
 		close(closed)
 	})
 	cl := NewClient(DefaultClientConfig())
-	_, err := cl.Do(context.Background(), addr, get("/"), &protocol.Response{})
+	_, err := cl.Do(context.Background(), addr, newGet("/"), &protocol.Response{})
 	is.NoErr(err)
 	p := cl.pool(addr)
 	p.tick()
-	is.Equal(p.open(), 1)
+	is.Equal(p.openCount(), 1)
 	p.mu.Lock()
 	cl.epoch = cl.epoch.Add(-time.Minute)
 	p.mu.Unlock()
 	p.tick()
-	is.Equal(p.open(), 0)
+	is.Equal(p.openCount(), 0)
 	<-closed
 }
 
-func TestConnectionsAboveTheBoundAreClosed(t *testing.T) {
+func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultServerConfig()
 	cfg.Conns = NewConnLimit(1)
@@ -298,23 +289,22 @@
 	defer func() { _ = s.Shutdown(context.Background()) }()
 	first, second := NewClient(DefaultClientConfig()), NewClient(DefaultClientConfig())
 	defer second.Close()
-	_, err = first.Do(context.Background(), s.Addr(), get("/"), &protocol.Response{})
+	_, err = first.Do(context.Background(), s.Addr(), newGet("/"), &protocol.Response{})
 	is.NoErr(err)
-	_, err = second.Do(context.Background(), s.Addr(), get("/"), &protocol.Response{})
-	is.Equal(status.CodeOf(err), status.CodeConnectionLost) // closed at once
+	_, err = second.Do(context.Background(), s.Addr(), newGet("/"), &protocol.Response{})
+	is.Equal(status.CodeOf(err), status.CodeConnectionLost) // closed by the limit
 	first.Close()
 	for cfg.Conns.Open() > 0 {
-		time.Sleep(time.Millisecond) // the server sees the close on its own goroutine
+		time.Sleep(time.Millisecond) // the server notices the close asynchronously
 	}
-	_, err = second.Do(context.Background(), s.Addr(), get("/"), &protocol.Response{})
+	_, err = second.Do(context.Background(), s.Addr(), newGet("/"), &protocol.Response{})
 	is.NoErr(err)
 }
 
-// Symptom: a call gets what was meant for nobody as its answer, or ends as
-// unknown although its peer runs. Events: after a whole answer the peer sends
-// bytes that nobody asked for, or closes the connection, and at once another
-// call follows. Cause: what came in on the idle connection isn't looked at.
-func TestIdleConnectionThatIsNotSilentCarriesNoCall(t *testing.T) {
+// A peer may send unsolicited bytes or close the connection after a complete
+// response. The next call must not take those bytes for its response or end with
+// an unknown outcome.
+func TestIdleConnectionWithInputIsNotReused(t *testing.T) {
 	for name, stray := range map[string]string{
 		"another answer": "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		"its end":        "",
@@ -322,35 +312,35 @@
 		for which, after := range map[string]time.Duration{"before it is watched": time.Hour, "while it is watched": 0} {
 			t.Run(name+" "+which, func(t *testing.T) {
 				is := is.New(t)
-				strays := make(chan struct{})
-				addr := peer(t, func(n int, c net.Conn, _ *http.Request) {
-					write(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+				sendStray := make(chan struct{})
+				addr := startPeer(t, func(n int, c net.Conn, _ *http.Request) {
+					writeString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 					if n > 0 {
 						return
 					}
-					<-strays
-					write(c, stray)
+					<-sendStray
+					writeString(c, stray)
 					_ = c.Close()
 				})
 				cfg := DefaultClientConfig()
 				cfg.WatchAfter = after
 				cl := NewClient(cfg)
 				t.Cleanup(cl.Close)
-				_, err := cl.Do(context.Background(), addr, get("/"), &protocol.Response{})
+				_, err := cl.Do(context.Background(), addr, newGet("/"), &protocol.Response{})
 				is.NoErr(err)
 				p := cl.pool(addr)
-				came := func() bool { return p.open() == 0 } // the watcher has seen it
+				detected := func() bool { return p.openCount() == 0 } // the watcher has removed it
 				if after > 0 {
-					sock := only(p).sock
-					is.True(sock.untouched())
-					came = func() bool { return !sock.untouched() }
+					sock := onlyConn(p).sock
+					is.True(sock.receiveBufferEmpty())
+					detected = func() bool { return !sock.receiveBufferEmpty() }
 				}
-				close(strays)
-				for !came() {
+				close(sendStray)
+				for !detected() {
 					time.Sleep(time.Millisecond)
 				}
 				var resp protocol.Response
-				res, err := cl.Do(context.Background(), addr, get("/"), &resp)
+				res, err := cl.Do(context.Background(), addr, newGet("/"), &resp)
 				is.NoErr(err)
 				is.Equal(resp.StatusCode(), http.StatusOK)
 				is.True(!res.Reused)
@@ -359,8 +349,8 @@
 	}
 }
 
-// only returns the one connection of a pool.
-func only(p *pool) *clientConn {
+// onlyConn returns the single connection of a pool.
+func onlyConn(p *pool) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
@@ -369,10 +359,10 @@
 	return nil
 }
 
-// Symptom: a node accepts more connections than it may.
-// Events: a connection is closed twice, by its request's end and by its server.
-// Cause: its place is given back each time.
-func TestPlaceIsGivenBackOnce(t *testing.T) {
+// A connection may be closed twice, by the end of its request and by its server.
+// It must release its slot once, or the node accepts more connections than the
+// limit.
+func TestConnLimitSlotIsReleasedOnce(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -390,23 +380,23 @@
 	is.Equal(limit.Open(), 0)
 }
 
-// Guards against two answers that are read through one reader: the codec pools readers,
-// and gives one that was closed twice to two calls.
-func TestAStreamThatWasReleasedWithItsAnswerServesNoOther(t *testing.T) {
+// The codec pools its response readers. A reader that is released twice would be
+// handed to two calls at once.
+func TestStreamReaderIsReleasedOnce(t *testing.T) {
 	is := is.New(t)
-	addr := peer(t, func(_ int, c net.Conn, r *http.Request) {
-		write(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n"+r.URL.Path+"\r\n0\r\n\r\n")
+	addr := startPeer(t, func(_ int, c net.Conn, r *http.Request) {
+		writeString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n"+r.URL.Path+"\r\n0\r\n\r\n")
 	})
 	cl := NewClient(DefaultClientConfig())
 	defer cl.Close()
 	stream := func(path string) (*Stream, *protocol.Response) {
 		resp := protocol.AcquireResponse()
-		res, err := cl.Do(context.Background(), addr, get(path), resp)
+		res, err := cl.Do(context.Background(), addr, newGet(path), resp)
 		is.NoErr(err)
 		is.True(res.Stream != nil)
 		return res.Stream, resp
 	}
-	for range 100 { // the pool may forget, and then proves nothing
+	for range 100 { // repeat, since sync.Pool may drop the reader
 		s, resp := stream("/0")
 		is.NoErr(s.Close())
 		protocol.ReleaseResponse(resp)
--- a/internal/adapter/hertzhttp/dial.go
+++ b/internal/adapter/hertzhttp/dial.go
@@ -11,44 +11,44 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// dial connects to addr. It returns the codec's connection, and the system's
-// below it, which alone can say whether something has come in.
+// dial connects to addr. It returns the codec's connection and the underlying
+// socket, which alone can tell whether data has arrived.
 func dial(addr string, timeout time.Duration) (network.Conn, *socket, error) {
 	raw, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := newSocket(raw.(syscall.Conn)) // as all of TCP are
+	s, err := newSocket(raw.(syscall.Conn)) // every TCP connection implements it
 	if err != nil {
 		_ = raw.Close()
 		return nil, nil, err
 	}
-	return coded(raw), s, nil
+	return wrapConn(raw), s, nil
 }
 
-// coded makes the codec's connection of the system's. hertz's dialer keeps the
-// latter to itself; its server's transport takes that of any listener, so here
-// it gets a listener with this one.
-func coded(raw net.Conn) (c network.Conn) {
+// wrapConn wraps a network connection in the codec's type. hertz's dialer does not
+// expose the underlying connection, but its server transport accepts any listener,
+// so wrapConn passes it a listener that returns this connection.
+func wrapConn(raw net.Conn) (c network.Conn) {
 	t := standard.NewTransporter(&config.Options{
-		Listener: &single{conn: raw, addr: raw.LocalAddr()},
+		Listener: &singleConnListener{conn: raw, addr: raw.LocalAddr()},
 		OnConnect: func(ctx context.Context, made network.Conn) context.Context {
 			c = made
 			return ctx
 		},
 	})
-	_ = t.ListenAndServe(func(context.Context, any) error { return nil }) // ends with the listener
+	_ = t.ListenAndServe(func(context.Context, any) error { return nil }) // returns when the listener is exhausted
 	return c
 }
 
-// single is a listener that accepts one connection.
-type single struct {
+// singleConnListener is a listener that accepts one connection.
+type singleConnListener struct {
 	conn net.Conn // nil once accepted
 	addr net.Addr
 }
 
 // Accept implements net.Listener.
-func (s *single) Accept() (net.Conn, error) {
+func (s *singleConnListener) Accept() (net.Conn, error) {
 	c := s.conn
 	if c == nil {
 		return nil, net.ErrClosed
@@ -58,7 +58,7 @@
 }
 
 // Addr implements net.Listener.
-func (s *single) Addr() net.Addr { return s.addr }
+func (s *singleConnListener) Addr() net.Addr { return s.addr }
 
 // Close implements net.Listener.
-func (s *single) Close() error { return nil }
+func (s *singleConnListener) Close() error { return nil }
--- a/internal/adapter/hertzhttp/doc.go
+++ b/internal/adapter/hertzhttp/doc.go
@@ -1,11 +1,12 @@
-// Package hertzhttp speaks HTTP/1.1 by hertz: a server for a node's faces and a
-// client for calls to other nodes and to the own target.
+// Package hertzhttp implements HTTP/1.1 with hertz: a server for a node's
+// listeners and a client for calls to other nodes and to the local target.
 //
-// The client uses hertz's dialer and codec but keeps its connections itself.
-// hertz's own client repeats a request by itself when a pooled connection turns
-// out closed, does not end a call when its context is canceled, and does not
-// tell whether a failed call had been sent; each of the three would break a
-// promise (nothing runs twice, work for a failed request stops, "not run" is
-// true). Here a call owns one connection from start to end, a canceled context
-// closes it, and a connection goes back to the pool only after a whole answer.
+// The client uses hertz's dialer and codec but manages its own connections.
+// hertz's client repeats a request when a pooled connection turns out to be
+// closed, does not end a call when its context is canceled, and does not report
+// whether a failed call was sent. Each of these would break a guarantee: a request
+// is not executed twice, work for a failed request stops, and "not executed" is
+// accurate. Here a call owns one connection from start to end, canceling its
+// context closes the connection, and a connection returns to the pool only after a
+// complete response.
 package hertzhttp
--- a/internal/adapter/hertzhttp/limit.go
+++ b/internal/adapter/hertzhttp/limit.go
@@ -5,25 +5,25 @@
 	"sync/atomic"
 )
 
-// ConnLimit bounds the open connections of the servers that share it. Safe for
-// concurrent use.
+// ConnLimit limits the open connections of the servers that share it. It is safe
+// for concurrent use.
 type ConnLimit struct {
-	most int64
+	max  int64
 	open atomic.Int64
 
-	// Turned counts the connections that were closed at once.
+	// Turned counts the connections that were closed because of the limit.
 	Turned atomic.Int64
 }
 
-// NewConnLimit returns a bound of most connections.
-func NewConnLimit(most int) *ConnLimit { return &ConnLimit{most: int64(most)} }
+// NewConnLimit returns a limit of most connections.
+func NewConnLimit(most int) *ConnLimit { return &ConnLimit{max: int64(most)} }
 
-// Open returns the connections open now.
+// Open returns the number of open connections.
 func (l *ConnLimit) Open() int { return int(l.open.Load()) }
 
-// limitedListener closes connections above the bound at once. Leaving them
-// unaccepted instead would hide from their clients that the node is full, and
-// hold them until they time out.
+// limitedListener closes connections above the limit at once. Not accepting them
+// would hide from clients that the node is full, and keep the connections until
+// they time out.
 type limitedListener struct {
 	net.Listener
 	limit *ConnLimit
@@ -36,7 +36,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.limit.open.Add(1) <= l.limit.most {
+		if l.limit.open.Add(1) <= l.limit.max {
 			return &countedConn{Conn: c, limit: l.limit}, nil
 		}
 		l.limit.open.Add(-1)
@@ -45,7 +45,7 @@
 	}
 }
 
-// countedConn gives its place back when it is closed.
+// countedConn releases its slot in the limit when it is closed.
 type countedConn struct {
 	net.Conn
 	limit  *ConnLimit
--- a/internal/adapter/hertzhttp/packed.go
+++ b/internal/adapter/hertzhttp/packed.go
@@ -10,15 +10,16 @@
 	"peardrift/internal/wire"
 )
 
-// packerKey is the key of a connection's packer in the contexts of its requests.
+// packerKey is the context key of a connection's header packer.
 type packerKey struct{}
 
-// withPacker gives a new connection its packer.
+// withPacker attaches a header packer to a new connection.
 func withPacker(ctx context.Context, _ network.Conn) context.Context {
 	return context.WithValue(ctx, packerKey{}, wire.NewPacker())
 }
 
-// unpackRequest restores the head of a request, and reports whether it was packed.
+// unpackRequest decompresses the headers of a request and reports whether they
+// were compressed.
 func unpackRequest(ctx context.Context, c *app.RequestContext) (bool, error) {
 	p, ok := ctx.Value(packerKey{}).(*wire.Packer)
 	if !ok {
@@ -27,17 +28,17 @@
 	return p.UnpackRequest(&c.Request.Header)
 }
 
-// refusePacked answers a request whose head can't be read. What the other end
-// remembers of the connection is not what this one does, so it must end; a peer that
-// reads on would take one request's fields for another's.
-func refusePacked(c *app.RequestContext, err error) {
+// rejectPacked responds to a request whose headers can't be decompressed, and
+// closes the connection. The compression state of the two ends differs; a peer
+// that continued would take one request's headers for another's.
+func rejectPacked(c *app.RequestContext, err error) {
 	c.Response.Reset()
 	c.SetStatusCode(http.StatusBadRequest)
 	c.Response.SetBodyString(err.Error())
 	c.SetConnectionClose()
 }
 
-// packAnswer packs the head of the answer to a request that came packed.
-func packAnswer(ctx context.Context, c *app.RequestContext) {
+// packResponse compresses the headers of the response to a compressed request.
+func packResponse(ctx context.Context, c *app.RequestContext) {
 	ctx.Value(packerKey{}).(*wire.Packer).PackAnswer(&c.Response.Header, &c.Request.Header)
 }
--- a/internal/adapter/hertzhttp/pool.go
+++ b/internal/adapter/hertzhttp/pool.go
@@ -11,60 +11,60 @@
 	"peardrift/internal/wire"
 )
 
-// pool keeps the connections to one address. It does what the conn core says.
-// Safe for concurrent use.
+// pool holds the connections to one address. Package conn makes the decisions;
+// pool carries them out. It is safe for concurrent use.
 type pool struct {
 	client *Client
 	addr   string
 
-	mu     sync.Mutex
-	core   *conn.Peer
-	conns  map[conn.ID]*clientConn
-	acts   []conn.Action
-	timer  *time.Timer
-	armed  time.Duration // when the timer fires
-	sweeps bool          // sweep is due
-	closed bool
+	mu             sync.Mutex
+	core           *conn.Peer
+	conns          map[conn.ID]*clientConn
+	actions        []conn.Action
+	timer          *time.Timer
+	timerAt        time.Duration // when the timer fires
+	sweepScheduled bool          // sweep is scheduled
+	closed         bool
 }
 
 func newPool(c *Client, addr string) *pool {
 	p := &pool{
 		client: c, addr: addr,
-		core: conn.NewPeer(&c.conns), conns: make(map[conn.ID]*clientConn), armed: math.MaxInt64,
+		core: conn.NewPeer(&c.connConfig), conns: make(map[conn.ID]*clientConn), timerAt: math.MaxInt64,
 	}
 	p.timer = time.AfterFunc(math.MaxInt64, p.tick)
 	return p
 }
 
-// get returns a connection for a call known to the peer by tag. Its failures
-// mean that nothing was sent.
+// get returns a connection for the call identified by tag. If it fails, nothing
+// was sent.
 func (p *pool) get(tag string, timeout time.Duration) (*clientConn, error) {
 	for {
-		c, offer := p.take(tag)
+		c, offer := p.acquire(tag)
 		switch offer {
 		case conn.Full:
-			return nil, status.New(status.CodeConnectFailed, "all %d connections to %s are in use", p.client.conns.MaxConns, p.addr)
+			return nil, status.New(status.CodeConnectFailed, "all %d connections to %s are in use", p.client.connConfig.MaxConns, p.addr)
 		case conn.Dial:
 			return p.dial(tag, timeout)
 		}
-		if c.unwatch() {
+		if c.stopWatch() {
 			return c, nil
 		}
-		p.end(c, conn.Aborted)
+		p.finish(c, conn.Aborted)
 	}
 }
 
-func (p *pool) take(tag string) (*clientConn, conn.Offer) {
+func (p *pool) acquire(tag string) (*clientConn, conn.Offer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id, offer := p.core.Take(p.client.now())
-	p.arm()
+	p.armTimer()
 	if offer != conn.Reuse {
 		return nil, offer
 	}
 	c := p.conns[id]
 	c.idle, c.tag = false, tag
-	c.ours.Store(false)
+	c.waitingLocally.Store(false)
 	return c, offer
 }
 
@@ -82,103 +82,104 @@
 	}
 	c.id, c.tag = p.core.Opened(p.client.now()), tag
 	p.conns[c.id] = c
-	p.arm()
+	p.armTimer()
 	return c, nil
 }
 
-// end books how a call on a connection ended, and closes the connection unless
-// it may serve another.
-func (p *pool) end(c *clientConn, how conn.End) {
+// finish records how a call on a connection ended, and closes the connection
+// unless it can be reused.
+func (p *pool) finish(c *clientConn, end conn.End) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		how = conn.Aborted
+		end = conn.Aborted
 	}
-	if !p.core.End(p.client.now(), c.id, how) {
-		p.forget(c)
+	if !p.core.End(p.client.now(), c.id, end) {
+		p.remove(c)
 		return
 	}
-	c.idle, c.since = true, p.client.now()
-	c.calls++
-	p.arm()
-	p.sweepLater()
+	c.idle, c.idleSince = true, p.client.now()
+	c.completed++
+	p.armTimer()
+	p.scheduleSweep()
 }
 
-// sweep watches the connections that are idle for a while.
+// sweep starts a watch on connections that have been idle for WatchAfter.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sweeps = false
+	p.sweepScheduled = false
 	now := p.client.now()
 	for _, c := range p.conns {
 		switch {
 		case !c.idle || c.watching:
-		case now-c.since >= p.client.cfg.WatchAfter:
-			c.watch()
+		case now-c.idleSince >= p.client.cfg.WatchAfter:
+			c.startWatch()
 		default:
-			p.sweepLater()
+			p.scheduleSweep()
 		}
 	}
 }
 
-// sweepLater is called with mu held.
-func (p *pool) sweepLater() {
-	if !p.sweeps {
-		p.sweeps = true
-		time.AfterFunc(cadence.Until(time.Now(), p.client.cfg.WatchAfter, sweepStep), p.sweep)
+// scheduleSweep starts the sweep timer unless it is running. Called with mu held.
+func (p *pool) scheduleSweep() {
+	if !p.sweepScheduled {
+		p.sweepScheduled = true
+		time.AfterFunc(cadence.Until(time.Now(), p.client.cfg.WatchAfter, sweepAlignment), p.sweep)
 	}
 }
 
-// broke takes in that an idle connection was closed by the peer, or that bytes
-// came on it. Left in place, the bytes would be the answer to the next call.
-func (p *pool) broke(c *clientConn) {
+// discardIdle removes an idle connection that the peer closed or sent bytes on.
+// The bytes would otherwise be taken for the response to the next call.
+func (p *pool) discardIdle(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.idle {
 		p.core.Broke(c.id)
-		p.forget(c)
+		p.remove(c)
 	}
 }
 
-// stated takes in for how long the peer says that it keeps idle connections.
-func (p *pool) stated(d time.Duration) {
+// setPeerIdleTimeout records how long the peer keeps idle connections, as it
+// states in a response.
+func (p *pool) setPeerIdleTimeout(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.Stated(d)
 }
 
-// heard takes in that bytes moved on a connection.
-func (p *pool) heard(c *clientConn, answer bool) {
+// recordActivity records that bytes were sent or received on a connection.
+func (p *pool) recordActivity(c *clientConn, received bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Heard(p.client.now(), c.id, answer)
-	p.arm()
+	p.core.Heard(p.client.now(), c.id, received)
+	p.armTimer()
 }
 
-// forget closes a connection that the core no longer knows. Called with mu held.
-func (p *pool) forget(c *clientConn) {
+// remove closes a connection that the core has dropped. Called with mu held.
+func (p *pool) remove(c *clientConn) {
 	c.idle = false
 	delete(p.conns, c.id)
 	_ = c.Conn.Close()
 }
 
-// tick looks for connections that are idle too long or silent.
+// tick checks for connections that have been idle too long or gone silent.
 func (p *pool) tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
-	p.armed = math.MaxInt64
-	p.acts = p.core.Tick(p.client.now(), p.acts[:0])
-	for _, a := range p.acts {
-		p.act(a)
+	p.timerAt = math.MaxInt64
+	p.actions = p.core.Tick(p.client.now(), p.actions[:0])
+	for _, a := range p.actions {
+		p.perform(a)
 	}
-	p.arm()
+	p.armTimer()
 }
 
-// act does what the core says. Called with mu held.
-func (p *pool) act(a conn.Action) {
+// perform carries out an action of the core. Called with mu held.
+func (p *pool) perform(a conn.Action) {
 	if a.Kind == conn.Probe {
 		tags := make(map[conn.ID]string, len(a.Conns))
 		for _, id := range a.Conns {
@@ -192,49 +193,50 @@
 		if a.Kind == conn.Fail {
 			c.lost.Store(true)
 		}
-		p.forget(c)
+		p.remove(c)
 	}
 }
 
-// arm sets the timer if the core is due earlier than it fires. Called with mu
+// armTimer resets the timer if the core's next tick is earlier. Called with mu
 // held.
-func (p *pool) arm() {
+func (p *pool) armTimer() {
 	next := p.core.Next()
-	if p.closed || next >= p.armed {
+	if p.closed || next >= p.timerAt {
 		return
 	}
 	now := time.Now()
-	wait := cadence.Until(now, next-now.Sub(p.client.epoch), tickStep)
-	p.armed = now.Sub(p.client.epoch) + wait
+	wait := cadence.Until(now, next-now.Sub(p.client.epoch), tickAlignment)
+	p.timerAt = now.Sub(p.client.epoch) + wait
 	p.timer.Reset(max(wait, time.Millisecond))
 }
 
 const (
-	// tickStep is the time by which looks for silent connections are apart, over all
-	// peers together.
-	tickStep = 100 * time.Millisecond
-	// sweepStep is the same of looks for idle ones.
-	sweepStep = 500 * time.Millisecond
+	// tickAlignment is the step to which ticks are aligned, so that the pools of all
+	// peers share wake-ups.
+	tickAlignment = 100 * time.Millisecond
+	// sweepAlignment is the same for sweeps.
+	sweepAlignment = 500 * time.Millisecond
 )
 
-// flush closes all idle connections.
-func (p *pool) flush(final bool) {
+// closeIdle closes all idle connections.
+func (p *pool) closeIdle(closing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range p.conns {
 		if c.idle {
 			p.core.Broke(id)
-			p.forget(c)
+			p.remove(c)
 		}
 	}
-	if final {
+	if closing {
 		p.closed = true
 		p.timer.Stop()
 	}
 }
 
-// open returns the number of connections, in use, idle and being dialed.
-func (p *pool) open() int {
+// openCount returns the number of connections that are in use, idle or being
+// dialed.
+func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Open()
--- a/internal/adapter/hertzhttp/probe.go
+++ b/internal/adapter/hertzhttp/probe.go
@@ -13,68 +13,70 @@
 	"peardrift/internal/core/conn"
 )
 
-// Prober asks peers which calls they have in hand. Safe for concurrent use.
+// Prober asks peers which calls they are processing. It is safe for concurrent
+// use.
 type Prober interface {
-	// Tag returns what the peer knows a call by.
+	// Tag returns the identifier by which the peer knows a call.
 	Tag(h *protocol.RequestHeader) string
-	// Ask makes req the question for the calls with tags.
+	// Ask turns req into a query for the calls with tags.
 	Ask(req *protocol.Request, tags []string)
-	// Told reads the answer: the tags of those in hand; false if the peer
-	// can't tell.
+	// Told reads the response: the tags of the calls being processed. ok is false if
+	// the peer can't tell.
 	Told(resp *protocol.Response) (inHand []string, ok bool)
 }
 
-// probe asks the peer for silent calls over a fresh connection.
+// probe asks the peer about silent calls over a new connection.
 func (p *pool) probe(tags map[conn.ID]string) {
-	words, reached := p.ask(tags)
+	results, reached := p.query(tags)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.client.now()
 	for id, c := range p.conns {
-		if w, ok := words[id]; ok && c.tag == tags[id] { // else another call's by now
-			p.core.Told(now, id, c.correct(w))
+		if w, ok := results[id]; ok && c.tag == tags[id] { // otherwise the connection carries another call by now
+			p.core.Told(now, id, c.adjustWord(w))
 		}
 	}
 	p.core.Probed(now, reached)
-	p.arm()
+	p.armTimer()
 }
 
-// correct overrides the peer's word on a call that waits for its own side, for
-// more of the request's body or for the answer's reader: its silence is not the
-// connection's.
-func (c *clientConn) correct(w conn.Word) conn.Word {
-	if c.ours.Load() {
+// adjustWord overrides the peer's result for a call that waits for local I/O: for
+// more of the request body or for the reader of the response. Its silence doesn't
+// indicate a dead connection.
+func (c *clientConn) adjustWord(w conn.Word) conn.Word {
+	if c.waitingLocally.Load() {
 		return conn.InHand
 	}
 	return w
 }
 
-// ask returns the peer's word on each call, and whether it could be reached.
-func (p *pool) ask(tags map[conn.ID]string) (words map[conn.ID]conn.Word, reached bool) {
-	until := time.Now().Add(p.client.conns.ProbeTimeout)
-	fresh, _, err := dial(p.addr, min(p.client.cfg.DialTimeout, p.client.conns.ProbeTimeout))
+// query returns the peer's result for each call, and whether the peer could be
+// reached.
+func (p *pool) query(tags map[conn.ID]string) (results map[conn.ID]conn.Word, reached bool) {
+	deadline := time.Now().Add(p.client.connConfig.ProbeTimeout)
+	fresh, _, err := dial(p.addr, min(p.client.cfg.DialTimeout, p.client.connConfig.ProbeTimeout))
 	if err != nil {
 		return nil, false
 	}
 	defer fresh.Close()
 	if p.client.cfg.Prober == nil {
-		return wordsOf(tags, nil, false), true
+		return wordsFor(tags, nil, false), true
 	}
-	if err := fresh.SetDeadline(until); err != nil {
+	if err := fresh.SetDeadline(deadline); err != nil {
 		return nil, false
 	}
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
 	p.client.cfg.Prober.Ask(req, slices.Collect(maps.Values(tags)))
-	if err := question(fresh, req, resp); err != nil {
+	if err := roundTrip(fresh, req, resp); err != nil {
 		return nil, false
 	}
 	inHand, ok := p.client.cfg.Prober.Told(resp)
-	return wordsOf(tags, inHand, ok), true
+	return wordsFor(tags, inHand, ok), true
 }
 
-func question(c network.Conn, req *protocol.Request, resp *protocol.Response) error {
+func roundTrip(c network.Conn, req *protocol.Request, resp *protocol.Response) error {
 	if err := http1req.Write(req, c); err != nil {
 		return err
 	}
@@ -84,17 +86,17 @@
 	return http1resp.Read(resp, c)
 }
 
-func wordsOf(tags map[conn.ID]string, inHand []string, ok bool) map[conn.ID]conn.Word {
-	words := make(map[conn.ID]conn.Word, len(tags))
+func wordsFor(tags map[conn.ID]string, inHand []string, ok bool) map[conn.ID]conn.Word {
+	results := make(map[conn.ID]conn.Word, len(tags))
 	for id, tag := range tags {
 		switch {
 		case !ok:
-			words[id] = conn.CannotTell
+			results[id] = conn.CannotTell
 		case slices.Contains(inHand, tag):
-			words[id] = conn.InHand
+			results[id] = conn.InHand
 		default:
-			words[id] = conn.NotInHand
+			results[id] = conn.NotInHand
 		}
 	}
-	return words
+	return results
 }
--- a/internal/adapter/hertzhttp/server.go
+++ b/internal/adapter/hertzhttp/server.go
@@ -16,56 +16,56 @@
 	"peardrift/internal/status"
 )
 
-// hertz logs through a process-wide logger, past the bound on log lines; what
-// it would say reaches the log as typed failures instead. Its level can't be
-// set later without a race.
+// hertz logs through a process-wide logger that bypasses the limit on log lines;
+// its errors are logged as typed errors instead. Setting the level later would be
+// a data race.
 func init() { hlog.SetLevel(hlog.LevelFatal) }
 
-// ServerConfig bounds a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// IdleTimeout closes a connection with no request for that long (default
-	// 60 s). It must stay above the clients' idle timeouts; see
+	// IdleTimeout closes a connection without a request for this long (default 60
+	// s). It must stay above the clients' idle timeouts; see
 	// ClientConfig.IdleTimeout.
 	IdleTimeout time.Duration
-	// ReadTimeout bounds the wait for the next bytes of a request (default
-	// 30 s). Lower frees connections of stuck senders sooner; too low breaks
-	// slow uploads.
+	// ReadTimeout limits the wait for the next bytes of a request (default 30 s). A
+	// lower value frees connections of stalled senders sooner; if it is too low,
+	// slow uploads fail.
 	ReadTimeout time.Duration
-	// MaxHeaderBytes bounds a request's head (default 32 KiB); above it the
-	// request is answered 431 or 400 and its connection closed.
+	// MaxHeaderBytes limits the size of a request's headers (default 32 KiB); a
+	// larger request is answered with 431 or 400 and its connection is closed.
 	MaxHeaderBytes int
-	// NoDate leaves the field Date out of answers: between nodes nobody reads it.
+	// NoDate omits the Date header from responses; nodes don't use it.
 	NoDate bool
-	// Packed takes packed heads, and packs the answers to them.
+	// Packed accepts compressed headers and compresses the headers of the responses
+	// to them.
 	Packed bool
-	// Conns bounds the open connections of all servers that share it; nil: no
-	// bound.
+	// Conns limits the open connections of all servers that share it; nil means no
+	// limit.
 	Conns *ConnLimit
 }
 
-// DefaultServerConfig returns the defaults.
+// DefaultServerConfig returns the default settings.
 func DefaultServerConfig() ServerConfig {
 	return ServerConfig{IdleTimeout: time.Minute, ReadTimeout: 30 * time.Second, MaxHeaderBytes: 32 << 10}
 }
 
 // Handler serves one request on the connection's goroutine. ctx ends when the
-// client goes away. Nothing of c may be kept after the handler returns, except
-// a response body stream, which is closed when the answer has been written or
-// has failed.
+// client disconnects. The handler must not retain any part of c, except a response
+// body stream, which is closed when the response has been written or has failed.
 type Handler func(ctx context.Context, c *app.RequestContext)
 
-// Server is one face: an HTTP/1.1 listener with one handler for all paths.
-// Request bodies longer than hertz's prefetch (8 KiB) are streams.
+// Server is an HTTP/1.1 listener with one handler for all paths. Request bodies
+// longer than hertz's prefetch (8 KiB) are streams.
 type Server struct {
 	h      *server.Hertz
 	ln     net.Listener
 	done   chan error
 	active atomic.Int64
-	watch  watcher
+	watch  disconnectWatcher
 }
 
-// Listen binds addr and returns a server that doesn't accept yet. Binding
-// first lets a process find a busy port before it has announced anything.
+// Listen binds addr and returns a server that doesn't accept yet. Binding first
+// lets a process detect a port in use before it announces itself.
 func Listen(addr string, cfg ServerConfig, handle Handler) (*Server, error) {
 	ln, err := listener.Open(addr)
 	if err != nil {
@@ -102,15 +102,15 @@
 	return opts
 }
 
-// noServerName keeps the codec from naming itself in each answer, where only nodes
-// read them.
+// noServerName omits the Server header from responses between nodes, which don't
+// use it.
 func noServerName(o *config.Options) { o.NoDefaultServerHeader = true }
 
 // Addr returns the bound address.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Active returns the number of requests in the handler, or whose streamed answer
-// is not yet written.
+// Active returns the number of requests that are in the handler or whose streamed
+// response is not yet written.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
 // Start accepts connections until Shutdown.
@@ -118,8 +118,8 @@
 	go func() { s.done <- s.h.Run() }()
 }
 
-// Shutdown stops accepting and waits for requests until ctx ends. Idle
-// connections are not waited for.
+// Shutdown stops accepting and waits for active requests until ctx ends. It
+// doesn't wait for idle connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	_ = s.ln.Close()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -152,17 +152,18 @@
 	}()
 	packed, err := unpackRequest(ctx, c)
 	if err != nil {
-		refusePacked(c, err)
+		rejectPacked(c, err)
 		return
 	}
 	handle(ctx, c)
 	if packed {
-		packAnswer(ctx, c)
+		packResponse(ctx, c)
 	}
-	// A streamed answer is written after this: a shutdown that didn't wait for
-	// it would cut it.
-	streams = guardAnswer(c, done)
+	// A streamed response is written after this function returns; a shutdown must
+	// wait for it too, or it would be truncated.
+	streams = guardResponseBody(c, done)
 }
 
-// Close stops listening without waiting; a server that was never started too.
+// Close stops listening without waiting. It also works on a server that was never
+// started.
 func (s *Server) Close() { _ = s.ln.Close() }
--- a/internal/adapter/hertzhttp/socket.go
+++ b/internal/adapter/hertzhttp/socket.go
@@ -2,26 +2,26 @@
 
 import "syscall"
 
-// socket looks at what has come in on a connection without taking it.
+// socket checks for received data on a connection without consuming it.
 type socket struct {
 	raw   syscall.RawConn
-	quiet bool                  // what look found
-	look  func(fd uintptr) bool // made once, as it would be for each call otherwise
+	empty bool                  // result of peek
+	peek  func(fd uintptr) bool // allocated once instead of per call
 }
 
 func newSocket(c syscall.Conn) (*socket, error) {
 	raw, err := c.SyscallConn()
 	s := &socket{raw: raw}
-	s.look = func(fd uintptr) bool {
-		s.quiet = nothingCame(fd)
+	s.peek = func(fd uintptr) bool {
+		s.empty = receiveBufferEmpty(fd)
 		return true
 	}
 	return s, err
 }
 
-// untouched reports that neither bytes nor the end have come in. It must not be
-// called while another goroutine reads.
-func (s *socket) untouched() bool {
-	s.quiet = false
-	return s.raw.Read(s.look) == nil && s.quiet
+// receiveBufferEmpty reports that neither data nor a close has arrived. It must
+// not be called while another goroutine reads.
+func (s *socket) receiveBufferEmpty() bool {
+	s.empty = false
+	return s.raw.Read(s.peek) == nil && s.empty
 }
--- a/internal/adapter/hertzhttp/socket_other.go
+++ b/internal/adapter/hertzhttp/socket_other.go
@@ -2,5 +2,6 @@
 
 package hertzhttp
 
-// nothingCame can't tell here, so that no connection is used twice.
-func nothingCame(uintptr) bool { return false }
+// receiveBufferEmpty is not supported on this platform; it returns false so that
+// no connection is reused.
+func receiveBufferEmpty(uintptr) bool { return false }
--- a/internal/adapter/hertzhttp/watch.go
+++ b/internal/adapter/hertzhttp/watch.go
@@ -11,138 +11,140 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// watchAfter is how long a request runs before its client is watched. hertz
-// watches from the start, which costs each request a goroutine, and a wait for
-// that goroutine's end before the answer may be sent. Most calls end sooner than
-// it could matter; work for a client that has gone goes on for this long at most
-// before it is canceled.
-const watchAfter = 200 * time.Millisecond
-
-// watchEvery is the least time between two looks for such requests. Looking as
-// soon as the next one is due would wake a busy node for each request.
-const watchEvery = watchAfter / 4
-
-// watcher begins to watch the clients of requests that take long. Safe for
-// concurrent use.
-type watcher struct {
+// watchDelay is how long a request runs before the server watches its client.
+// hertz watches from the start, which costs each request a goroutine and a wait
+// for that goroutine before the response can be sent. Most calls end sooner than a
+// disconnect matters; work for a disconnected client continues for at most this
+// long before it is canceled.
+const watchDelay = 200 * time.Millisecond
+
+// minWatchInterval is the minimum time between two scans for such requests.
+// Scanning as soon as the next one is due would wake a busy node for each request.
+const minWatchInterval = watchDelay / 4
+
+// disconnectWatcher starts to watch the clients of long-running requests. It is
+// safe for concurrent use.
+type disconnectWatcher struct {
 	mu    sync.Mutex
-	queue []*watched // by their start
+	queue []*watchedRequest // ordered by start time
 	armed bool
 }
 
-// watched is a request in the handler, or whose answer is being streamed.
-type watched struct {
-	scope scope // its context
-	since time.Time
-	conn  network.Conn
-	quiet bool // the connection may be read from
+// watchedRequest is a request that is in the handler or whose response is being
+// streamed.
+type watchedRequest struct {
+	ctx       requestContext // the request's context
+	start     time.Time
+	conn      network.Conn
+	watchable bool // the watcher may read from the connection
 
 	mu       sync.Mutex
 	ended    bool
 	detector detector // nil while not watched
 }
 
-// detector is hertz's way to notice that a client closes its connection: a read
-// that blocks. Nothing else may read meanwhile.
+// detector is hertz's way to notice that a client closes its connection: a
+// blocking read. Nothing else may read meanwhile.
 type detector interface {
 	DetectConnectionClose()
 	AbortBlockingRead()
 }
 
-// begin returns the context of a request, which ends with the request or when
-// its client goes away.
-func (w *watcher) begin(ctx context.Context, c *app.RequestContext) (context.Context, *watched) {
-	r := &watched{since: time.Now(), conn: c.GetConn(), quiet: quiet(c)}
-	r.scope.Context = ctx
+// begin returns the context of a request, which ends with the request or when its
+// client disconnects.
+func (w *disconnectWatcher) begin(ctx context.Context, c *app.RequestContext) (context.Context, *watchedRequest) {
+	r := &watchedRequest{start: time.Now(), conn: c.GetConn(), watchable: canWatch(c)}
+	r.ctx.Context = ctx
 	w.add(r)
-	return &r.scope, r
+	return &r.ctx, r
 }
 
-// quiet reports whether nothing but a watcher will read from the connection
-// until the answer is out: the request has no body, or all of it is here.
-func quiet(c *app.RequestContext) bool {
+// canWatch reports whether only the watcher reads from the connection until the
+// response is sent: the request has no body, or all of it has been received.
+func canWatch(c *app.RequestContext) bool {
 	if !c.Request.IsBodyStream() {
 		return true
 	}
-	if !prefetched(c) {
+	if !isPrefetched(c) {
 		return false
 	}
 	_, err := c.Request.BodyE()
 	return err == nil
 }
 
-func (w *watcher) add(r *watched) {
+func (w *disconnectWatcher) add(r *watchedRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue = append(w.queue, r)
 	if !w.armed {
 		w.armed = true
-		time.AfterFunc(watchAfter, w.fire)
+		time.AfterFunc(watchDelay, w.onTimer)
 	}
 }
 
-// fire looks after the requests that have run for long.
-func (w *watcher) fire() {
-	for _, r := range w.due(time.Now()) {
-		r.scope.pass()
-		r.watch()
+// onTimer starts to watch the requests that have run for watchDelay.
+func (w *disconnectWatcher) onTimer() {
+	for _, r := range w.takeDue(time.Now()) {
+		r.ctx.stopWatching()
+		r.startDetector()
 	}
 }
 
-// due takes the requests that have run for long off the queue and sets the
-// timer for the next one.
-func (w *watcher) due(now time.Time) []*watched {
+// takeDue removes the requests that have run for watchDelay from the queue and
+// sets the timer for the next one.
+func (w *disconnectWatcher) takeDue(now time.Time) []*watchedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for n < len(w.queue) && now.Sub(w.queue[n].since) >= watchAfter {
+	for n < len(w.queue) && now.Sub(w.queue[n].start) >= watchDelay {
 		n++
 	}
-	out := append([]*watched(nil), w.queue[:n]...)
+	out := append([]*watchedRequest(nil), w.queue[:n]...)
 	left := copy(w.queue, w.queue[n:])
 	clear(w.queue[left:])
 	w.queue = w.queue[:left]
 	w.armed = left > 0
 	if w.armed {
-		next := w.queue[0].since.Add(watchAfter).Sub(now)
-		time.AfterFunc(max(next, watchEvery), w.fire)
+		next := w.queue[0].start.Add(watchDelay).Sub(now)
+		time.AfterFunc(max(next, minWatchInterval), w.onTimer)
 	}
 	return out
 }
 
-func (r *watched) watch() {
+func (r *watchedRequest) startDetector() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ended || !r.quiet {
+	if r.ended || !r.watchable {
 		return
 	}
-	r.detector = standard.NewStatefulConn(r.conn, r.lost)
+	r.detector = standard.NewStatefulConn(r.conn, r.readEnded)
 	r.detector.DetectConnectionClose()
 }
 
-// lost takes in why the blocking read ended. A timeout is how end ends it.
-func (r *watched) lost(err error) {
+// readEnded handles the end of the blocking read. A timeout means that end stopped
+// it.
+func (r *watchedRequest) readEnded(err error) {
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		return
 	}
-	r.scope.cancel()
+	r.ctx.cancel()
 }
 
-// end ends the request's context and gives the connection back to its server.
-func (r *watched) end() {
+// end ends the request's context and returns the connection to its server.
+func (r *watchedRequest) end() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ended && r.detector != nil {
 		r.detector.AbortBlockingRead()
 	}
 	r.ended = true
-	r.scope.cancel()
+	r.ctx.cancel()
 }
 
-// prefetchBytes is how much of a body hertz reads before the handler runs.
+// prefetchBytes is how much of a body hertz reads before it calls the handler.
 const prefetchBytes = 8 << 10
 
-func prefetched(c *app.RequestContext) bool {
+func isPrefetched(c *app.RequestContext) bool {
 	n := c.Request.Header.ContentLength()
 	return n >= 0 && n <= prefetchBytes
 }
--- a/internal/adapter/hertzhttp/watch_test.go
+++ b/internal/adapter/hertzhttp/watch_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func listen(t *testing.T, h Handler) string {
+func startServer(t *testing.T, h Handler) string {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", DefaultServerConfig(), h)
 	if err != nil {
@@ -29,45 +29,42 @@
 	"with a body":    "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc",
 }
 
-// Symptom: work goes on for callers that have gone. Events: a client closes its
-// connection while its request is in the handler. Cause: nobody reads from the
-// connection meanwhile.
-func TestRequestEndsWhenItsClientGoesAway(t *testing.T) {
+// The server must notice that a client disconnects while its request is in the
+// handler, when nothing else reads from the connection.
+func TestRequestEndsWhenClientDisconnects(t *testing.T) {
 	for name, request := range requests {
 		t.Run(name, func(t *testing.T) {
-			begun, ended := make(chan struct{}), make(chan struct{})
-			addr := listen(t, func(ctx context.Context, _ *app.RequestContext) {
-				close(begun)
+			started, ended := make(chan struct{}), make(chan struct{})
+			addr := startServer(t, func(ctx context.Context, _ *app.RequestContext) {
+				close(started)
 				<-ctx.Done()
 				close(ended)
 			})
 			c, err := net.Dial("tcp", addr)
 			is.New(t).NoErr(err)
-			write(c, request)
-			<-begun
+			writeString(c, request)
+			<-started
 			_ = c.Close()
 			<-ended
 		})
 	}
 }
 
-// Symptom: the next request on a connection fails or is not read. Events: a
-// request runs long enough for its client to be watched, is answered, and
-// another follows at once. Cause: the watching read took the connection's bytes
-// or left its deadline behind.
-func TestConnectionServesOnAfterItsClientWasWatched(t *testing.T) {
+// Watching a client's connection must not consume bytes of the next request or
+// leave a read deadline behind.
+func TestConnectionStaysUsableAfterWatch(t *testing.T) {
 	for name, request := range requests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			addr := listen(t, func(_ context.Context, c *app.RequestContext) {
-				time.Sleep(2 * watchAfter) // what the handler takes
+			addr := startServer(t, func(_ context.Context, c *app.RequestContext) {
+				time.Sleep(2 * watchDelay) // long enough for the client to be watched
 				c.String(http.StatusOK, "ok")
 			})
 			c, err := net.Dial("tcp", addr)
 			is.NoErr(err)
 			defer c.Close()
 			in := bufio.NewReader(c)
-			write(c, request+request) // the second arrives while the first is watched
+			writeString(c, request+request) // the second arrives while the first is watched
 			for range 2 {
 				resp, err := http.ReadResponse(in, nil)
 				is.NoErr(err)
@@ -75,7 +72,7 @@
 				is.NoErr(err)
 				is.Equal(string(b), "ok")
 			}
-			write(c, request)
+			writeString(c, request)
 			resp, err := http.ReadResponse(in, nil)
 			is.NoErr(err)
 			is.Equal(resp.StatusCode, 200)
