--- a/internal/adapter/listen/listen.go
+++ b/internal/adapter/listen/listen.go
@@ -1,7 +1,8 @@
-// Package listen opens listeners that outlast a shortage of file descriptors.
+// Package listen opens TCP listeners that keep accepting after a temporary
+// shortage of file descriptors.
 //
-// Callers accept from one goroutine each, as with any net.Listener; Close may be
-// called from another one.
+// As with any net.Listener, one goroutine calls Accept; Close may be called from
+// another one.
 package listen
 
 import (
@@ -14,13 +15,13 @@
 	"peardrift/internal/status"
 )
 
-// Pauses between two tries to accept while there is a shortage.
+// Delays between two attempts to accept during a shortage.
 const (
-	firstPause = 5 * time.Millisecond
-	lastPause  = time.Second
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = time.Second
 )
 
-// Open listens on a TCP address; it fails with status.CodeListen.
+// Open listens on a TCP address. It fails with status.CodeListen.
 func Open(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -29,45 +30,45 @@
 	return Patient(ln), nil
 }
 
-// Patient returns ln with an Accept that waits while the process or the machine
-// is short of what a connection takes.
+// Patient returns ln with an Accept that retries while the process or the machine
+// lacks the resources for a connection.
 //
-// A server takes a failed Accept for the end of its listener. After one moment
-// without a free descriptor the node would then look ready for good, and answer
-// nobody: connections wait in the kernel until they time out. The shortage passes
-// as soon as connections close.
+// A server treats an error from Accept as the end of its listener. After a brief
+// lack of file descriptors the node would look ready but never respond again:
+// connections would wait in the kernel until they time out. The shortage ends as
+// soon as connections close.
 func Patient(ln net.Listener) net.Listener {
-	return &patient{Listener: ln, closed: make(chan struct{})}
+	return &retryListener{Listener: ln, closed: make(chan struct{})}
 }
 
-type patient struct {
+type retryListener struct {
 	net.Listener
 	closed chan struct{}
 	once   sync.Once
 }
 
 // Accept implements net.Listener.
-func (p *patient) Accept() (net.Conn, error) {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		c, err := p.Listener.Accept()
-		if !shortage(err) {
+func (l *retryListener) Accept() (net.Conn, error) {
+	for delay := minAcceptDelay; ; delay = min(2*delay, maxAcceptDelay) {
+		c, err := l.Listener.Accept()
+		if !isResourceShortage(err) {
 			return c, err
 		}
 		select {
-		case <-p.closed:
+		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
 // Close implements net.Listener; it may be called more than once.
-func (p *patient) Close() error {
-	p.once.Do(func() { close(p.closed) })
-	return p.Listener.Close()
+func (l *retryListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
 
-func shortage(err error) bool {
+func isResourceShortage(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, e) {
 			return true
--- a/internal/adapter/listen/listen_test.go
+++ b/internal/adapter/listen/listen_test.go
@@ -12,41 +12,40 @@
 	"github.com/matryer/is"
 )
 
-// short is a listener whose first tries fail for want of descriptors.
-type short struct {
+// failingListener is a listener whose first Accept calls fail with EMFILE.
+type failingListener struct {
 	net.Listener
-	fails int
-	err   error // of the tries after that
+	failures int
+	err      error // returned after the failures
 }
 
-func (s *short) Accept() (net.Conn, error) {
-	if s.fails > 0 {
-		s.fails--
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
-	return nil, s.err
+	return nil, l.err
 }
 
-func (s *short) Close() error { return nil }
+func (l *failingListener) Close() error { return nil }
 
-// Symptom: a node looks ready and answers nobody. Events: it has no descriptor
-// left for a moment; connections close. Cause: its server took the failed accept
-// for the end of the listener.
-func TestAcceptOutlastsAShortage(t *testing.T) {
+// A server treats an error from Accept as the end of its listener. If a brief lack
+// of descriptors reached it, the node would look ready but never respond again.
+func TestAcceptRetriesDuringShortage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		other := errors.New("other")
-		began := time.Now()
-		_, err := Patient(&short{fails: 10, err: other}).Accept()
-		is.Equal(err, other)                               // any other failure is told
-		is.Equal(time.Since(began), 3275*time.Millisecond) // 5 ms, doubling to 1 s
+		start := time.Now()
+		_, err := Patient(&failingListener{failures: 10, err: other}).Accept()
+		is.Equal(err, other)                               // any other error is returned
+		is.Equal(time.Since(start), 3275*time.Millisecond) // 5 ms, doubling to 1 s
 	})
 }
 
-func TestCloseEndsTheWait(t *testing.T) {
+func TestCloseEndsRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ln := Patient(&short{fails: 1 << 30})
+		ln := Patient(&failingListener{failures: 1 << 30})
 		done := make(chan error)
 		go func() {
 			_, err := ln.Accept()
