--- a/internal/adapter/awsobject/awsobject.go
+++ b/internal/adapter/awsobject/awsobject.go
@@ -1,8 +1,8 @@
-// Package awsobject is port.Objects over an S3-style object store by the
-// official client, with path-style names.
+// Package awsobject implements port.Objects on an S3-compatible object store with
+// the official SDK, using path-style URLs.
 //
-// A Store is safe for concurrent use. Each call is made once; an object's name
-// includes its digest, so a caller may repeat a write that failed.
+// A Store is safe for concurrent use. Each call is attempted once. An object's
+// name contains its digest, so a caller may repeat a write that failed.
 package awsobject
 
 import (
@@ -18,8 +18,8 @@
 	"peardrift/internal/status"
 )
 
-// MaxObject bounds one object in bytes, so that a wrong name can't fill a
-// node's memory.
+// MaxObject limits the size of an object in bytes, so that a wrong name can't fill
+// a node's memory.
 const MaxObject = 16 << 20
 
 // Store implements port.Objects.
@@ -31,7 +31,7 @@
 
 var _ port.Objects = (*Store)(nil)
 
-// New returns the store's bucket of the given name.
+// New returns a store for the bucket of the given name.
 func New(cfg awscall.Config, bucket string) *Store {
 	call := awscall.New(cfg)
 	client := s3.New(s3.Options{
@@ -41,8 +41,8 @@
 		HTTPClient:   call.HTTP,
 		Retryer:      call.Retryer,
 		UsePathStyle: true,
-		// The name's digest already guards the content; the client's own
-		// checksums need extensions that not every store has.
+		// The digest in the name already verifies the content; the SDK's own checksums
+		// need extensions that not every store supports.
 		RequestChecksumCalculation: aws.RequestChecksumCalculationWhenRequired,
 		ResponseChecksumValidation: aws.ResponseChecksumValidationWhenRequired,
 	})
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	if len(body) > MaxObject {
-		return nil, status.New(status.CodeTooLarge, "object %s has over %d bytes", name, MaxObject)
+		return nil, status.New(status.CodeTooLarge, "object %s exceeds %d bytes", name, MaxObject)
 	}
 	return body, nil
 }
@@ -76,7 +76,7 @@
 // Put implements port.Objects.
 func (s *Store) Put(ctx context.Context, name string, body []byte) error {
 	if len(body) > MaxObject {
-		return status.New(status.CodeTooLarge, "object %s has over %d bytes", name, MaxObject)
+		return status.New(status.CodeTooLarge, "object %s exceeds %d bytes", name, MaxObject)
 	}
 	return s.call.Do(ctx, awscall.Write, "put "+name, func(ctx context.Context) error {
 		_, err := s.client.PutObject(ctx, &s3.PutObjectInput{
