--- a/internal/adapter/awstable/awscall/awscall.go
+++ b/internal/adapter/awstable/awscall/awscall.go
@@ -1,8 +1,8 @@
-// Package awscall is what the adapters of the platform's two services share:
-// a bounded HTTP client, one attempt per call, and what a failed call may
-// truthfully be said to have done.
+// Package awscall is shared by the adapters of the table and object services: an
+// HTTP client with limits, one attempt per call, and the classification of failed
+// calls by their possible effect.
 //
-// All functions and the Client are safe for concurrent use.
+// All functions and Client are safe for concurrent use.
 package awscall
 
 import (
@@ -17,30 +17,36 @@
 	"github.com/aws/aws-sdk-go-v2/credentials"
 )
 
-// Config bounds the calls to one service of the platform.
+// Config configures the calls to one service.
 type Config struct {
-	// Endpoint is the service's URL, as "http://127.0.0.1:7480". No default.
+	// Endpoint is the service's URL, for example "http://127.0.0.1:7480". No
+	// default.
 	Endpoint string
-	// Region is the service's region name, part of each signature; default "local".
+	// Region is the service's region name, which is part of each signature; default
+	// "local".
 	Region string
 	// AccessKey and SecretKey sign each call. No default.
 	AccessKey string
 	SecretKey string
-	// Timeout bounds one call, connecting included; default 2 s. Lower leaves
-	// more writes with a lost answer, higher holds callers of a slow service.
+	// Timeout limits one call, including connecting; default 2 s. A lower value
+	// leaves more writes without a response; a higher one blocks callers of a slow
+	// service for longer.
 	Timeout time.Duration
-	// ConnectTimeout bounds one connection attempt; default 1 s.
+	// ConnectTimeout limits one connection attempt; default 1 s.
 	ConnectTimeout time.Duration
-	// MaxConns bounds the connections to the service, and so the calls at once;
-	// further calls wait within their Timeout. Default 16. Higher serves more
-	// calls of a slow service and costs it more connections, times all nodes.
+	// MaxConns limits the connections to the service and thereby the concurrent
+	// calls; further calls wait within their Timeout. Default 16. A higher value
+	// allows more calls to a slow service, and costs it more connections from every
+	// node.
 	MaxConns int
-	// IdleTimeout closes unused connections; default 30 s. Lower connects more
-	// often; above the service's own bound calls meet closed connections.
+	// IdleTimeout closes unused connections; default 30 s. A lower value reconnects
+	// more often; above the service's own idle timeout, calls may use connections
+	// that the service has closed.
 	IdleTimeout time.Duration
 }
 
-// DefaultConfig returns the defaults; Endpoint and keys remain to be set.
+// DefaultConfig returns the default settings; the caller must set Endpoint and the
+// keys.
 func DefaultConfig() Config {
 	return Config{
 		Region:         "local",
@@ -51,18 +57,18 @@
 	}
 }
 
-// Client is what an SDK client is set up with.
+// Client holds what an SDK client is configured with.
 type Client struct {
 	HTTP        *http.Client
 	Credentials aws.CredentialsProvider
-	// Retryer makes one attempt only: a conditional write that is repeated
-	// after its answer was lost fails its own condition and looks like a race
-	// lost to somebody else, though it had taken effect.
+	// Retryer makes only one attempt. If a conditional write took effect but its
+	// response was lost, a retry would fail its own condition and look as if another
+	// writer had won.
 	Retryer aws.Retryer
 	timeout time.Duration
 }
 
-// New returns a client with its own connections.
+// New returns a client with its own connection pool.
 func New(cfg Config) *Client {
 	dialer := &net.Dialer{Timeout: cfg.ConnectTimeout}
 	return &Client{
@@ -86,13 +92,13 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
-// Do makes one call within the timeout and returns its typed failure, see Classify.
+// Do makes one call within the timeout and returns its error as typed by Classify.
 func (c *Client) Do(ctx context.Context, kind Kind, what string, call func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		// From here on bytes may go out. Before, the call waited for a
+		// From this point bytes may be sent. Before it, the call waited for a
 		// connection or failed to open one.
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
--- a/internal/adapter/awstable/awscall/classify.go
+++ b/internal/adapter/awstable/awscall/classify.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/status"
 )
 
-// Kind says whether a call can change anything.
+// Kind tells whether a call can change data.
 type Kind bool
 
 // The kinds of calls.
@@ -21,28 +21,28 @@
 	Write Kind = true
 )
 
-// Error codes of the services that decide what is said; all others go by the
+// Service error codes that are classified by name; all others are classified by
 // HTTP status.
 const (
-	codeConditionFailed = "ConditionalCheckFailed" // a reason in a cancelled transaction
+	codeConditionFailed = "ConditionalCheckFailed" // a reason in a canceled transaction
 	codeNoSuchKey       = "NoSuchKey"
 	codeNotFound        = "NotFound"
 )
 
-// Classify turns a call's failure into one that matches an error of package
-// port. sent tells whether any of the request may have left.
+// Classify converts the error of a call to one that matches an error of package
+// port. sent tells whether any part of the request may have been sent.
 //
-// It never says "nothing was written" of a write that may have been: such a
-// claim would let a caller try again, and the write would take effect twice.
+// It never reports that nothing was written if the write may have taken effect:
+// the caller would retry, and the write would take effect twice.
 func Classify(err error, kind Kind, sent bool, what string) error {
 	if err == nil {
 		return nil
 	}
-	kinds := verdict(err, kind, sent)
-	return status.Wrap(kinds.Code, err, "%s: %s", what, kinds.Detail)
+	base := classify(err, kind, sent)
+	return status.Wrap(base.Code, err, "%s: %s", what, base.Detail)
 }
 
-func verdict(err error, kind Kind, sent bool) *status.Error {
+func classify(err error, kind Kind, sent bool) *status.Error {
 	var (
 		failed   *types.ConditionalCheckFailedException
 		canceled *types.TransactionCanceledException
@@ -53,30 +53,31 @@
 	case errors.As(err, &failed):
 		return port.ErrConditionFailed
 	case errors.As(err, &canceled):
-		return canceledVerdict(canceled)
+		return classifyCanceled(canceled)
 	case errors.As(err, &api) && (api.ErrorCode() == codeNoSuchKey || api.ErrorCode() == codeNotFound):
 		return port.ErrNotFound
 	case kind == Read || !sent:
 		return port.ErrUnavailable
-	case errors.As(err, &resp) && refused(resp.HTTPStatusCode()):
+	case errors.As(err, &resp) && isRejected(resp.HTTPStatusCode()):
 		return port.ErrUnavailable
 	default:
-		// No answer, an unreadable one, or a server's own failure, after the
-		// write was sent.
+		// The write was sent, and there was no response, an invalid one or a server
+		// error.
 		return port.ErrAmbiguous
 	}
 }
 
-// refused reports whether a status says that the service did nothing:
-// throttling, a signature or a request that it doesn't accept.
-func refused(code int) bool {
+// isRejected reports whether a status means that the service did nothing:
+// throttling, an invalid signature or an invalid request.
+func isRejected(code int) bool {
 	return code >= http.StatusBadRequest && code < http.StatusInternalServerError &&
 		code != http.StatusRequestTimeout
 }
 
-// canceledVerdict reads why a transaction was cancelled, which wrote nothing:
-// a condition, or a passing reason such as another transaction in progress.
-func canceledVerdict(e *types.TransactionCanceledException) *status.Error {
+// classifyCanceled returns the error for a canceled transaction, which wrote
+// nothing. The reason is either a failed condition or transient, such as a
+// conflicting transaction.
+func classifyCanceled(e *types.TransactionCanceledException) *status.Error {
 	for _, r := range e.CancellationReasons {
 		if r.Code != nil && *r.Code == codeConditionFailed {
 			return port.ErrConditionFailed
--- a/internal/adapter/awstable/awscall/classify_test.go
+++ b/internal/adapter/awstable/awscall/classify_test.go
@@ -17,25 +17,23 @@
 	"peardrift/internal/port"
 )
 
-func answered(code int, err error) error {
+func responseError(code int, err error) error {
 	return fmt.Errorf("operation: %w", &awshttp.ResponseError{ResponseError: &smithyhttp.ResponseError{
 		Response: &smithyhttp.Response{Response: &http.Response{StatusCode: code}},
 		Err:      err,
 	}})
 }
 
-func canceled(codes ...string) error {
+func canceledError(codes ...string) error {
 	e := &types.TransactionCanceledException{}
 	for _, c := range codes {
 		e.CancellationReasons = append(e.CancellationReasons, types.CancellationReason{Code: aws.String(c)})
 	}
-	return answered(400, e)
+	return responseError(400, e)
 }
 
-// Symptom: a write is repeated that had taken effect, or a race is taken for
-// lost that nobody else had run.
-// Events: a call fails in one of the ways below.
-// Cause: the failure was taken for another than it is.
+// A misclassified error makes a caller repeat a write that took effect, or assume
+// that another writer won when there was none.
 func TestClassify(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: errors.New("connection reset by peer")}
 	dial := &net.OpError{Op: "dial", Err: errors.New("connection refused")}
@@ -47,16 +45,16 @@
 		want error
 	}{
 		{"nothing", nil, true, Write, nil},
-		{"condition", answered(400, &types.ConditionalCheckFailedException{}), true, Write, port.ErrConditionFailed},
-		{"transaction's condition", canceled("None", "ConditionalCheckFailed"), true, Write, port.ErrConditionFailed},
-		{"transaction's conflict", canceled("None", "TransactionConflict"), true, Write, port.ErrUnavailable},
-		{"throttled write", answered(400, &types.ProvisionedThroughputExceededException{}), true, Write, port.ErrUnavailable},
-		{"forbidden write", answered(403, errors.New("no")), true, Write, port.ErrUnavailable},
-		{"no such object", answered(404, &smithy.GenericAPIError{Code: "NoSuchKey"}), true, Read, port.ErrNotFound},
-		{"server's failure of a write", answered(500, &types.InternalServerError{}), true, Write, port.ErrAmbiguous},
-		{"server's failure of a read", answered(500, &types.InternalServerError{}), true, Read, port.ErrUnavailable},
-		{"server gave up waiting for a write", answered(408, errors.New("slow")), true, Write, port.ErrAmbiguous},
-		{"unreadable answer to a write", answered(200, errors.New("EOF")), true, Write, port.ErrAmbiguous},
+		{"condition", responseError(400, &types.ConditionalCheckFailedException{}), true, Write, port.ErrConditionFailed},
+		{"transaction's condition", canceledError("None", "ConditionalCheckFailed"), true, Write, port.ErrConditionFailed},
+		{"transaction's conflict", canceledError("None", "TransactionConflict"), true, Write, port.ErrUnavailable},
+		{"throttled write", responseError(400, &types.ProvisionedThroughputExceededException{}), true, Write, port.ErrUnavailable},
+		{"forbidden write", responseError(403, errors.New("no")), true, Write, port.ErrUnavailable},
+		{"no such object", responseError(404, &smithy.GenericAPIError{Code: "NoSuchKey"}), true, Read, port.ErrNotFound},
+		{"server's failure of a write", responseError(500, &types.InternalServerError{}), true, Write, port.ErrAmbiguous},
+		{"server's failure of a read", responseError(500, &types.InternalServerError{}), true, Read, port.ErrUnavailable},
+		{"server gave up waiting for a write", responseError(408, errors.New("slow")), true, Write, port.ErrAmbiguous},
+		{"unreadable answer to a write", responseError(200, errors.New("EOF")), true, Write, port.ErrAmbiguous},
 		{"refused connection", dial, false, Write, port.ErrUnavailable},
 		{"reset write", reset, true, Write, port.ErrAmbiguous},
 		{"reset read", reset, true, Read, port.ErrUnavailable},
@@ -69,7 +67,7 @@
 				return
 			}
 			is.True(errors.Is(got, tc.want))
-			is.True(errors.Is(got, tc.err)) // the cause stays
+			is.True(errors.Is(got, tc.err)) // the cause is preserved
 		})
 	}
 }
--- a/internal/adapter/awstable/awstable.go
+++ b/internal/adapter/awstable/awstable.go
@@ -1,12 +1,12 @@
-// Package awstable is port.Table over a DynamoDB-style table service by the
-// official client.
+// Package awstable implements port.Table on a DynamoDB-compatible table service
+// with the official SDK.
 //
-// The table has one hash key, the string attribute "pk". A row's other
-// attributes are "ver" (number), "val" (binary), "tok" (string) and, where the
-// row may be removed, "exp" (Unix seconds, rounded up).
+// The table has one hash key, the string attribute "pk". A row's other attributes
+// are "ver" (number), "val" (binary), "tok" (string) and, if the row may expire,
+// "exp" (Unix seconds, rounded up).
 //
-// A Table is safe for concurrent use. Each call is made once, whatever happens:
-// see awscall.Client.
+// A Table is safe for concurrent use. Each call is attempted once, whatever
+// happens; see awscall.Client.
 package awstable
 
 import (
@@ -23,7 +23,7 @@
 	"peardrift/internal/status"
 )
 
-// Attributes of a row and the conditions of writes.
+// Attributes of a row and condition expressions of writes.
 const (
 	attrKey     = "pk"
 	attrVersion = "ver"
@@ -36,7 +36,7 @@
 	condArg     = ":ver"
 )
 
-// MaxPuts bounds one PutAll: the service's own limit.
+// MaxPuts limits the rows of one PutAll; it is the service's own limit.
 const MaxPuts = 100
 
 // Table implements port.Table.
@@ -48,7 +48,7 @@
 
 var _ port.Table = (*Table)(nil)
 
-// New returns the table of the given name.
+// New returns a client for the table of the given name.
 func New(cfg awscall.Config, name string) *Table {
 	call := awscall.New(cfg)
 	client := dynamodb.New(dynamodb.Options{
@@ -70,7 +70,7 @@
 	err := t.call.Do(ctx, awscall.Read, "get "+key, func(ctx context.Context) (err error) {
 		out, err = t.client.GetItem(ctx, &dynamodb.GetItemInput{
 			TableName:      &t.name,
-			Key:            map[string]types.AttributeValue{attrKey: text(key)},
+			Key:            map[string]types.AttributeValue{attrKey: stringAttr(key)},
 			ConsistentRead: aws.Bool(true),
 		})
 		return err
@@ -81,19 +81,19 @@
 	if len(out.Item) == 0 {
 		return port.Item{}, status.New(port.ErrNotFound.Code, "no row %s", key)
 	}
-	return decode(out.Item)
+	return decodeItem(out.Item)
 }
 
 // Put implements port.Table.
 func (t *Table) Put(ctx context.Context, p port.Put) error {
-	if err := check(p); err != nil {
+	if err := checkSize(p); err != nil {
 		return err
 	}
-	cond, args := condition(p)
+	cond, args := putCondition(p)
 	return t.call.Do(ctx, awscall.Write, "put "+p.Item.Key, func(ctx context.Context) error {
 		_, err := t.client.PutItem(ctx, &dynamodb.PutItemInput{
 			TableName:                 &t.name,
-			Item:                      encode(p.Item),
+			Item:                      encodeItem(p.Item),
 			ConditionExpression:       &cond,
 			ExpressionAttributeValues: args,
 		})
@@ -101,23 +101,24 @@
 	})
 }
 
-// PutAll implements port.Table; at most MaxPuts rows, each once.
+// PutAll implements port.Table. It accepts at most MaxPuts rows, each at most
+// once.
 func (t *Table) PutAll(ctx context.Context, ps []port.Put) error {
 	if len(ps) == 0 {
 		return nil
 	}
 	if len(ps) > MaxPuts {
-		return status.New(status.CodeTooLarge, "%d rows in one write, at most %d", len(ps), MaxPuts)
+		return status.New(status.CodeTooLarge, "%d rows in one write, limit is %d", len(ps), MaxPuts)
 	}
 	items := make([]types.TransactWriteItem, 0, len(ps))
 	for _, p := range ps {
-		if err := check(p); err != nil {
+		if err := checkSize(p); err != nil {
 			return err
 		}
-		cond, args := condition(p)
+		cond, args := putCondition(p)
 		items = append(items, types.TransactWriteItem{Put: &types.Put{
 			TableName:                 &t.name,
-			Item:                      encode(p.Item),
+			Item:                      encodeItem(p.Item),
 			ConditionExpression:       &cond,
 			ExpressionAttributeValues: args,
 		}})
@@ -128,48 +129,48 @@
 	})
 }
 
-func check(p port.Put) error {
+func checkSize(p port.Put) error {
 	if len(p.Item.Value) > port.MaxValue {
-		return status.New(status.CodeTooLarge, "row %s has %d bytes, at most %d", p.Item.Key, len(p.Item.Value), port.MaxValue)
+		return status.New(status.CodeTooLarge, "row %s has %d bytes, limit is %d", p.Item.Key, len(p.Item.Value), port.MaxValue)
 	}
 	return nil
 }
 
-func condition(p port.Put) (string, map[string]types.AttributeValue) {
+func putCondition(p port.Put) (string, map[string]types.AttributeValue) {
 	if p.IfVersion == 0 {
 		return condAbsent, nil
 	}
-	return condVersion, map[string]types.AttributeValue{condArg: number(p.IfVersion)}
+	return condVersion, map[string]types.AttributeValue{condArg: numberAttr(p.IfVersion)}
 }
 
-func text(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
+func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
-func number(n int64) types.AttributeValue {
+func numberAttr(n int64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatInt(n, 10)}
 }
 
-func encode(it port.Item) map[string]types.AttributeValue {
+func encodeItem(it port.Item) map[string]types.AttributeValue {
 	m := map[string]types.AttributeValue{
-		attrKey:     text(it.Key),
-		attrVersion: number(it.Version),
+		attrKey:     stringAttr(it.Key),
+		attrVersion: numberAttr(it.Version),
 		attrValue:   &types.AttributeValueMemberB{Value: it.Value},
-		attrToken:   text(it.Token),
+		attrToken:   stringAttr(it.Token),
 	}
 	if !it.Expires.IsZero() {
-		// Up to the next second: the service must not remove the row early.
-		m[attrExpires] = number(it.Expires.Add(time.Second - 1).Unix())
+		// Rounded up to the next second: the service must not remove the row early.
+		m[attrExpires] = numberAttr(it.Expires.Add(time.Second - 1).Unix())
 	}
 	return m
 }
 
-func decode(m map[string]types.AttributeValue) (port.Item, error) {
+func decodeItem(m map[string]types.AttributeValue) (port.Item, error) {
 	var it port.Item
 	key, okKey := m[attrKey].(*types.AttributeValueMemberS)
 	version, okVersion := m[attrVersion].(*types.AttributeValueMemberN)
 	value, okValue := m[attrValue].(*types.AttributeValueMemberB)
 	token, okToken := m[attrToken].(*types.AttributeValueMemberS)
 	if !okKey || !okVersion || !okValue || !okToken {
-		return it, status.New(status.CodeProtocol, "the row was not written by this version")
+		return it, status.New(status.CodeProtocol, "row was not written by this version: attributes are missing or have unexpected types")
 	}
 	n, err := strconv.ParseInt(version.Value, 10, 64)
 	if err != nil {
