--- a/internal/adapter/hertzhttp/body.go
+++ b/internal/adapter/hertzhttp/body.go
@@ -28,37 +28,37 @@
 		return nil
 	}
 	n := req.Header.ContentLength()
-	s := &requestBody{reader: req.BodyStream(), conn: conn, remaining: n}
-	req.ConstructBodyStream(nil, s) // SetBodyStream would close the current stream
-	return s
+	b := &requestBody{reader: req.BodyStream(), conn: conn, remaining: n}
+	req.ConstructBodyStream(nil, b) // SetBodyStream would close the current stream
+	return b
 }
 
 // Read implements io.Reader.
-func (s *requestBody) Read(p []byte) (int, error) {
-	n, err := s.reader.Read(p)
-	if s.remaining >= 0 {
-		s.remaining -= n
+func (b *requestBody) Read(p []byte) (int, error) {
+	n, err := b.reader.Read(p)
+	if b.remaining >= 0 {
+		b.remaining -= n
 	}
-	if err == io.EOF && s.remaining > 0 {
+	if err == io.EOF && b.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil && err != io.EOF {
-		s.err = err
-		_ = s.conn.Close()
+		b.err = err
+		_ = b.conn.Close()
 	}
 	return n, err
 }
 
 // cause returns the error that ended the body early, or nil. Such an error is not
 // the peer's fault.
-func (s *requestBody) cause() error {
-	if s == nil || s.err == nil {
+func (b *requestBody) cause() error {
+	if b == nil || b.err == nil {
 		return nil
 	}
-	if status.CodeOf(s.err) == status.CodeTooLarge {
-		return s.err
+	if status.CodeOf(b.err) == status.CodeTooLarge {
+		return b.err
 	}
-	return status.Wrap(status.CodeCanceled, s.err, "reading the request body failed")
+	return status.Wrap(status.CodeCanceled, b.err, "reading the request body failed")
 }
 
 // responseBody is the body of a response being sent.
@@ -71,28 +71,28 @@
 // guardResponseBody closes the connection if the response's body stream fails, and
 // calls onClose when the stream is closed. It reports whether the response has a
 // body stream.
-func guardResponseBody(c *app.RequestContext, end func()) bool {
+func guardResponseBody(c *app.RequestContext, onClose func()) bool {
 	if !c.Response.IsBodyStream() {
 		return false
 	}
-	s := &responseBody{Reader: c.Response.BodyStream(), conn: c.GetConn(), onClose: end}
-	c.Response.SetBodyStreamNoReset(s, c.Response.Header.ContentLength())
+	b := &responseBody{Reader: c.Response.BodyStream(), conn: c.GetConn(), onClose: onClose}
+	c.Response.SetBodyStreamNoReset(b, c.Response.Header.ContentLength())
 	return true
 }
 
 // Read implements io.Reader.
-func (s *responseBody) Read(p []byte) (int, error) {
-	n, err := s.Reader.Read(p)
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.Reader.Read(p)
 	if err != nil && err != io.EOF {
-		_ = s.conn.Close()
+		_ = b.conn.Close()
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (s *responseBody) Close() error {
-	defer s.onClose()
-	if c, ok := s.Reader.(io.Closer); ok {
+func (b *responseBody) Close() error {
+	defer b.onClose()
+	if c, ok := b.Reader.(io.Closer); ok {
 		return c.Close()
 	}
 	return nil
--- a/internal/adapter/hertzhttp/client.go
+++ b/internal/adapter/hertzhttp/client.go
@@ -126,7 +126,8 @@
 	// false, the peer has executed nothing.
 	Sent bool
 	// Reused reports that the connection had carried earlier calls. A call that
-	// fails on it at once may only have met a connection that the peer had closed.
+	// fails on it at once may only have used a connection that the peer had already
+	// closed.
 	Reused bool
 	// Stream is the response body if it was not read completely; the caller must
 	// close it. It is nil when resp holds the whole body.
@@ -309,14 +310,14 @@
 // loaded machine, with 250 ms in none.
 const earlyResponseWait = 250 * time.Millisecond
 
-func (c *Client) readBuffered(cc *clientConn, resp *protocol.Response, stop func() bool, keep bool) error {
+func (c *Client) readBuffered(cc *clientConn, resp *protocol.Response, stop func() bool, reusable bool) error {
 	if err := http1resp.ReadRespBody(resp, cc, 0); err != nil {
 		return err
 	}
 	if err := cc.Release(); err != nil {
 		return err
 	}
-	cc.returnToPool(stop, keep && !resp.ConnectionClose())
+	cc.returnToPool(stop, reusable && !resp.ConnectionClose())
 	return nil
 }
 
--- a/internal/adapter/hertzhttp/conn.go
+++ b/internal/adapter/hertzhttp/conn.go
@@ -164,14 +164,14 @@
 	return c.packer.UnpackAnswer(&resp.Header, &req.Header)
 }
 
-// returnToPool returns the connection after a complete response. If the call's
-// context ended meanwhile, its AfterFunc is closing the connection or soon will;
-// another call on the connection would lose its response.
-func (c *clientConn) returnToPool(stop func() bool, keep bool) {
+// returnToPool returns the connection to the pool after a complete response. If
+// the call's context ended meanwhile, its AfterFunc is closing the connection or
+// soon will: it must not carry another call, whose response would be lost.
+func (c *clientConn) returnToPool(stop func() bool, reusable bool) {
 	switch {
 	case !stop():
 		c.pool.finish(c, conn.Aborted)
-	case !keep:
+	case !reusable:
 		c.pool.finish(c, conn.WholeLast)
 	default:
 		c.pool.finish(c, conn.Whole)
--- a/internal/adapter/hertzhttp/dial.go
+++ b/internal/adapter/hertzhttp/dial.go
@@ -48,17 +48,17 @@
 }
 
 // Accept implements net.Listener.
-func (s *singleConnListener) Accept() (net.Conn, error) {
-	c := s.conn
+func (l *singleConnListener) Accept() (net.Conn, error) {
+	c := l.conn
 	if c == nil {
 		return nil, net.ErrClosed
 	}
-	s.conn = nil
+	l.conn = nil
 	return c, nil
 }
 
 // Addr implements net.Listener.
-func (s *singleConnListener) Addr() net.Addr { return s.addr }
+func (l *singleConnListener) Addr() net.Addr { return l.addr }
 
 // Close implements net.Listener.
-func (s *singleConnListener) Close() error { return nil }
+func (l *singleConnListener) Close() error { return nil }
--- a/internal/adapter/hertzhttp/probe_test.go
+++ b/internal/adapter/hertzhttp/probe_test.go
@@ -35,14 +35,14 @@
 	c, err := p.get("second", time.Second)
 	is.NoErr(err)
 	defer p.finish(c, conn.Aborted)
-	tick := func(after time.Duration) []conn.Action {
+	runTick := func(after time.Duration) []conn.Action {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.core.Tick(cl.now()+after, nil)
 	}
-	is.Equal(tick(cl.connConfig.SilentMax), []conn.Action{{Kind: conn.Probe, Conns: []conn.ID{c.id}}})
+	is.Equal(runTick(cl.connConfig.SilentMax), []conn.Action{{Kind: conn.Probe, Conns: []conn.ID{c.id}}})
 	p.probe(map[conn.ID]string{c.id: "first"})
-	for _, a := range tick(2 * cl.connConfig.Grace) {
+	for _, a := range runTick(2 * cl.connConfig.Grace) {
 		is.True(a.Kind != conn.Fail)
 	}
 }
--- a/internal/adapter/hertzhttp/request_context.go
+++ b/internal/adapter/hertzhttp/request_context.go
@@ -18,8 +18,8 @@
 	err       error         // reason for the end; nil while active
 	done      chan struct{} // created on first use
 	deadline  time.Time     // zero if there is none
-	timer     *time.Timer   // nil while the watcher enforces the deadline
-	unwatched bool          // the watcher no longer checks the request
+	timer     *time.Timer   // nil until the deadline needs one
+	ownTimer  bool          // the watcher has handled the request, so a deadline needs a timer
 	callbacks []callback
 	inline    [2]callback // initial storage of callbacks; most calls need no more
 	lastID    int         // id of the newest callback
@@ -40,137 +40,138 @@
 }()
 
 // Deadline implements context.Context.
-func (s *requestContext) Deadline() (time.Time, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.deadline, !s.deadline.IsZero()
+func (c *requestContext) Deadline() (time.Time, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deadline, !c.deadline.IsZero()
 }
 
 // Done implements context.Context.
-func (s *requestContext) Done() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (c *requestContext) Done() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case s.done != nil:
-	case s.err != nil:
-		s.done = closedChan
+	case c.done != nil:
+	case c.err != nil:
+		c.done = closedChan
 	default:
-		s.done = make(chan struct{})
+		c.done = make(chan struct{})
 	}
-	return s.done
+	return c.done
 }
 
 // Err implements context.Context.
-func (s *requestContext) Err() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.err
+func (c *requestContext) Err() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err
 }
 
 // AfterFunc is like context.AfterFunc. Standard library contexts derived from a
 // requestContext use it to learn of its end.
-func (s *requestContext) AfterFunc(f func()) (stop func() bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.err != nil {
+func (c *requestContext) AfterFunc(f func()) (stop func() bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
 		go f()
 		return func() bool { return false }
 	}
-	if s.callbacks == nil {
-		s.callbacks = s.inline[:0]
+	if c.callbacks == nil {
+		c.callbacks = c.inline[:0]
 	}
-	s.lastID++
-	id := s.lastID
-	s.callbacks = append(s.callbacks, callback{id, f})
-	return func() bool { return s.removeCallback(id) }
+	c.lastID++
+	id := c.lastID
+	c.callbacks = append(c.callbacks, callback{id, f})
+	return func() bool { return c.removeCallback(id) }
 }
 
-func (s *requestContext) removeCallback(id int) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	i := slices.IndexFunc(s.callbacks, func(h callback) bool { return h.id == id })
+func (c *requestContext) removeCallback(id int) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	i := slices.IndexFunc(c.callbacks, func(cb callback) bool { return cb.id == id })
 	if i < 0 {
 		return false
 	}
-	s.callbacks = slices.Delete(s.callbacks, i, i+1)
+	c.callbacks = slices.Delete(c.callbacks, i, i+1)
 	return true
 }
 
 // cancel ends the context if it is still active.
-func (s *requestContext) cancel() { s.end(context.Canceled) }
+func (c *requestContext) cancel() { c.end(context.Canceled) }
 
-func (s *requestContext) expire() { s.end(context.DeadlineExceeded) }
+func (c *requestContext) expire() { c.end(context.DeadlineExceeded) }
 
-func (s *requestContext) end(err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.err != nil {
+func (c *requestContext) end(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
 		return
 	}
-	s.err = err
-	if s.done != nil {
-		close(s.done)
+	c.err = err
+	if c.done != nil {
+		close(c.done)
 	}
-	if s.timer != nil {
-		s.timer.Stop()
+	if c.timer != nil {
+		c.timer.Stop()
 	}
-	for _, h := range s.callbacks {
-		go h.f()
+	for _, cb := range c.callbacks {
+		go cb.f()
 	}
-	s.callbacks = nil
-	s.inline = [2]callback{}
+	c.callbacks = nil
+	c.inline = [2]callback{}
 }
 
 // setDeadline sets the deadline unless an earlier one is set.
-func (s *requestContext) setDeadline(t time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.err != nil || !s.deadline.IsZero() && !t.Before(s.deadline) {
+func (c *requestContext) setDeadline(t time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil || !c.deadline.IsZero() && !t.Before(c.deadline) {
 		return
 	}
-	s.deadline = t
-	if s.unwatched || time.Until(t) < watchDelay+minWatchInterval {
-		s.armTimer()
+	c.deadline = t
+	if c.ownTimer || time.Until(t) < watchDelay+minWatchInterval {
+		c.armTimer()
 	}
 }
 
-// stopWatching records that the watcher will not check the request again.
-func (s *requestContext) stopWatching() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.unwatched = true
-	if s.err == nil && !s.deadline.IsZero() {
-		s.armTimer()
+// useOwnTimer records that the watcher has handled the request and won't look at
+// it again: from now on the deadline needs a timer of its own.
+func (c *requestContext) useOwnTimer() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ownTimer = true
+	if c.err == nil && !c.deadline.IsZero() {
+		c.armTimer()
 	}
 }
 
 // armTimer starts the deadline timer. Called with mu held.
-func (s *requestContext) armTimer() {
-	remaining := max(time.Until(s.deadline), 0)
-	if s.timer != nil {
-		s.timer.Reset(remaining)
+func (c *requestContext) armTimer() {
+	remaining := max(time.Until(c.deadline), 0)
+	if c.timer != nil {
+		c.timer.Reset(remaining)
 		return
 	}
-	s.timer = time.AfterFunc(remaining, s.expire)
+	c.timer = time.AfterFunc(remaining, c.expire)
 }
 
 // WithDeadline is like context.WithDeadline. For the context of a request served
 // by a Server it returns the same context: the deadline and cancel apply to the
 // whole request. Call it at most once per request.
 func WithDeadline(ctx context.Context, t time.Time) (context.Context, context.CancelFunc) {
-	s, ok := ctx.(*requestContext)
+	rc, ok := ctx.(*requestContext)
 	if !ok {
 		return context.WithDeadline(ctx, t)
 	}
-	s.setDeadline(t)
-	return s, s.cancel
+	rc.setDeadline(t)
+	return rc, rc.cancel
 }
 
 // AfterFunc is like context.AfterFunc, and cheaper for the context of a request
 // served by a Server.
 func AfterFunc(ctx context.Context, f func()) (stop func() bool) {
-	if s, ok := ctx.(*requestContext); ok {
-		return s.AfterFunc(f)
+	if rc, ok := ctx.(*requestContext); ok {
+		return rc.AfterFunc(f)
 	}
 	return context.AfterFunc(ctx, f)
 }
--- a/internal/adapter/hertzhttp/watch.go
+++ b/internal/adapter/hertzhttp/watch.go
@@ -13,17 +13,17 @@
 
 // watchDelay is how long a request runs before the server watches its client.
 // hertz watches from the start, which costs each request a goroutine and a wait
-// for that goroutine before the response can be sent. Most calls end sooner than a
-// disconnect matters; work for a disconnected client continues for at most this
-// long before it is canceled.
+// for that goroutine before the response can be sent. Most calls finish before a
+// disconnect would matter; work for a disconnected client continues for at most
+// this long before it is canceled.
 const watchDelay = 200 * time.Millisecond
 
 // minWatchInterval is the minimum time between two scans for such requests.
 // Scanning as soon as the next one is due would wake a busy node for each request.
 const minWatchInterval = watchDelay / 4
 
-// disconnectWatcher starts to watch the clients of long-running requests. It is
-// safe for concurrent use.
+// disconnectWatcher starts to watch the clients of long-running requests, and
+// starts the timers of these requests' deadlines. It is safe for concurrent use.
 type disconnectWatcher struct {
 	mu    sync.Mutex
 	queue []*watchedRequest // ordered by start time
@@ -85,7 +85,7 @@
 // onTimer starts to watch the requests that have run for watchDelay.
 func (w *disconnectWatcher) onTimer() {
 	for _, r := range w.takeDue(time.Now()) {
-		r.ctx.stopWatching()
+		r.ctx.useOwnTimer()
 		r.startDetector()
 	}
 }
