--- a/internal/adapter/rpc/adminapi/adminapi.go
+++ b/internal/adapter/rpc/adminapi/adminapi.go
@@ -1,17 +1,17 @@
-// Package adminapi holds the messages between the operators' tool and a node's
-// control address, over net/rpc with the codec of package rpc. Fields are added,
-// never renamed: tool and nodes may be of different versions.
+// Package adminapi defines the messages that the operators' tool exchanges with
+// a node's control address, over net/rpc with the codec of package rpc. Fields
+// may be added but not renamed: the tool and the nodes may differ in version.
 package adminapi
 
 import "peardrift/internal/core/request"
 
 // Methods of the service that a node registers as "Admin".
 const (
-	// MethodHead tells a node that a version of a tenant's set was accepted
-	// (HeadArgs, HeadReply). It is a hint: the node reads the head itself before
-	// it believes it, so a wrong or hostile hint costs one read.
+	// MethodHead notifies a node that a version of a tenant's set was accepted
+	// (HeadArgs, HeadReply). It is a hint: the node reads the head itself to
+	// verify it, so a wrong or malicious hint costs one read.
 	MethodHead = "Admin.Head"
-	// MethodStatus asks a node how it is (StatusArgs, StatusReply).
+	// MethodStatus returns a node's status (StatusArgs, StatusReply).
 	MethodStatus = "Admin.Status"
 )
 
@@ -21,7 +21,7 @@
 	Version int64
 }
 
-// HeadReply tells which version the node has in force at the moment.
+// HeadReply returns the version that the node currently has in force.
 type HeadReply struct {
 	InForce int64
 }
@@ -37,26 +37,26 @@
 	Zone    string
 	Ready   bool
 	Leaving bool
-	Members int // known to be alive, this node included
+	Members int // live members, this node included
 	Tenants []TenantStatus
 
 	Build    string   // version of the node's program
-	NotReady []string // what keeps the node from being ready
+	NotReady []string // reasons why the node is not ready
 	Gate     GateStatus
 }
 
-// GateStatus is how the gate before the node's target stands.
+// GateStatus is the state of admission control in front of the node's target.
 type GateStatus struct {
-	Limit   int     // requests that may run at once
-	Running int     // requests that run
-	Queued  int     // requests that wait
+	Limit   int     // concurrency limit
+	Running int     // requests in flight
+	Queued  int     // requests waiting in the queue
 	Demand  float64 // recent demand in slots
-	Level   float64 // what is less important than this is refused; 0: nothing is
+	Level   float64 // requests of lower importance are refused; 0: none are
 }
 
-// TenantStatus is what a node knows of one tenant's configuration.
+// TenantStatus is a node's view of one tenant's configuration.
 type TenantStatus struct {
 	Tenant  request.Tenant
-	InForce int64 // version that traffic is judged by, 0 if none
-	Known   int64 // highest version that the node has heard of
+	InForce int64 // version applied to traffic, 0 if none
+	Known   int64 // highest version known to the node
 }
--- a/internal/adapter/rpc/bench_test.go
+++ b/internal/adapter/rpc/bench_test.go
@@ -16,8 +16,8 @@
 
 type decoder interface{ Decode(any) error }
 
-// BenchmarkCodec compares what a heartbeat at rest and one with three of each
-// kind of item cost in bytes and time, on a connection that is in use already.
+// BenchmarkCodec compares size and time of an idle heartbeat and one with three
+// of each kind of item, on an established connection.
 func BenchmarkCodec(b *testing.B) {
 	for _, items := range []int{0, 3} {
 		name := "rest"
@@ -53,7 +53,7 @@
 	b.ReportMetric(float64(bytesEach), "bytes/msg")
 }
 
-// BenchmarkCall measures a whole exchange over loopback and its bytes at one end.
+// BenchmarkCall measures an exchange over loopback and its bytes at one end.
 func BenchmarkCall(b *testing.B) {
 	meter := &Meter{}
 	s := NewServer(DefaultConfig(), &Meter{})
@@ -77,7 +77,7 @@
 	b.ReportMetric(float64(meter.Total())/float64(b.N), "wire-bytes/op")
 }
 
-// BenchmarkGobCall is the same with net/rpc's own codec, for comparison.
+// BenchmarkGobCall is BenchmarkCall with net/rpc's gob codec, for comparison.
 func BenchmarkGobCall(b *testing.B) {
 	meter := &Meter{}
 	s := rpc.NewServer()
--- a/internal/adapter/rpc/claims.go
+++ b/internal/adapter/rpc/claims.go
@@ -7,45 +7,48 @@
 	"peardrift/internal/claims/shared"
 )
 
-// ClaimsName is the name of the service that takes other nodes' claims, and
-// submitMethod its one method.
+// ClaimsName is the name of the service that receives other nodes' claims, and
+// submitMethod its only method.
 const (
 	ClaimsName   = "Claims"
 	submitMethod = ClaimsName + ".Submit"
 )
 
-// opBytes is about what an op and its answer take besides row and value.
-const opBytes = 100
+// opOverheadBytes is the approximate encoded size of an op and its answer without
+// row and value.
+const opOverheadBytes = 100
 
-// ClaimsService takes ops of claims whose rows this node batches; register it as
-// ClaimsName.
+// ClaimsService receives claim operations on the rows that this node batches;
+// register it as ClaimsName.
 type ClaimsService struct {
 	serve func(context.Context, *shared.Op) shared.Answer
 	meter *Meter
 }
 
 // NewClaimsService returns a service that passes ops to serve, on net/rpc's
-// goroutines. Their bytes are waived at the server's meter.
+// goroutines. Their bytes are excluded from the meter's Take.
 func NewClaimsService(serve func(context.Context, *shared.Op) shared.Answer, meter *Meter) *ClaimsService {
 	return &ClaimsService{serve: serve, meter: meter}
 }
 
-// Submit is called by net/rpc. It waits as long as the op's sender does.
+// Submit is called by net/rpc. It blocks as long as the op's sender waits for
+// the answer.
 func (s *ClaimsService) Submit(in *shared.Op, out *shared.Answer) error {
-	s.meter.Waive(opBytes + len(in.Row) + len(in.Value))
+	s.meter.Waive(opOverheadBytes + len(in.Row) + len(in.Value))
 	*out = s.serve(context.Background(), in)
 	return nil
 }
 
-// maxHeld is up to how many nodes connections to them are kept. Each row has
-// another node, so that in a large fleet the next op to the same one is far off.
-const maxHeld = 64
+// maxPooledNodes is the largest fleet in which connections are kept open. Rows
+// are spread over all nodes, so in a larger fleet ops to the same node are too
+// rare for a connection to be reused.
+const maxPooledNodes = 64
 
-// ClaimPeers sends ops of claims to other nodes, over connections of its own: a
-// node that is slow to write claims must not break its neighbours' heartbeats.
+// ClaimPeers sends claim operations to other nodes. It uses separate connections,
+// so that a node that is slow to write claims doesn't break heartbeats.
 type ClaimPeers struct {
-	pool *Pool
-	once atomic.Bool
+	pool    *Pool
+	oneShot atomic.Bool
 }
 
 var _ shared.Peers = (*ClaimPeers)(nil)
@@ -55,22 +58,22 @@
 	return &ClaimPeers{pool: NewPool(cfg, &Meter{})}
 }
 
-// SetCount tells how many nodes there are.
-func (p *ClaimPeers) SetCount(n int) { p.once.Store(n > maxHeld) }
+// SetCount sets the number of nodes in the fleet.
+func (p *ClaimPeers) SetCount(n int) { p.oneShot.Store(n > maxPooledNodes) }
 
 // Submit implements shared.Peers.
 func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *shared.Op) (shared.Answer, error) {
-	do := p.pool.Call
-	if p.once.Load() {
-		do = p.pool.CallOnce
+	call := p.pool.Call
+	if p.oneShot.Load() {
+		call = p.pool.CallOnce
 	}
 	var ans shared.Answer
-	if err := do(ctx, addr, submitMethod, op, &ans); err != nil {
-		// The answer may be on its way into ans just now.
+	if err := call(ctx, addr, submitMethod, op, &ans); err != nil {
+		// After a timeout the connection's goroutine may still be writing to ans.
 		return shared.Answer{}, err
 	}
 	return ans, nil
 }
 
-// Close closes all connections; ops under way fail.
+// Close closes all connections; in-flight ops fail.
 func (p *ClaimPeers) Close() { p.pool.Close() }
--- a/internal/adapter/rpc/claims_test.go
+++ b/internal/adapter/rpc/claims_test.go
@@ -12,7 +12,8 @@
 	"peardrift/internal/core/claim/batch"
 )
 
-// startClaims serves claims by serve and returns a sender and the address.
+// startClaims serves claims with serve and returns a client, the server's address
+// and its meter.
 func startClaims(t *testing.T, serve func(context.Context, *shared.Op) shared.Answer) (*ClaimPeers, string, *Meter) {
 	is, meter := is.New(t), &Meter{}
 	s := NewServer(DefaultConfig(), meter)
@@ -28,7 +29,7 @@
 	return p, ln.Addr().String(), meter
 }
 
-func TestClaimsGoThereAndBack(t *testing.T) {
+func TestClaimRoundTrip(t *testing.T) {
 	is := is.New(t)
 	want := shared.Op{
 		Row: "claims/1/1", Start: 64, Key: "\x00\xff23456789abcdef", IfVersion: 1, Token: "\x80\x81",
@@ -40,20 +41,19 @@
 		got <- *op
 		return answer
 	})
-	for _, nodes := range []int{maxHeld, maxHeld + 1} {
+	for _, nodes := range []int{maxPooledNodes, maxPooledNodes + 1} {
 		p.SetCount(nodes)
 		ans, err := p.Submit(timeout(t, 10*time.Second), addr, &want)
 		is.NoErr(err)
 		is.Equal(ans, answer)
 		is.Equal(<-got, want)
 	}
-	is.True(meter.Total() > int64(meter.Take())+200) // not all of it is membership's to pay
+	is.True(meter.Total() > int64(meter.Take())+200) // claims are excluded from the membership budget
 }
 
-// Symptom: the race detector, or an answer made of two.
-// Events: an answer arrives at the moment at which its sender gives up.
-// Cause: the answer handed on while the connection's goroutine writes it.
-func TestLateAnswerIsNotLookedAt(t *testing.T) {
+// Guards against a data race or a mixed answer: the answer arrives as its sender
+// times out, and is returned while the connection's goroutine still writes it.
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	p, addr, _ := startClaims(t, func(context.Context, *shared.Op) shared.Answer {
 		time.Sleep(time.Millisecond)
@@ -63,7 +63,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 1300*time.Microsecond)
 		ans, err := p.Submit(ctx, addr, &shared.Op{Row: "row"})
 		cancel()
-		is.Equal(err != nil, ans.Result != batch.OK) // an error comes with nothing
+		is.Equal(err != nil, ans.Result != batch.OK) // an error comes with a zero answer
 		is.Equal(err != nil, ans.Version == 0)
 	}
 }
--- a/internal/adapter/rpc/codec.go
+++ b/internal/adapter/rpc/codec.go
@@ -12,71 +12,73 @@
 	"peardrift/internal/status"
 )
 
-// codec is both ends of net/rpc's codec: MessagePack with structs as arrays and
-// integers in their shortest form. A request is its sequence number, method and
-// body; a reply its sequence number, error and body.
+// codec implements net/rpc's client and server codec: MessagePack with structs
+// as arrays and integers in their shortest form. A request consists of sequence
+// number, method and body; a reply of sequence number, error and body.
 type codec struct {
-	conn net.Conn
-	cfg  Config
-	in   *limitedReader
-	dec  *msgpack.Decoder
-	out  *bufio.Writer
-	enc  *msgpack.Encoder
-	idle time.Duration // read deadline before each request; 0: none
+	conn        net.Conn
+	cfg         Config
+	in          *limitedReader
+	dec         *msgpack.Decoder
+	out         *bufio.Writer
+	enc         *msgpack.Encoder
+	idleTimeout time.Duration // read deadline before each request; 0: none
 }
 
 func newCodec(conn net.Conn, cfg Config, idle time.Duration) *codec {
-	c := &codec{conn: conn, cfg: cfg, idle: idle}
+	c := &codec{conn: conn, cfg: cfg, idleTimeout: idle}
 	c.in = &limitedReader{r: bufio.NewReader(conn)}
 	c.dec = msgpack.NewDecoder(c.in)
-	c.out = bufio.NewWriterSize(conn, packetData)
+	c.out = bufio.NewWriterSize(conn, maxSegmentBytes)
 	c.enc = msgpack.NewEncoder(c.out)
 	c.enc.UseArrayEncodedStructs(true)
 	c.enc.UseCompactInts(true)
 	return c
 }
 
-// limitedReader bounds the bytes of one message. Without the bound a faulty
-// peer could make the node buffer without end.
+// limitedReader limits the bytes of one message, so that a faulty peer can't
+// make the node buffer an unbounded amount.
 type limitedReader struct {
-	r    *bufio.Reader
-	left int
+	r         *bufio.Reader
+	remaining int
 }
 
-func tooLarge() error { return status.New(status.CodeTooLarge, "control message exceeds the bound") }
+func tooLarge() error {
+	return status.New(status.CodeTooLarge, "control message exceeds the size limit")
+}
 
 func (l *limitedReader) Read(b []byte) (int, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, tooLarge()
 	}
-	n, err := l.r.Read(b[:min(len(b), l.left)])
-	l.left -= n
+	n, err := l.r.Read(b[:min(len(b), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
 
 func (l *limitedReader) ReadByte() (byte, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, tooLarge()
 	}
 	b, err := l.r.ReadByte()
 	if err == nil {
-		l.left--
+		l.remaining--
 	}
 	return b, err
 }
 
 func (l *limitedReader) UnreadByte() error {
-	l.left++
+	l.remaining++
 	return l.r.UnreadByte()
 }
 
 func (c *codec) ReadRequestHeader(r *rpc.Request) error {
-	if c.idle > 0 {
-		if err := c.conn.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
+	if c.idleTimeout > 0 {
+		if err := c.conn.SetReadDeadline(time.Now().Add(c.idleTimeout)); err != nil {
 			return err
 		}
 	}
-	c.in.left = c.cfg.MaxMessage
+	c.in.remaining = c.cfg.MaxMessage
 	var err error
 	if r.Seq, err = c.dec.DecodeUint64(); err != nil {
 		return err
@@ -88,7 +90,7 @@
 func (c *codec) ReadRequestBody(body any) error { return c.readBody(body) }
 
 func (c *codec) ReadResponseHeader(r *rpc.Response) error {
-	c.in.left = c.cfg.MaxMessage
+	c.in.remaining = c.cfg.MaxMessage
 	var err error
 	if r.Seq, err = c.dec.DecodeUint64(); err != nil {
 		return err
@@ -99,9 +101,9 @@
 
 func (c *codec) ReadResponseBody(body any) error { return c.readBody(body) }
 
-// readBody decodes into body, or skips it if body is nil. If that fails, the
-// connection is closed: net/rpc would go on reading, and take what is left of
-// the body for the next message.
+// readBody decodes into body, or skips the value if body is nil. On failure it
+// closes the connection: net/rpc would otherwise continue and parse the rest of
+// the body as the next message.
 func (c *codec) readBody(body any) error {
 	raw, err := c.dec.DecodeRaw()
 	if err == nil && body != nil {
@@ -113,10 +115,10 @@
 	return err
 }
 
-// decode decodes a body that was read as a whole before. The library allocates
-// as many elements as a list announces: read straight from the connection, a
-// peer's 47 bytes were seen to ask for 77 GB. Of a body that is complete, each
-// element has at least one byte.
+// decode decodes a body that was read completely. The library allocates as many
+// elements as a list header announces: decoding directly from the connection, 47
+// bytes from a peer requested 77 GB. In a complete body each element takes at
+// least one byte.
 func decode(raw []byte, body any) error { return msgpack.Unmarshal(raw, body) }
 
 func (c *codec) WriteRequest(r *rpc.Request, body any) error {
@@ -127,8 +129,8 @@
 	return c.write(r.Seq, r.Error, body)
 }
 
-// write sends one message. A message that was written in part spoils the
-// connection, so that is closed.
+// write sends one message. It closes the connection on failure, since a partial
+// message breaks the framing.
 func (c *codec) write(seq uint64, text string, body any) error {
 	err := c.conn.SetWriteDeadline(time.Now().Add(c.cfg.WriteTimeout))
 	if err == nil {
--- a/internal/adapter/rpc/fuzz_test.go
+++ b/internal/adapter/rpc/fuzz_test.go
@@ -14,7 +14,7 @@
 	"peardrift/internal/core/request"
 )
 
-// inputConn is a connection whose peer has sent some bytes and hung up.
+// inputConn is a connection whose peer sent some bytes and closed it.
 type inputConn struct {
 	net.Conn
 	in bytes.Reader
@@ -46,8 +46,8 @@
 	return s
 }
 
-// FuzzExchange: whatever a peer sends, a node neither panics nor runs out of
-// memory, its answers stay small, and it goes on believing in itself.
+// FuzzExchange checks that no input makes a node panic, run out of memory, send a
+// large reply or lose its own alive entry.
 func FuzzExchange(f *testing.F) {
 	for _, m := range fuzzSeeds() {
 		var buf bytes.Buffer
@@ -73,7 +73,7 @@
 	})
 }
 
-// exchangeAll gives a message to a member as a request and as a reply.
+// exchangeAll passes a message to a member as a request and as a reply.
 func exchangeAll(t *testing.T, m *member.Message) {
 	const maxReply = 8 << 10
 	s := fuzzMember()
--- a/internal/adapter/rpc/gossip.go
+++ b/internal/adapter/rpc/gossip.go
@@ -8,9 +8,9 @@
 	"peardrift/internal/status"
 )
 
-// GossipName is the name of the membership service, and exchangeMethod its one
-// method. The name has a number, since messages travel as arrays: nodes whose
-// messages have other fields must not take them for their own.
+// GossipName is the name of the membership service, and exchangeMethod its only
+// method. The name carries a protocol version: messages are encoded as arrays
+// without field names, so a node must not decode messages of another layout.
 const (
 	GossipName     = "Gossip2"
 	exchangeMethod = GossipName + ".Exchange"
@@ -21,38 +21,38 @@
 	handle func(*member.Message) *member.Message
 }
 
-// NewGossipService returns a service that passes requests to handle. handle
-// runs on many goroutines; it hands the message to the one that owns the State
-// and returns its reply, or nil if there is none.
+// NewGossipService returns a service that passes requests to handle. handle is
+// called concurrently; it passes the message to the goroutine that owns the
+// State and returns the reply, or nil if there is none.
 func NewGossipService(handle func(*member.Message) *member.Message) *GossipService {
 	return &GossipService{handle: handle}
 }
 
-// Exchange is called by net/rpc.
+// Exchange is called by net/rpc. It fails if handle returns no reply.
 func (g *GossipService) Exchange(in, out *member.Message) error {
 	r := g.handle(in)
 	if r == nil {
-		return status.New(status.CodeMalformed, "membership message makes no sense")
+		return status.New(status.CodeMalformed, "membership message is malformed")
 	}
 	*out = *r
 	return nil
 }
 
-// Carrier carries out the actions of a member.State.
+// Carrier executes the actions of a member.State.
 type Carrier struct {
 	pool   *Pool
 	submit func(func()) error
 	post   func(func(s *member.State, now time.Duration))
 }
 
-// NewCarrier returns a carrier. submit runs a function on another goroutine and
-// fails if there is none left (an ants pool's Submit); post runs one on the
-// goroutine that owns the State, with the present time.
+// NewCarrier returns a Carrier. submit runs a function on another goroutine and
+// fails if none is available (such as Submit of an ants pool); post runs a
+// function with the current time on the goroutine that owns the State.
 func NewCarrier(pool *Pool, submit func(func()) error, post func(func(*member.State, time.Duration))) *Carrier {
 	return &Carrier{pool: pool, submit: submit, post: post}
 }
 
-// Do carries out actions. It doesn't block; outcomes are posted later.
+// Do executes actions. It doesn't block; outcomes are posted later.
 func (c *Carrier) Do(actions []member.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -65,17 +65,17 @@
 }
 
 func (c *Carrier) exchange(x member.Exchange) {
-	// Without a free goroutine the exchange is dropped; State takes an exchange
-	// without an outcome as failed after a while.
+	// If no goroutine is available, the exchange is dropped; State counts an
+	// exchange without an outcome as failed after a timeout.
 	_ = c.submit(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), x.Timeout)
 		defer cancel()
-		do := c.pool.Call
+		call := c.pool.Call
 		if x.Once {
-			do = c.pool.CallOnce
+			call = c.pool.CallOnce
 		}
 		reply := &member.Message{}
-		if err := do(ctx, x.To.Control, exchangeMethod, x.Msg, reply); err != nil {
+		if err := call(ctx, x.To.Control, exchangeMethod, x.Msg, reply); err != nil {
 			c.fail(x.To)
 			return
 		}
@@ -89,6 +89,6 @@
 
 func (c *Carrier) disconnect(d member.Disconnect) {
 	if err := c.submit(func() { c.pool.Drop(d.Peer.Control) }); err != nil {
-		c.pool.Drop(d.Peer.Control) // a connection that stays would cost for good
+		c.pool.Drop(d.Peer.Control) // otherwise the unused connection would stay open
 	}
 }
--- a/internal/adapter/rpc/meter.go
+++ b/internal/adapter/rpc/meter.go
@@ -5,49 +5,50 @@
 	"sync/atomic"
 )
 
-// Costs of TCP over IPv4 in bytes. Packets are counted from the sizes of reads
-// and writes, and each read is charged one pure acknowledgement: a call with a
-// one-packet request and reply takes three packets at each end. It is an upper
-// estimate, since acknowledgements are often combined.
+// Overhead of TCP over IPv4 in bytes. Packets are counted from the sizes of reads
+// and writes, and each read is charged one pure ACK: a call with a one-packet
+// request and reply takes three packets at each end. This is an upper estimate,
+// since ACKs are often combined or piggybacked.
 const (
-	packetHeader = 20 + 20 + 12 // IP, TCP, timestamps option
-	packetData   = 1448         // payload that fits an Ethernet frame
-	openCost     = 3*packetHeader + 16
-	closeCost    = 4 * packetHeader
+	packetHeaderBytes = 20 + 20 + 12 // IP, TCP, timestamps option
+	maxSegmentBytes   = 1448         // payload that fits an Ethernet frame
+	connectBytes      = 3*packetHeaderBytes + 16
+	closeBytes        = 4 * packetHeaderBytes
 )
 
-// Meter counts the bytes of the control traffic, with TCP and IP headers, sent
-// and received. The zero value is ready for use.
+// Meter counts the bytes of control traffic sent and received, including TCP
+// and IP headers. The zero value is ready to use.
 type Meter struct {
-	total   atomic.Int64
-	untaken atomic.Int64
-	calls   atomic.Int64
+	total     atomic.Int64
+	sinceTake atomic.Int64
+	calls     atomic.Int64
 }
 
 func (m *Meter) add(n int) {
 	m.total.Add(int64(n))
-	m.untaken.Add(int64(n))
+	m.sinceTake.Add(int64(n))
 }
 
-// Total returns the bytes since the start.
+// Total returns the bytes counted since the start.
 func (m *Meter) Total() int64 { return m.total.Load() }
 
-// Calls returns the calls answered or made since the start.
+// Calls returns the number of calls answered or made since the start.
 func (m *Meter) Calls() int64 { return m.calls.Load() }
 
-// Take returns the bytes since the last Take; pass them to member.State.Spend.
-func (m *Meter) Take() int { return max(0, int(m.untaken.Swap(0))) }
+// Take returns the bytes counted since the last Take; pass them to
+// member.State.Spend.
+func (m *Meter) Take() int { return max(0, int(m.sinceTake.Swap(0))) }
 
-// Waive leaves a call that was answered, of so many bytes of request and reply,
-// out of what Take returns. What calls of tenants' traffic cost must not keep
-// membership from spreading its news.
+// Waive excludes an answered call, given the bytes of its request and reply,
+// from what Take returns. Calls on behalf of tenants' traffic must not use up the
+// bandwidth budget of membership gossip.
 func (m *Meter) Waive(bytes int) {
-	m.untaken.Add(-int64(bytes + (2*packets(bytes)+1)*packetHeader))
+	m.sinceTake.Add(-int64(bytes + (2*packets(bytes)+1)*packetHeaderBytes))
 }
 
-func packets(n int) int { return (n + packetData - 1) / packetData }
+func packets(n int) int { return (n + maxSegmentBytes - 1) / maxSegmentBytes }
 
-// meteredConn counts what goes over a connection.
+// meteredConn counts the traffic of a connection.
 type meteredConn struct {
 	net.Conn
 	meter  *Meter
@@ -55,28 +56,28 @@
 }
 
 func newMeteredConn(c net.Conn, m *Meter) *meteredConn {
-	m.add(openCost)
+	m.add(connectBytes)
 	return &meteredConn{Conn: c, meter: m}
 }
 
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.meter.add(n + (packets(n)+1)*packetHeader)
+		c.meter.add(n + (packets(n)+1)*packetHeaderBytes)
 	}
 	return n, err
 }
 
 func (c *meteredConn) Write(b []byte) (int, error) {
-	// Counted before it is written: the peer may have its reply, and look at the
-	// meter, before this goroutine runs on.
-	c.meter.add(len(b) + packets(len(b))*packetHeader)
+	// Count before the write: the peer may receive the reply and read the meter
+	// before this goroutine resumes.
+	c.meter.add(len(b) + packets(len(b))*packetHeaderBytes)
 	return c.Conn.Write(b)
 }
 
 func (c *meteredConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		c.meter.add(closeCost)
+		c.meter.add(closeBytes)
 	}
 	return c.Conn.Close()
 }
--- a/internal/adapter/rpc/pool.go
+++ b/internal/adapter/rpc/pool.go
@@ -10,7 +10,7 @@
 	"peardrift/internal/status"
 )
 
-// Pool calls other nodes over one long-lived connection for each address.
+// Pool calls other nodes over one long-lived connection per address.
 type Pool struct {
 	cfg   Config
 	meter *Meter
@@ -21,7 +21,7 @@
 	clients map[string]*client
 }
 
-// client is a connection that is being set up or in use.
+// client is a connection that is being established or in use.
 type client struct {
 	ready chan struct{} // closed once rpc or err is set
 	rpc   *rpc.Client
@@ -40,36 +40,36 @@
 }
 
 // Call calls a method at an address and waits for the reply until ctx ends. A
-// connection on which a call ran out of time is closed: it may have gone silent
-// for good while new ones work, and the next call finds out by a new one.
+// call that times out closes its connection: the connection may be permanently
+// unresponsive while new ones work, so the next call dials again.
 func (p *Pool) Call(ctx context.Context, addr, method string, args, reply any) error {
-	err := p.callHeld(ctx, addr, method, args, reply)
+	err := p.callPooled(ctx, addr, method, args, reply)
 	if errors.Is(err, rpc.ErrShutdown) {
-		// The connection had ended before the call, which was not sent.
-		err = p.callHeld(ctx, addr, method, args, reply)
+		// The connection was closed before the call was sent, so a retry is safe.
+		err = p.callPooled(ctx, addr, method, args, reply)
 	}
 	return err
 }
 
-func (p *Pool) callHeld(ctx context.Context, addr, method string, args, reply any) error {
+func (p *Pool) callPooled(ctx context.Context, addr, method string, args, reply any) error {
 	c, err := p.get(ctx, addr)
 	if err != nil {
 		return err
 	}
 	err = call(ctx, c.rpc, method, args, reply)
-	if spoiled(err) {
+	if isConnectionError(err) {
 		p.drop(addr, c)
 	}
 	return err
 }
 
-// CallOnce is Call over the connection that the pool holds, or else over one
-// that is closed afterwards.
+// CallOnce is like Call, but if the pool has no connection to the address, it
+// dials one and closes it after the call.
 func (p *Pool) CallOnce(ctx context.Context, addr, method string, args, reply any) error {
 	p.mu.Lock()
-	held := p.clients[addr] != nil
+	pooled := p.clients[addr] != nil
 	p.mu.Unlock()
-	if held {
+	if pooled {
 		return p.Call(ctx, addr, method, args, reply)
 	}
 	rc, err := p.connect(ctx, addr)
@@ -91,22 +91,24 @@
 }
 
 func callError(err error, method string) error {
-	var answered rpc.ServerError
+	var serverErr rpc.ServerError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &answered):
+	case errors.As(err, &serverErr):
 		return status.Wrap(status.CodeProtocol, err, "call %s", method)
 	default:
 		return status.Wrap(status.CodeConnectionLost, err, "call %s", method)
 	}
 }
 
-// spoiled reports whether the connection can't be used after a call's error.
-func spoiled(err error) bool { return err != nil && status.CodeOf(err) != status.CodeProtocol }
+// isConnectionError reports whether the error leaves the connection unusable.
+func isConnectionError(err error) bool {
+	return err != nil && status.CodeOf(err) != status.CodeProtocol
+}
 
-// get returns the connection to an address. Callers that come while it is being
-// set up wait for the one attempt.
+// get returns the connection to an address. Concurrent callers share a single
+// dial attempt.
 func (p *Pool) get(ctx context.Context, addr string) (*client, error) {
 	p.mu.Lock()
 	if p.closed {
@@ -142,15 +144,16 @@
 	return rpc.NewClientWithCodec(newCodec(newMeteredConn(conn, p.meter), p.cfg, 0)), nil
 }
 
-// drop closes a connection if the pool still holds it.
+// drop removes a connection from the pool and closes it, unless it was already
+// removed.
 func (p *Pool) drop(addr string, c *client) {
 	p.mu.Lock()
-	held := p.clients[addr] == c
-	if held {
+	pooled := p.clients[addr] == c
+	if pooled {
 		delete(p.clients, addr)
 	}
 	p.mu.Unlock()
-	if held {
+	if pooled {
 		c.close()
 	}
 }
@@ -172,7 +175,7 @@
 	}
 }
 
-// Close closes all connections; calls under way fail.
+// Close closes all connections; in-flight calls fail.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -18,7 +18,7 @@
 	"peardrift/internal/status"
 )
 
-// echo is a service for tests.
+// echo returns its argument.
 type echo struct{}
 
 func (echo) Say(in *string, out *string) error {
@@ -78,7 +78,7 @@
 	in, out := "bad", ""
 	err := p.Call(ctx, addr, "Echo.Say", &in, &out)
 	is.Equal(status.CodeOf(err), status.CodeProtocol)
-	is.Equal(len(p.clients), 1) // an answer, so the connection stays
+	is.Equal(len(p.clients), 1) // an error reply keeps the connection open
 	is.NoErr(p.CallOnce(ctx, addr, "Echo.Say", ptr("once"), &out))
 	is.Equal(out, "once")
 	p.Drop(addr)
@@ -89,7 +89,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-func TestMessageSurvivesTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	in := sampleMessage(3)
 	addr, meter := startServer(t, DefaultConfig(), func(m *member.Message) *member.Message { return m })
@@ -124,11 +124,10 @@
 	return m
 }
 
-// TestSilentConnection: symptom: exchanges with a live peer time out for good.
-// Events: a connection is set up and used, then its other end goes silent while
-// new connections work. Cause: something between the two ends lost track of it.
-// The pool must close it and reach the peer by a new one on the next call.
-func TestSilentConnection(t *testing.T) {
+// TestUnresponsiveConnectionIsReplaced guards against permanent timeouts to a live peer: a
+// middlebox drops the state of an established connection while new ones work.
+// The pool must close the connection and dial again on the next call.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	addr, _ := startServer(t, DefaultConfig(), nil)
 	p := newPool(t, DefaultConfig())
@@ -140,7 +139,7 @@
 		}
 		silent = false
 		near, far := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, far) }() // takes all, answers nothing
+		go func() { _, _ = io.Copy(io.Discard, far) }() // reads requests, never replies
 		return near, nil
 	}
 	var out string
@@ -150,7 +149,7 @@
 	is.Equal(out, "hello")
 }
 
-func TestPeerIsDown(t *testing.T) {
+func TestCallUnreachablePeer(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -162,9 +161,8 @@
 	is.Equal(len(p.clients), 0)
 }
 
-// TestOversizedMessage: symptom: a node's memory grows until it is killed.
-// Events: a faulty peer announces and sends a body without end. Cause: nothing
-// bounds what the codec buffers. The connection must end at the bound.
+// TestOversizedMessage guards against memory exhaustion: a faulty peer sends an
+// endless body that the codec buffers. The connection must be closed at the limit.
 func TestOversizedMessage(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
@@ -201,9 +199,9 @@
 	is.Equal(len(p.clients), 0)
 }
 
-// TestSizeIsAnUpperEstimate: members size their messages by Message.Size; if it
-// were below what goes over the wire, they would exceed their budget unseen.
-func TestSizeIsAnUpperEstimate(t *testing.T) {
+// TestSizeIsUpperBound guards the bandwidth budget: members size messages by
+// Message.Size, so a value below the encoded size would exceed it unnoticed.
+func TestSizeIsUpperBound(t *testing.T) {
 	is := is.New(t)
 	for n := range 6 {
 		m := sampleMessage(n)
--- a/internal/adapter/rpc/server.go
+++ b/internal/adapter/rpc/server.go
@@ -9,7 +9,7 @@
 	"peardrift/internal/status"
 )
 
-// Server answers the control calls of other processes.
+// Server serves control calls of other processes.
 type Server struct {
 	cfg   Config
 	meter *Meter
@@ -27,8 +27,8 @@
 	return &Server{cfg: cfg, meter: meter, rpc: rpc.NewServer(), conns: make(map[net.Conn]struct{})}
 }
 
-// Register adds a service: the methods of rcvr that net/rpc accepts, under
-// name. Call it before Serve.
+// Register adds a service under name: the methods of rcvr that net/rpc accepts.
+// Call it before Serve.
 func (s *Server) Register(name string, rcvr any) error {
 	if err := s.rpc.RegisterName(name, rcvr); err != nil {
 		return status.Wrap(status.CodeInternal, err, "register control service %s", name)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// Serve accepts connections until Close; it returns nil then.
+// Serve accepts connections until Close is called, then returns nil.
 func (s *Server) Serve(ln net.Listener) error {
 	s.mu.Lock()
 	s.ln = ln
@@ -81,7 +81,7 @@
 	return s.closed
 }
 
-// Close stops accepting, ends all connections and waits for their goroutines.
+// Close stops accepting, closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
