--- a/internal/adapter/yamlset/decode.go
+++ b/internal/adapter/yamlset/decode.go
@@ -13,37 +13,37 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// place is a position in a file, both from 1.
-type place struct{ line, column int }
+// position is a position in a file; line and column count from 1.
+type position struct{ line, column int }
 
-// decoder binds the nodes of one file and gathers its problems. It remembers
-// where each field stands, so that problems found later, by the validation of
-// the whole set, can name the place too.
+// decoder decodes the nodes of one file and collects its problems. It records
+// the position of each field, so that problems found later by the validation of
+// the whole set have a position too.
 type decoder struct {
-	file     string
-	problems Problems
-	places   map[string]place
+	file      string
+	problems  Problems
+	positions map[string]position
 }
 
-// binding says how the value of one key is taken.
+// binding describes how the value of one key is decoded.
 type binding struct {
 	required bool
-	set      func(n ast.Node, field string)
+	decode   func(n ast.Node, field string)
 }
 
-func (d *decoder) fail(n ast.Node, field, format string, args ...any) {
-	at := placeOf(n)
+func (d *decoder) addProblem(n ast.Node, field, format string, args ...any) {
+	at := positionOf(n)
 	d.problems = append(d.problems, Problem{
 		File: d.file, Line: at.line, Column: at.column, Field: field, Message: fmt.Sprintf(format, args...),
 	})
 }
 
-// mapping binds the keys of a mapping; field is the path of the mapping.
+// mapping decodes the keys of a mapping; field is the path of the mapping.
 func (d *decoder) mapping(n ast.Node, field string, keys map[string]binding) {
-	d.places[field] = placeOf(n)
+	d.positions[field] = positionOf(n)
 	values, ok := mappingValues(n)
 	if !ok {
-		d.fail(n, field, "must be a mapping, not %s", kind(n))
+		d.addProblem(n, field, "must be a mapping, not %s", kindName(n))
 		return
 	}
 	seen := make(map[string]bool, len(values))
@@ -52,7 +52,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if keys[key].required && !seen[key] {
-			d.fail(n, join(field, key), "is missing")
+			d.addProblem(n, join(field, key), "is missing")
 		}
 	}
 }
@@ -60,37 +60,37 @@
 func (d *decoder) entry(v *ast.MappingValueNode, field string, keys map[string]binding, seen map[string]bool) {
 	key, ok := v.Key.(*ast.StringNode)
 	if !ok {
-		d.fail(v.Key, field, "has a key that is no plain string")
+		d.addProblem(v.Key, field, "has a key that is not a plain string")
 		return
 	}
 	at := join(field, key.Value)
 	b, known := keys[key.Value]
 	switch {
 	case !known:
-		d.fail(v.Key, at, "unknown key; known are %s", strings.Join(slices.Sorted(maps.Keys(keys)), ", "))
+		d.addProblem(v.Key, at, "unknown key; known are %s", strings.Join(slices.Sorted(maps.Keys(keys)), ", "))
 	case seen[key.Value]:
-		d.fail(v.Key, at, "is given twice")
+		d.addProblem(v.Key, at, "is given twice")
 	default:
 		seen[key.Value] = true
-		d.places[at] = placeOf(v.Value)
+		d.positions[at] = positionOf(v.Value)
 		if _, null := v.Value.(*ast.NullNode); null {
-			d.fail(v.Key, at, "has no value")
+			d.addProblem(v.Key, at, "has no value")
 			return
 		}
-		b.set(v.Value, at)
+		b.decode(v.Value, at)
 	}
 }
 
-// list calls each for the elements of a sequence.
+// list calls each for every element of a sequence.
 func (d *decoder) list(n ast.Node, field string, each func(n ast.Node, field string)) {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.fail(n, field, "must be a list, not %s", kind(n))
+		d.addProblem(n, field, "must be a list, not %s", kindName(n))
 		return
 	}
 	for i, v := range seq.Values {
 		at := fmt.Sprintf("%s[%d]", field, i)
-		d.places[at] = placeOf(v)
+		d.positions[at] = positionOf(v)
 		each(v, at)
 	}
 }
@@ -101,9 +101,9 @@
 		case *ast.StringNode:
 			*dst = s.Value
 		case *ast.LiteralNode:
-			d.fail(n, field, "must be a string on one line")
+			d.addProblem(n, field, "must be a string on one line")
 		default:
-			d.fail(n, field, "must be a string, not %s", kind(n))
+			d.addProblem(n, field, "must be a string, not %s", kindName(n))
 		}
 	}
 }
@@ -114,16 +114,16 @@
 			*dst = b.Value
 			return
 		}
-		d.fail(n, field, "must be true or false, not %s", kind(n))
+		d.addProblem(n, field, "must be true or false, not %s", kindName(n))
 	}
 }
 
-// integer takes whole numbers of 32 bits; tighter bounds are the model's.
+// integer decodes whole numbers of 32 bits; confset checks tighter bounds.
 func (d *decoder) integer(dst *int) func(ast.Node, string) {
 	return func(n ast.Node, field string) {
 		v, ok := wholeNumber(n)
 		if !ok {
-			d.fail(n, field, "must be a whole number, not %s", kind(n))
+			d.addProblem(n, field, "must be a whole number, not %s", kindName(n))
 			return
 		}
 		*dst = v
@@ -138,7 +138,7 @@
 		}
 		v, ok := wholeNumber(n)
 		if !ok {
-			d.fail(n, field, "must be a number, not %s", kind(n))
+			d.addProblem(n, field, "must be a number, not %s", kindName(n))
 			return
 		}
 		*dst = float64(v)
@@ -153,14 +153,14 @@
 		}
 		v, err := time.ParseDuration(text)
 		if err != nil {
-			d.fail(n, field, "must be a duration with a unit, for example 800ms or 2s")
+			d.addProblem(n, field, "must be a duration with a unit, for example 800ms or 2s")
 			return
 		}
 		*dst = v
 	}
 }
 
-// size takes bytes as a whole number or with a unit, for example 25MiB.
+// size decodes bytes as a whole number or with a unit, for example 25MiB.
 func (d *decoder) size(dst *int64) func(ast.Node, string) {
 	return func(n ast.Node, field string) {
 		if v, ok := wholeNumber(n); ok {
@@ -169,12 +169,12 @@
 		}
 		s, ok := n.(*ast.StringNode)
 		if !ok {
-			d.fail(n, field, "must be a size, not %s", kind(n))
+			d.addProblem(n, field, "must be a size, not %s", kindName(n))
 			return
 		}
 		v, err := humanize.ParseBytes(s.Value)
 		if err != nil || v > math.MaxInt64 {
-			d.fail(n, field, "must be a size in bytes or with a unit, for example 25MiB")
+			d.addProblem(n, field, "must be a size in bytes or with a unit, for example 25MiB")
 			return
 		}
 		*dst = int64(v)
@@ -207,24 +207,24 @@
 	}
 }
 
-// placeOf returns where a node begins; the parser gives a mapping the place of
-// its first colon.
-func placeOf(n ast.Node) place {
+// positionOf returns where a node begins. For a mapping that is its first key,
+// since the parser reports the position of its first colon.
+func positionOf(n ast.Node) position {
 	if values, ok := mappingValues(n); ok && len(values) > 0 {
 		n = values[0].Key
 	}
-	return placeOfToken(n.GetToken())
+	return positionOfToken(n.GetToken())
 }
 
-func placeOfToken(t *token.Token) place {
+func positionOfToken(t *token.Token) position {
 	if t == nil || t.Position == nil {
-		return place{line: 1, column: 1}
+		return position{line: 1, column: 1}
 	}
-	return place{line: t.Position.Line, column: t.Position.Column}
+	return position{line: t.Position.Line, column: t.Position.Column}
 }
 
-// kind names a node for operators.
-func kind(n ast.Node) string {
+// kindName describes the type of a node in error messages.
+func kindName(n ast.Node) string {
 	switch n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
 		return "a mapping"
--- a/internal/adapter/yamlset/examples_test.go
+++ b/internal/adapter/yamlset/examples_test.go
@@ -22,7 +22,7 @@
 	return idx
 }
 
-// The chains of the two deployments, call by call as the targets make them.
+// The calls that the targets of the two deployments make must be declared.
 func TestExampleChainsAreDeclared(t *testing.T) {
 	idx := loadExamples(t)
 	for _, call := range []struct {
@@ -62,9 +62,9 @@
 	}
 }
 
-// The brief's order: payout approvals, uploads and notice publishes are refused
-// after feed reads and status checks.
-func TestExampleOrderOfRefusal(t *testing.T) {
+// Payout approvals, uploads and notice publishes must be refused only after feed
+// reads and status checks.
+func TestExampleRefusalOrder(t *testing.T) {
 	idx := loadExamples(t)
 	last := map[request.Class]bool{"payout-approval": true, "payout-authorization": true, "settlement": true,
 		"photo-upload": true, "invoice-upload": true, "gallery-upload": true, "video-upload": true, "notice-publish": true}
--- a/internal/adapter/yamlset/load.go
+++ b/internal/adapter/yamlset/load.go
@@ -10,18 +10,18 @@
 	"peardrift/internal/status"
 )
 
-// Load reads a set from files and from the *.yaml and *.yml files that lie
-// directly in directories. The error is Problems if the set is not valid, a
+// Load reads a set from files and from the *.yaml and *.yml files directly in
+// directories. The error is Problems if the set is not valid, and has
 // status.CodeInvalidSettings if something can't be read.
 func Load(paths ...string) (confset.Set, error) {
 	var files []File
 	for _, path := range paths {
-		names, err := list(path)
+		names, err := listFiles(path)
 		if err != nil {
 			return confset.Set{}, err
 		}
 		for _, name := range names {
-			f, err := read(name)
+			f, err := readFile(name)
 			if err != nil {
 				return confset.Set{}, err
 			}
@@ -33,8 +33,8 @@
 	return Parse(files...)
 }
 
-// list returns path itself, or the files of a directory in their order.
-func list(path string) ([]string, error) {
+// listFiles returns path itself, or the files of a directory in sorted order.
+func listFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, status.Wrap(status.CodeInvalidSettings, err, "cannot read the set")
@@ -51,13 +51,13 @@
 		names = append(names, found...)
 	}
 	slices.Sort(names)
-	return names, regular(names)
+	return names, requireRegular(names)
 }
 
-// regular refuses what isn't a file among the files of a directory: to open a
-// pipe that nobody writes to takes for ever, and no time-out ends it. A pipe that
-// is named by itself is its caller's wish.
-func regular(names []string) error {
+// requireRegular rejects directory entries that are not regular files: opening a
+// pipe without a writer blocks forever, and no timeout applies. A pipe that the
+// caller names explicitly is allowed.
+func requireRegular(names []string) error {
 	for _, name := range names {
 		info, err := os.Stat(name)
 		if err != nil {
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// read reads at most one byte more than a file may have, so that a huge or
-// endless file costs no memory before Parse refuses it.
-func read(name string) (File, error) {
+// readFile reads at most one byte beyond MaxFileSize, so that a huge or endless
+// file takes no memory before Parse rejects it.
+func readFile(name string) (File, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return File{}, status.Wrap(status.CodeInvalidSettings, err, "cannot read the set")
--- a/internal/adapter/yamlset/load_test.go
+++ b/internal/adapter/yamlset/load_test.go
@@ -12,10 +12,9 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: "peardrift validate" hangs, whatever --timeout says. Events: the set's
-// directory holds a pipe with a set file's ending. Cause: opening a pipe waits for
-// its writer.
-func TestDirectoryWithWhatIsNoFileIsRefused(t *testing.T) {
+// Guards against "peardrift validate" hanging beyond --timeout: the set's directory
+// contains a pipe named like a set file, and opening a pipe waits for its writer.
+func TestDirectoryWithNonRegularFileIsRefused(t *testing.T) {
 	for name, add := range map[string]func(path string) error{
 		"a pipe":        func(path string) error { return syscall.Mkfifo(path, 0o600) },
 		"a directory":   func(path string) error { return os.Mkdir(path, 0o700) },
--- a/internal/adapter/yamlset/organisation_test.go
+++ b/internal/adapter/yamlset/organisation_test.go
@@ -10,7 +10,7 @@
 	"peardrift/internal/core/confset"
 )
 
-func TestOrganisationsAreParsed(t *testing.T) {
+func TestParseOrganisations(t *testing.T) {
 	is := is.New(t)
 	digest := confset.DigestKey([]byte("key-a"))
 	callers := "organisations:\n  - {name: acme, keys: [" + digest.String() + "], rank: 1, rate: 2.5, burst: 10}\n  - name: bank\n"
@@ -21,8 +21,8 @@
 	})
 }
 
-// A key in a digest's place must not reach the output of a command.
-func TestProblemsOfOrganisationsNameNoKey(t *testing.T) {
+// A key given instead of its digest must not appear in a command's output.
+func TestOrganisationProblemsOmitKeys(t *testing.T) {
 	is := is.New(t)
 	digest := confset.DigestKey([]byte("key-a")).String()
 	for _, callers := range []string{
--- a/internal/adapter/yamlset/parse.go
+++ b/internal/adapter/yamlset/parse.go
@@ -14,26 +14,25 @@
 	"peardrift/internal/core/confset"
 )
 
-// Bounds of the input.
+// Limits of the input.
 const (
 	MaxFiles    = 1024
 	MaxFileSize = 1 << 20 // bytes
-	MaxSize     = 8 << 20 // bytes in all
+	MaxSize     = 8 << 20 // bytes of all files together
 
-	// maxNesting bounds nested collections. The parser's time grows with the
-	// square of the nesting, so a megabyte of "[" would hold it for minutes; a
-	// set needs six levels.
+	// maxNesting limits nested collections. The parser takes time quadratic in the
+	// nesting depth, minutes for a megabyte of "["; a set needs six levels.
 	maxNesting = 32
 )
 
-// File is the content of one file, by the name that problems show.
+// File is the name of a file, as shown in problems, and its content.
 type File struct {
 	Name string
 	Body []byte
 }
 
-// Parse reads a set from its files. The error is Problems if the set is not
-// valid. The set has no version: its acceptance gives one.
+// Parse parses a set from its files. The error is Problems if the set is not
+// valid. The set has no version: it gets one when it is accepted.
 func Parse(files ...File) (confset.Set, error) {
 	if ps := checkSizes(files); len(ps) > 0 {
 		return confset.Set{}, ps
@@ -53,7 +52,7 @@
 func checkSizes(files []File) Problems {
 	var ps Problems
 	if len(files) == 0 {
-		ps = append(ps, Problem{Message: "there is no file with the ending .yaml or .yml"})
+		ps = append(ps, Problem{Message: "no file with the extension .yaml or .yml"})
 	}
 	if len(files) > MaxFiles {
 		ps = append(ps, Problem{Message: fmt.Sprintf("%d files, at most %d are allowed", len(files), MaxFiles)})
@@ -66,48 +65,48 @@
 		}
 	}
 	if total > MaxSize {
-		ps = append(ps, Problem{Message: fmt.Sprintf("%d bytes in all, at most %d are allowed", total, MaxSize)})
+		ps = append(ps, Problem{Message: fmt.Sprintf("%d bytes in total, at most %d are allowed", total, MaxSize)})
 	}
 	return ps
 }
 
 func parseFile(f File) *document {
-	d := &document{decoder: decoder{file: f.Name, places: make(map[string]place)}}
+	d := &document{decoder: decoder{file: f.Name, positions: make(map[string]position)}}
 	tokens := lexer.Tokenize(string(f.Body))
-	if t := tooDeep(tokens); t != nil {
-		d.syntax(t, fmt.Sprintf("is nested deeper than %d levels", maxNesting))
+	if t := findTooDeep(tokens); t != nil {
+		d.addSyntaxProblem(t, fmt.Sprintf("is nested deeper than %d levels", maxNesting))
 		return d
 	}
 	tree, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.syntaxError(err)
+		d.addParseError(err)
 		return d
 	}
 	if len(tree.Docs) != 1 || tree.Docs[0].Body == nil {
-		d.syntax(nil, "must hold one YAML document")
+		d.addSyntaxProblem(nil, "must hold one YAML document")
 		return d
 	}
 	d.root(tree.Docs[0].Body)
 	return d
 }
 
-func (d *document) syntax(at *token.Token, message string) {
-	p := placeOfToken(at)
-	d.broken = true
-	d.problems = append(d.problems, Problem{File: d.file, Line: p.line, Column: p.column, Message: message})
+func (d *document) addSyntaxProblem(at *token.Token, message string) {
+	pos := positionOfToken(at)
+	d.unparsable = true
+	d.problems = append(d.problems, Problem{File: d.file, Line: pos.line, Column: pos.column, Message: message})
 }
 
-func (d *document) syntaxError(err error) {
+func (d *document) addParseError(err error) {
 	var located yaml.Error
 	if errors.As(err, &located) {
-		d.syntax(located.GetToken(), located.GetMessage())
+		d.addSyntaxProblem(located.GetToken(), located.GetMessage())
 		return
 	}
-	d.syntax(nil, err.Error())
+	d.addSyntaxProblem(nil, err.Error())
 }
 
-// tooDeep returns the token at which collections nest too deep, nil if none.
-func tooDeep(tokens token.Tokens) *token.Token {
+// findTooDeep returns the first token nested deeper than maxNesting, nil if none.
+func findTooDeep(tokens token.Tokens) *token.Token {
 	flow, entries, line := 0, 0, 0
 	for _, t := range tokens {
 		if t.Position.Line != line {
@@ -121,7 +120,7 @@
 		case token.SequenceEntryType, token.MappingKeyType:
 			entries++
 		}
-		// Blocks nest by their column too: each level needs one more.
+		// Block collections nest by indentation: each level adds at least one column.
 		if flow+entries > maxNesting || t.Type == token.SequenceEntryType && t.Position.Column > 4*maxNesting {
 			return t
 		}
@@ -129,7 +128,7 @@
 	return nil
 }
 
-// merge joins what the files declare.
+// merge combines the declarations of all files into one set.
 func merge(docs []*document) (confset.Set, Problems) {
 	var set confset.Set
 	var problems Problems
@@ -137,15 +136,15 @@
 	for _, d := range docs {
 		problems = append(problems, d.problems...)
 		if d.hasTenant {
-			problems = append(problems, twice(tenantIn, d, "tenant")...)
+			problems = append(problems, duplicateField(tenantIn, d, "tenant")...)
 			set.Tenant, tenantIn = d.set.Tenant, d
 		}
 		if d.hasShare {
-			problems = append(problems, twice(shareIn, d, "share")...)
+			problems = append(problems, duplicateField(shareIn, d, "share")...)
 			set.Share, shareIn = d.set.Share, d
 		}
 		if d.hasOrganisations {
-			problems = append(problems, twice(organisationsIn, d, "organisations")...)
+			problems = append(problems, duplicateField(organisationsIn, d, "organisations")...)
 			set.Organisations, organisationsIn = d.set.Organisations, d
 		}
 		set.Services = append(set.Services, d.set.Services...)
@@ -153,18 +152,18 @@
 	return set, problems
 }
 
-// twice is the problem of a field that an earlier file declares already.
-func twice(earlier, d *document, field string) Problems {
+// duplicateField returns a problem if an earlier file already declares the field.
+func duplicateField(earlier, d *document, field string) Problems {
 	if earlier == nil {
 		return nil
 	}
-	at := d.places[field]
+	at := d.positions[field]
 	return Problems{{File: d.file, Line: at.line, Column: at.column, Field: field,
 		Message: "is already declared in " + earlier.file}}
 }
 
-// validate finds the problems of the set as a whole and gives them the places
-// of their fields.
+// validate returns the problems of the set as a whole, with the positions of
+// their fields.
 func validate(set confset.Set, docs []*document) Problems {
 	var out Problems
 	partial := isPartial(docs)
@@ -177,20 +176,20 @@
 			out = append(out, Problem{Field: field, Message: p.Message})
 			continue
 		}
-		if d.reported(field) {
+		if d.hasProblem(field) {
 			continue
 		}
-		at := d.nearest(field)
+		at := d.nearestPosition(field)
 		out = append(out, Problem{File: d.file, Line: at.line, Column: at.column, Field: field, Message: p.Message})
 	}
 	return out
 }
 
-// isPartial reports whether some file's services are not known, so that
-// statements about all of them would mislead.
+// isPartial reports whether the services of some file could not be read, so that
+// checks across all services would be misleading.
 func isPartial(docs []*document) bool {
 	for _, d := range docs {
-		if d.broken {
+		if d.unparsable {
 			return true
 		}
 		for _, p := range d.problems {
@@ -202,20 +201,20 @@
 	return false
 }
 
-// dependsOnOthers reports whether a problem of this field may come from what
-// another file declares.
+// dependsOnOthers reports whether a problem of this field may depend on
+// declarations in another file.
 func dependsOnOthers(field string) bool {
 	return !strings.HasPrefix(field, "services[") || strings.Contains(field, ".calls[")
 }
 
 const servicePrefix = "services["
 
-// locate returns the file that declares a field of the whole set, and the
+// locate returns the file that declares a field of the merged set, and the
 // field's path inside that file.
 func locate(field string, docs []*document) (*document, string) {
 	rest, ok := strings.CutPrefix(field, servicePrefix)
 	if !ok {
-		return declaring(field, docs), field
+		return lastDeclaring(field, docs), field
 	}
 	number, rest, _ := strings.Cut(rest, "]")
 	i, err := strconv.Atoi(number)
@@ -232,20 +231,20 @@
 	return nil, field
 }
 
-// declaring returns the last file that has a value for a field of the root.
-func declaring(field string, docs []*document) *document {
+// lastDeclaring returns the last file that declares a top-level field.
+func lastDeclaring(field string, docs []*document) *document {
 	var found *document
 	for _, d := range docs {
-		if _, ok := d.places[field]; ok {
+		if _, ok := d.positions[field]; ok {
 			found = d
 		}
 	}
 	return found
 }
 
-// reported reports whether the field has a problem already: a value that could
-// not be read would only be complained of twice.
-func (d *document) reported(field string) bool {
+// hasProblem reports whether the field already has a problem. It avoids a second
+// report for a value that could not be decoded.
+func (d *document) hasProblem(field string) bool {
 	for _, p := range d.problems {
 		if p.Field == field {
 			return true
@@ -254,16 +253,16 @@
 	return false
 }
 
-// nearest returns the place of a field, or of the innermost one around it that
-// the file has.
-func (d *document) nearest(field string) place {
+// nearestPosition returns the position of a field, or of its innermost enclosing
+// field that the file has.
+func (d *document) nearestPosition(field string) position {
 	for {
-		if at, ok := d.places[field]; ok {
+		if at, ok := d.positions[field]; ok {
 			return at
 		}
 		i := strings.LastIndexAny(field, ".[")
 		if i < 0 {
-			return place{line: 1, column: 1}
+			return position{line: 1, column: 1}
 		}
 		field = field[:i]
 	}
--- a/internal/adapter/yamlset/parse_test.go
+++ b/internal/adapter/yamlset/parse_test.go
@@ -51,11 +51,10 @@
 	})
 }
 
-// Symptom: an operator mends one fault, applies, and is told the next one, all
-// morning long. Events: a set with faults of every kind in two files. Cause: a
-// reader that stops at the first fault, or forgets where a value stood.
-func TestAllProblemsWithTheirPlaces(t *testing.T) {
-	bad := `tenant: khaosan
+// Guards against a parser that stops at the first problem or loses positions, so
+// that an operator has to fix and apply a set once for each problem.
+func TestAllProblemsWithPositions(t *testing.T) {
+	invalidSet := `tenant: khaosan
 share: lots
 colour: red
 services:
@@ -75,7 +74,7 @@
     connections: 10
     classes: {}
 `
-	_, err := Parse(File{"a.yaml", []byte(bad)}, File{"b.yaml", []byte("share: 1\nservices: [\n")},
+	_, err := Parse(File{"a.yaml", []byte(invalidSet)}, File{"b.yaml", []byte("share: 1\nservices: [\n")},
 		File{"c.yaml", []byte("services:\n  - name: archive\n    slots: 0\n    connections: 9\n    classes: []\n")})
 	var ps Problems
 	if !errors.As(err, &ps) {
@@ -107,7 +106,7 @@
 	is.New(t).True(!strings.Contains(all, "nowhere")) // b.yaml may declare it
 }
 
-func TestRefusedInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	for name, body := range map[string]string{
 		"empty":     "",
 		"list":      "- 1\n",
@@ -128,7 +127,7 @@
 			var ps Problems
 			is := is.New(t)
 			is.True(errors.As(err, &ps) && len(ps) > 0)
-			is.Equal(set, confset.Set{}) // nothing is accepted in part
+			is.Equal(set, confset.Set{}) // rejected as a whole
 		})
 	}
 }
@@ -163,7 +162,7 @@
 			t.Fatal(err)
 		}
 		if _, err := confset.Decode(encoded, digest, 1); err != nil {
-			t.Fatal(err) // what operators may submit, nodes can read
+			t.Fatal(err) // nodes must be able to decode any set that validates
 		}
 	})
 }
--- a/internal/adapter/yamlset/problem.go
+++ b/internal/adapter/yamlset/problem.go
@@ -9,7 +9,7 @@
 	"peardrift/internal/status"
 )
 
-// Problem is one fault of a configuration set, where an operator finds it.
+// Problem is one error in a configuration set, with its position.
 type Problem struct {
 	File    string `json:"file"`   // empty if it concerns the set as a whole
 	Line    int    `json:"line"`   // from 1; 0 if it concerns the whole file
@@ -34,11 +34,11 @@
 	return b.String() + p.Message
 }
 
-// Problems is the error of a set that is not valid. It matches
+// Problems is the error returned for an invalid set. It matches
 // status.CodeInvalidSet.
 type Problems []Problem
 
-// Error implements error: a line for each problem.
+// Error returns one line per problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -47,12 +47,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the typed failure that callers compare with.
+// Unwrap returns an error with status.CodeInvalidSet, for errors.Is.
 func (ps Problems) Unwrap() error {
 	return status.New(status.CodeInvalidSet, "%d problems", len(ps))
 }
 
-// sorted puts problems in the order of the files.
+// sorted sorts the problems by file, line and column, and returns them.
 func (ps Problems) sorted() Problems {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/internal/adapter/yamlset/set.go
+++ b/internal/adapter/yamlset/set.go
@@ -8,7 +8,7 @@
 	"peardrift/internal/status"
 )
 
-// document is what one file declares.
+// document holds the declarations of one file.
 type document struct {
 	decoder
 	hasTenant bool
@@ -16,22 +16,22 @@
 
 	hasOrganisations bool
 
-	broken bool // its YAML could not be read at all
-	set    confset.Set
+	unparsable bool // its YAML could not be parsed
+	set        confset.Set
 }
 
 func (d *document) root(n ast.Node) {
 	d.mapping(n, "", map[string]binding{
-		"tenant": {set: func(n ast.Node, field string) {
+		"tenant": {decode: func(n ast.Node, field string) {
 			d.hasTenant = true
 			d.str((*string)(&d.set.Tenant))(n, field)
 		}},
-		"share": {set: func(n ast.Node, field string) {
+		"share": {decode: func(n ast.Node, field string) {
 			d.hasShare = true
 			d.fraction(&d.set.Share)(n, field)
 		}},
-		"services": {set: func(n ast.Node, field string) { d.list(n, field, d.service) }},
-		"organisations": {set: func(n ast.Node, field string) {
+		"services": {decode: func(n ast.Node, field string) { d.list(n, field, d.service) }},
+		"organisations": {decode: func(n ast.Node, field string) {
 			d.hasOrganisations = true
 			d.list(n, field, d.organisation)
 		}},
@@ -41,21 +41,21 @@
 func (d *document) organisation(n ast.Node, field string) {
 	var o confset.Organisation
 	d.mapping(n, field, map[string]binding{
-		"name": {required: true, set: d.str((*string)(&o.Name))},
-		"keys": {set: func(n ast.Node, field string) {
+		"name": {required: true, decode: d.str((*string)(&o.Name))},
+		"keys": {decode: func(n ast.Node, field string) {
 			d.list(n, field, func(n ast.Node, field string) {
 				var digest string
 				d.str(&digest)(n, field)
 				k, err := confset.ParseKeyDigest(digest)
 				if err != nil {
-					d.fail(n, field, "%s", status.From(err).Detail)
+					d.addProblem(n, field, "%s", status.From(err).Detail)
 				}
 				o.Keys = append(o.Keys, k)
 			})
 		}},
-		"rank":  {set: d.integer(&o.Rank)},
-		"rate":  {set: d.fraction(&o.Rate)},
-		"burst": {set: d.fraction(&o.Burst)},
+		"rank":  {decode: d.integer(&o.Rank)},
+		"rate":  {decode: d.fraction(&o.Rate)},
+		"burst": {decode: d.fraction(&o.Burst)},
 	})
 	d.set.Organisations = append(d.set.Organisations, o)
 }
@@ -63,24 +63,24 @@
 func (d *document) service(n ast.Node, field string) {
 	var s confset.Service
 	d.mapping(n, field, map[string]binding{
-		"name":        {required: true, set: d.str(&s.Name)},
-		"slots":       {required: true, set: d.integer(&s.Slots)},
-		"connections": {required: true, set: d.integer(&s.Connections)},
-		"calls": {set: func(n ast.Node, field string) {
+		"name":        {required: true, decode: d.str(&s.Name)},
+		"slots":       {required: true, decode: d.integer(&s.Slots)},
+		"connections": {required: true, decode: d.integer(&s.Connections)},
+		"calls": {decode: func(n ast.Node, field string) {
 			d.list(n, field, func(n ast.Node, field string) {
 				var name string
 				d.str(&name)(n, field)
 				s.Calls = append(s.Calls, request.Service(name))
 			})
 		}},
-		"allow": {set: func(n ast.Node, field string) {
+		"allow": {decode: func(n ast.Node, field string) {
 			d.list(n, field, func(n ast.Node, field string) {
 				var name string
 				d.str(&name)(n, field)
 				s.Allow = append(s.Allow, request.Tenant(name))
 			})
 		}},
-		"classes": {required: true, set: func(n ast.Node, field string) {
+		"classes": {required: true, decode: func(n ast.Node, field string) {
 			d.list(n, field, func(n ast.Node, field string) {
 				s.Classes = append(s.Classes, d.class(n, field))
 			})
@@ -96,34 +96,35 @@
 		MaxBody:  confset.DefaultMaxBody,
 	}
 	var importance int
-	remembers := false
+	hasRemember := false
 	d.mapping(n, field, map[string]binding{
-		"name":       {required: true, set: d.str((*string)(&c.Name))},
-		"method":     {set: d.str(&c.Method)},
-		"path":       {required: true, set: d.str(&c.Path)},
-		"importance": {required: true, set: d.integer(&importance)},
-		"deadline":   {set: d.duration(&c.Deadline)},
-		"attempts":   {set: d.integer(&c.Attempts)},
-		"atMostOnce": {set: d.boolean(&c.AtMostOnce)},
-		"remember": {set: func(n ast.Node, field string) {
-			remembers = true
+		"name":       {required: true, decode: d.str((*string)(&c.Name))},
+		"method":     {decode: d.str(&c.Method)},
+		"path":       {required: true, decode: d.str(&c.Path)},
+		"importance": {required: true, decode: d.integer(&importance)},
+		"deadline":   {decode: d.duration(&c.Deadline)},
+		"attempts":   {decode: d.integer(&c.Attempts)},
+		"atMostOnce": {decode: d.boolean(&c.AtMostOnce)},
+		"remember": {decode: func(n ast.Node, field string) {
+			hasRemember = true
 			d.duration(&c.Remember)(n, field)
 		}},
-		"maxBody":   {set: d.size(&c.MaxBody)},
-		"anonymous": {set: d.boolean(&c.Anonymous)},
+		"maxBody":   {decode: d.size(&c.MaxBody)},
+		"anonymous": {decode: d.boolean(&c.Anonymous)},
 	})
 	c.Importance = d.importance(n, field, importance)
-	if c.AtMostOnce && !remembers {
+	if c.AtMostOnce && !hasRemember {
 		c.Remember = confset.DefaultRemember
 	}
 	return c
 }
 
-// importance checks the range before the narrower type of the model cuts it.
+// importance checks the range before the conversion to a narrower type truncates
+// the value.
 func (d *document) importance(n ast.Node, field string, v int) request.Importance {
 	if v < 0 || v > int(request.MaxImportance) {
 		at := join(field, "importance")
-		p := d.places[at]
+		p := d.positions[at]
 		d.problems = append(d.problems, Problem{File: d.file, Line: p.line, Column: p.column,
 			Field: at, Message: "must be 0 to 100"})
 		return 0
