--- a/internal/cli/claims.go
+++ b/internal/cli/claims.go
@@ -10,7 +10,7 @@
 
 type shareClaimsCommand struct{ *app }
 
-// claimLayout says from which date on keys share rows, in output.
+// claimLayout is the output of share-claims: the date from which keys share rows.
 type claimLayout struct {
 	From   time.Time `json:"from"`
 	SlotMS int64     `json:"slot_ms"`
@@ -19,17 +19,17 @@
 
 // Execute implements flags.Commander.
 func (c *shareClaimsCommand) Execute([]string) error {
-	store, done, err := c.store()
+	store, release, err := c.openStore()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	l, err := shared.Announce(c.ctx, store.Table(), batch.DefaultConfig())
 	if err != nil {
 		return err
 	}
 	out := claimLayout{From: time.Unix(0, int64(l.From)).UTC(), SlotMS: l.Slot.Milliseconds(), Shards: l.Shards}
-	return c.show(out, func(w io.Writer) {
+	return c.printResult(out, func(w io.Writer) {
 		c.printf(w, "claims of keys dated %s or later share rows\n", out.From.Format(timeFormat))
 	})
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,25 +14,25 @@
 	"peardrift/internal/status"
 )
 
-// Exit codes of the process; part of the product's interface.
+// Exit codes of the process, a stable interface for scripts.
 const (
 	ExitOK          = 0
-	ExitFailure     = 1 // anything that has no code of its own
-	ExitUsage       = 2 // the command line or the platform's settings
-	ExitInvalidSet  = 3 // the set is not valid, or the shares exceed the whole
-	ExitConflict    = 4 // another version than the base is accepted
-	ExitUnavailable = 5 // the platform can't be reached; nothing was accepted
-	ExitUnknown     = 6 // the set may have been accepted; ask again
+	ExitFailure     = 1 // any failure without a code of its own
+	ExitUsage       = 2 // invalid command line or platform settings
+	ExitInvalidSet  = 3 // the set is not valid, or the tenants' shares exceed 1
+	ExitConflict    = 4 // the accepted version is not the base
+	ExitUnavailable = 5 // the platform is unavailable; nothing was accepted
+	ExitUnknown     = 6 // the set may have been accepted; run the command again
 )
 
-// Nodes tells and asks nodes at their control addresses. It is called from
-// several goroutines at a time.
+// Nodes calls nodes at their control addresses. Implementations must be safe for
+// concurrent use.
 type Nodes interface {
 	Head(ctx context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error)
 	Status(ctx context.Context, addr string) (adminapi.StatusReply, error)
 }
 
-// Env is what the tool touches outside.
+// Env holds the tool's external dependencies.
 type Env struct {
 	Stdout, Stderr io.Writer
 
@@ -42,14 +42,14 @@
 	Nodes Nodes
 }
 
-// options are the flags that all commands have.
+// options are the flags common to all commands.
 type options struct {
-	Output   string        `long:"output" choice:"text" choice:"json" default:"text" description:"form of the output"`
-	Timeout  time.Duration `long:"timeout" default:"20s" description:"bound of the whole command"`
+	Output   string        `long:"output" choice:"text" choice:"json" default:"text" description:"output format"`
+	Timeout  time.Duration `long:"timeout" default:"20s" description:"time limit of the whole command"`
 	Platform platformFlags `group:"Platform"`
 }
 
-// app is one run of the tool.
+// app is a single run of the tool.
 type app struct {
 	env  Env
 	ctx  context.Context
@@ -57,13 +57,13 @@
 }
 
 // Run runs the command line (without the program's name) and returns the exit
-// code. It ends by ctx.
+// code. Canceling ctx ends it.
 func Run(ctx context.Context, args []string, env Env) int {
 	a := &app{env: env, ctx: ctx}
 	parser := flags.NewNamedParser("peardrift", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Validates and applies configuration sets, and shows what is in force."
 	if err := a.register(parser); err != nil {
-		return a.fail(err)
+		return a.reportError(err)
 	}
 	parser.CommandHandler = a.execute
 	_, err := parser.ParseArgs(args)
@@ -75,9 +75,9 @@
 		a.printf(env.Stdout, "%s\n", usage.Message)
 		return ExitOK
 	case errors.As(err, &usage):
-		return a.fail(status.New(status.CodeInvalidSettings, "%s", usage.Message))
+		return a.reportError(status.New(status.CodeInvalidSettings, "%s", usage.Message))
 	default:
-		return a.fail(err)
+		return a.reportError(err)
 	}
 }
 
@@ -123,8 +123,8 @@
 	return command.Execute(args)
 }
 
-// store connects to the platform for a command.
-func (a *app) store() (*apply.Store, func(), error) {
+// openStore connects to the platform; the returned function closes it.
+func (a *app) openStore() (*apply.Store, func(), error) {
 	p, err := a.opts.Platform.resolve()
 	if err != nil {
 		return nil, nil, err
@@ -132,8 +132,8 @@
 	return a.env.Open(p)
 }
 
-// exitOf maps a failure to its exit code.
-func exitOf(err error) int {
+// exitCodeOf maps a failure to its exit code.
+func exitCodeOf(err error) int {
 	switch status.CodeOf(err) {
 	case status.CodeInvalidSettings:
 		return ExitUsage
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,16 +21,16 @@
 	"peardrift/internal/status"
 )
 
-// fakeNodes answers for one node and has no other.
+// fakeNodes answers for liveNode; all other nodes are unreachable.
 type fakeNodes struct {
 	mu    sync.Mutex
 	heads []adminapi.HeadArgs
 }
 
-const knownNode = "127.0.0.1:1"
+const liveNode = "127.0.0.1:1"
 
 func (f *fakeNodes) Head(_ context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error) {
-	if addr != knownNode {
+	if addr != liveNode {
 		return adminapi.HeadReply{}, status.New(status.CodeConnectionLost, "no node at %s", addr)
 	}
 	f.mu.Lock()
@@ -40,7 +40,7 @@
 }
 
 func (f *fakeNodes) Status(_ context.Context, addr string) (adminapi.StatusReply, error) {
-	if addr != knownNode {
+	if addr != liveNode {
 		return adminapi.StatusReply{}, status.New(status.CodeConnectionLost, "no node at %s", addr)
 	}
 	return adminapi.StatusReply{Node: "feed-1", Members: 3, NotReady: []string{"its target is down"},
@@ -48,8 +48,8 @@
 		Tenants: []adminapi.TenantStatus{{Tenant: "khaosan", InForce: 1, Known: 2}}}, nil
 }
 
-// bench is the tool with fakes around it.
-type bench struct {
+// testTool runs the tool with fake dependencies.
+type testTool struct {
 	t       *testing.T
 	table   *porttest.Table
 	objects *porttest.Objects
@@ -58,16 +58,16 @@
 	err     bytes.Buffer
 }
 
-func newBench(t *testing.T) *bench {
+func newTestTool(t *testing.T) *testTool {
 	t.Setenv("PEARDRIFT_TABLE_ENDPOINT", "http://127.0.0.1:1")
 	t.Setenv("PEARDRIFT_OBJECTS_ENDPOINT", "http://127.0.0.1:2")
 	t.Setenv("PEARDRIFT_ACCESS_KEY", "access")
 	t.Setenv("PEARDRIFT_SECRET_KEY", "secret")
-	return &bench{t: t, table: porttest.NewTable(), objects: porttest.NewObjects(), nodes: &fakeNodes{}}
+	return &testTool{t: t, table: porttest.NewTable(), objects: porttest.NewObjects(), nodes: &fakeNodes{}}
 }
 
 // run runs a command line and returns the exit code.
-func (b *bench) run(args ...string) int {
+func (b *testTool) run(args ...string) int {
 	b.out.Reset()
 	b.err.Reset()
 	return Run(context.Background(), args, Env{
@@ -79,8 +79,8 @@
 	})
 }
 
-// set writes a set with the given slots and share and returns its directory.
-func (b *bench) set(slots, share string) string {
+// writeSet writes a set with the given slots and share and returns its directory.
+func (b *testTool) writeSet(slots, share string) string {
 	dir := b.t.TempDir()
 	body := "tenant: khaosan\nshare: " + share + "\nservices:\n  - name: feed\n    slots: " + slots + `
     connections: 250
@@ -94,11 +94,11 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	b := newBench(t)
-	first, second, third := b.set("25", "0.5"), b.set("26", "0.5"), b.set("27", "0.5")
+	b := newTestTool(t)
+	first, second, third := b.writeSet("25", "0.5"), b.writeSet("26", "0.5"), b.writeSet("27", "0.5")
 	is := is.New(t)
 	is.Equal(b.run("validate", first), ExitOK)
-	is.Equal(b.run("validate", b.set("x", "0.5")), ExitInvalidSet)
+	is.Equal(b.run("validate", b.writeSet("x", "0.5")), ExitInvalidSet)
 	is.True(strings.Contains(b.err.String(), "set.yaml:5:12: services[0].slots: must be a whole number"))
 	is.Equal(b.run("validate", filepath.Join(first, "absent")), ExitUsage)
 	is.Equal(b.run("apply", first), ExitUsage) // no base
@@ -112,15 +112,15 @@
 	is.Equal(b.run("apply", second, "--base", "1", "--by", "ada"), ExitOK)
 	is.Equal(b.run("apply", third, "--base", "1"), ExitConflict)
 	is.True(strings.Contains(b.err.String(), "version 2 was applied by ada"))
-	is.Equal(b.run("apply", second, "--base", "1"), ExitOK) // asking again
+	is.Equal(b.run("apply", second, "--base", "1"), ExitOK) // retry of an accepted apply
 	is.True(strings.Contains(b.out.String(), "had been accepted before"))
-	is.Equal(b.run("apply", b.set("27", "1.5"), "--base", "2"), ExitInvalidSet)
+	is.Equal(b.run("apply", b.writeSet("27", "1.5"), "--base", "2"), ExitInvalidSet)
 
 	b.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.Unavailable })
 	is.Equal(b.run("apply", third, "--base", "2"), ExitUnavailable)
 	is.Equal(b.run("status"), ExitUnavailable)
-	is.Equal(b.run("status", "--node", knownNode), ExitUnavailable)
-	is.True(strings.Contains(b.out.String(), "feed-1")) // a node answers though the platform is down
+	is.Equal(b.run("status", "--node", liveNode), ExitUnavailable)
+	is.True(strings.Contains(b.out.String(), "feed-1")) // nodes are queried even if the platform is down
 	b.table.SetScript(func(op porttest.Op, _ string) porttest.Fault {
 		if op == porttest.OpPutAll {
 			return porttest.LostRequest
@@ -132,12 +132,12 @@
 	is.Equal(b.run("apply", third, "--base", "2"), ExitOK)
 }
 
-func TestApplyTellsNodes(t *testing.T) {
+func TestApplyNotifiesNodes(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	is.Equal(b.run("--output", "json", "apply", b.set("25", "0.5"), "--base", "0",
-		"--node", knownNode, "--node", "127.0.0.1:9"), ExitOK) // accepted, whoever was told
-	var out applied
+	b := newTestTool(t)
+	is.Equal(b.run("--output", "json", "apply", b.writeSet("25", "0.5"), "--base", "0",
+		"--node", liveNode, "--node", "127.0.0.1:9"), ExitOK) // a failed notification doesn't fail the apply
+	var out applyResult
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &out))
 	is.Equal(out.Version, int64(1))
 	is.Equal(b.nodes.heads, []adminapi.HeadArgs{{Tenant: "khaosan", Version: 1}})
@@ -146,14 +146,14 @@
 
 func TestShow(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	is.Equal(b.run("diff", b.set("25", "0.5")), ExitOK)
-	is.True(strings.Contains(b.out.String(), "+ services[feed].slots: 25")) // against nothing
-	is.Equal(b.run("apply", b.set("25", "0.5"), "--base", "0", "--by", "ada"), ExitOK)
-	is.Equal(b.run("apply", b.set("26", "0.5"), "--base", "1", "--by", "grace"), ExitOK)
+	b := newTestTool(t)
+	is.Equal(b.run("diff", b.writeSet("25", "0.5")), ExitOK)
+	is.True(strings.Contains(b.out.String(), "+ services[feed].slots: 25")) // compared with an empty set
+	is.Equal(b.run("apply", b.writeSet("25", "0.5"), "--base", "0", "--by", "ada"), ExitOK)
+	is.Equal(b.run("apply", b.writeSet("26", "0.5"), "--base", "1", "--by", "grace"), ExitOK)
 	is.Equal(b.run("diff", "--tenant", "khaosan"), ExitOK)
 	is.Equal(b.out.String(), "~ services[feed].slots: 25 -> 26\n")
-	is.Equal(b.run("diff", b.set("26", "0.5")), ExitOK)
+	is.Equal(b.run("diff", b.writeSet("26", "0.5")), ExitOK)
 	is.Equal(b.out.String(), "no difference to version 2\n")
 	is.Equal(b.run("diff"), ExitUsage)
 
@@ -163,7 +163,7 @@
 	is.Equal(len(records), 1)
 	is.Equal(records[0].By, "grace")
 
-	is.Equal(b.run("--output", "json", "status", "--node", knownNode), ExitOK)
+	is.Equal(b.run("--output", "json", "status", "--node", liveNode), ExitOK)
 	var st statusResult
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &st))
 	is.Equal(st.Accepted[0].Version, int64(2))
@@ -172,7 +172,7 @@
 
 func TestShareClaims(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestTool(t)
 	b.table.SetScript(func(op porttest.Op, _ string) porttest.Fault {
 		if op == porttest.OpPut {
 			return porttest.LostAnswer
@@ -180,29 +180,29 @@
 		return porttest.None
 	})
 	is.Equal(b.run("share-claims"), ExitUnknown)
-	is.Equal(b.run("--output", "json", "share-claims"), ExitOK) // it had been announced
+	is.Equal(b.run("--output", "json", "share-claims"), ExitOK) // the lost answer's announcement was stored
 	var first, again claimLayout
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &first))
 	ahead := time.Until(first.From)
 	is.True(ahead > batch.Lead-time.Minute && ahead <= batch.Lead)
 	is.Equal(b.run("--output", "json", "share-claims"), ExitOK)
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &again))
-	is.Equal(again, first) // once and for all
+	is.Equal(again, first) // repeating doesn't change the date
 	b.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.Unavailable })
 	is.Equal(b.run("share-claims"), ExitUnavailable)
 }
 
-// Symptom: a script that parses the output stumbles over prose. Events: any
-// command fails under --output json. Cause: failures were printed as text.
-func TestFailuresAreJSONToo(t *testing.T) {
+// Guards against failures printed as text under --output json, which breaks
+// scripts that parse the output.
+func TestFailuresAreJSON(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	is.Equal(b.run("--output", "json", "apply", b.set("x", "2"), "--base", "0"), ExitInvalidSet)
+	b := newTestTool(t)
+	is.Equal(b.run("--output", "json", "apply", b.writeSet("x", "2"), "--base", "0"), ExitInvalidSet)
 	var out struct{ Error failure }
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &out))
 	is.Equal(out.Error.Code, status.CodeInvalidSet)
 	is.Equal(len(out.Error.Problems), 2)
-	is.Equal(b.run("--output", "json", "apply", b.set("25", "0.5"), "--base", "3"), ExitConflict)
+	is.Equal(b.run("--output", "json", "apply", b.writeSet("25", "0.5"), "--base", "3"), ExitConflict)
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &out))
 	is.Equal(out.Error.Conflict.Base, int64(3))
 	is.Equal(b.err.String(), "")
@@ -210,7 +210,7 @@
 
 func TestPlatformFlags(t *testing.T) {
 	is := is.New(t)
-	newBench(t)
+	newTestTool(t)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "platform.yaml")
 	is.NoErr(os.WriteFile(file, []byte(`node: {name: feed-1}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,7 +14,7 @@
 	"peardrift/internal/status"
 )
 
-// explainCommand prints what nodes' logs say of one request.
+// explainCommand prints the log lines of all nodes about one request.
 type explainCommand struct {
 	app  *app
 	Args struct {
@@ -23,7 +23,7 @@
 	} `positional-args:"yes"`
 }
 
-// logLine is what explain reads of a line.
+// logLine holds the fields of a log line that explain uses.
 type logLine struct {
 	Time     time.Time `json:"time"`
 	Message  string    `json:"message"`
@@ -40,26 +40,27 @@
 	Queued   string    `json:"queued,omitempty"`
 	Version  int64     `json:"version,omitempty"`
 	Level    float64   `json:"refused_below,omitempty"`
-	Source   string    `json:"source,omitempty"` // what stands before the line, or its file
+	Source   string    `json:"source,omitempty"` // text before the JSON object, or the file name
 }
 
-// depth is how far down the chain a line is, by the names of its calls.
-func (l *logLine) depth() int { return strings.Count(l.Name, ".") }
+// callDepth returns the depth in the call chain. The name of a nested call is its
+// parent's name with a suffix separated by a dot.
+func (l *logLine) callDepth() int { return strings.Count(l.Name, ".") }
 
 // Execute implements flags.Commander.
 func (c *explainCommand) Execute([]string) error {
-	lines, err := c.read()
+	lines, err := c.readLogs()
 	if err != nil {
 		return err
 	}
-	found := about(lines, c.Args.ID)
+	found := linesOfRequest(lines, c.Args.ID)
 	if len(found) == 0 {
-		return status.New(status.CodeUnknownClass, "no line tells of %q; it completed, or its line was sampled: look for the counted class in the metrics", c.Args.ID)
+		return status.New(status.CodeUnknownClass, "no log line mentions %q; the request completed or its line was dropped by sampling: check the metrics of its class", c.Args.ID)
 	}
-	return c.app.show(found, func(w io.Writer) { printHops(w, found) })
+	return c.app.printResult(found, func(w io.Writer) { printHops(w, found) })
 }
 
-func (c *explainCommand) read() ([]logLine, error) {
+func (c *explainCommand) readLogs() ([]logLine, error) {
 	if len(c.Args.Files) == 0 {
 		return readLines(os.Stdin, "")
 	}
@@ -70,7 +71,7 @@
 			return nil, status.Wrap(status.CodeInvalidSettings, err, "cannot read a log")
 		}
 		lines, err := readLines(f, name)
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened read-only
 		if err != nil {
 			return nil, err
 		}
@@ -79,35 +80,35 @@
 	return all, nil
 }
 
-// maxLogLine bounds one line, in bytes; nodes write none above 16 KiB.
+// maxLogLine limits one line, in bytes; nodes write lines of at most 16 KiB.
 const maxLogLine = 64 << 10
 
-// readLines reads the lines of calls. What stands before a line's object, such as
-// the name of its instance, is kept; other lines are passed over.
+// readLines reads the log lines of calls and skips all others. Text before a
+// line's JSON object, such as the name of the instance, becomes its Source.
 func readLines(r io.Reader, source string) ([]logLine, error) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLogLine)
 	var out []logLine
 	for sc.Scan() {
-		before, rest, ok := strings.Cut(sc.Text(), "{")
+		prefix, rest, ok := strings.Cut(sc.Text(), "{")
 		if !ok {
 			continue
 		}
-		l := logLine{Source: cmp.Or(strings.TrimSpace(before), source)}
+		l := logLine{Source: cmp.Or(strings.TrimSpace(prefix), source)}
 		if json.Unmarshal([]byte("{"+rest), &l) == nil && l.Request != "" {
 			out = append(out, l)
 		}
 	}
 	if err := sc.Err(); err != nil {
-		return nil, status.Wrap(status.CodeProtocol, err, "a log can't be read")
+		return nil, status.Wrap(status.CodeProtocol, err, "cannot read a log")
 	}
 	return out, nil
 }
 
-// about returns the lines of a request, by any of its names. Those of its calls
-// come before the call that they were made for: clocks of instances differ, so
-// within one hop's length the chain's order counts, not the time.
-func about(lines []logLine, id string) []logLine {
+// linesOfRequest returns the lines of a request, found by its identity or name.
+// Nested calls come before the call that made them: lines are sorted by call
+// depth first, since the clocks of instances may differ by more than a hop takes.
+func linesOfRequest(lines []logLine, id string) []logLine {
 	ids := make(map[string]bool)
 	for _, l := range lines {
 		if l.Request == id || l.Name == id || strings.HasPrefix(l.Name, id+".") {
@@ -121,17 +122,18 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b logLine) int {
-		return cmp.Or(cmp.Compare(b.depth(), a.depth()), a.Time.Compare(b.Time))
+		return cmp.Or(cmp.Compare(b.callDepth(), a.callDepth()), a.Time.Compare(b.Time))
 	})
 	return out
 }
 
-// printHops prints the hops from the deepest, where causes are, up to the entry.
+// printHops prints the hops from the deepest, where the cause usually is, up to
+// the entry.
 func printHops(w io.Writer, lines []logLine) {
 	fmt.Fprintf(w, "request %s, the deepest call first\n", lines[0].Request)
 	for _, l := range lines {
-		why := cmp.Or(l.Code, "the target's own answer")
-		fmt.Fprintf(w, "%s  %-7s %-24s %-9s %-22s took %s", l.Time.Format("15:04:05.000"), l.Hop, l.Service, l.Outcome, why, l.Took)
+		reason := cmp.Or(l.Code, "the target's own answer")
+		fmt.Fprintf(w, "%s  %-7s %-24s %-9s %-22s took %s", l.Time.Format("15:04:05.000"), l.Hop, l.Service, l.Outcome, reason, l.Took)
 		if l.Queued != "" {
 			fmt.Fprintf(w, ", queued %s", l.Queued)
 		}
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -10,21 +10,21 @@
 	"peardrift/internal/status"
 )
 
-// keyCommand makes an API key and the digest that a set names it by.
+// keyCommand generates an API key and the digest that identifies it in a set.
 type keyCommand struct {
 	app    *app
 	Digest bool `long:"digest" description:"print the digest of the key on standard input instead of making one"`
 }
 
-// keyRecord is the command's output.
-type keyRecord struct {
-	Key    string `json:"key,omitempty"` // shown once, and kept nowhere
+// keyResult is the command's output.
+type keyResult struct {
+	Key    string `json:"key,omitempty"` // printed once, never stored
 	Digest string `json:"digest"`
 }
 
 // Execute implements flags.Commander.
 func (c *keyCommand) Execute([]string) error {
-	r := keyRecord{Key: confset.NewKey()}
+	r := keyResult{Key: confset.NewKey()}
 	key := r.Key
 	if c.Digest {
 		line, err := bufio.NewReader(os.Stdin).ReadString('\n')
@@ -34,7 +34,7 @@
 		r.Key = ""
 	}
 	r.Digest = confset.DigestKey([]byte(key)).String()
-	return c.app.show(r, func(w io.Writer) {
+	return c.app.printResult(r, func(w io.Writer) {
 		if r.Key != "" {
 			c.app.printf(w, "key     %s\n", r.Key)
 		}
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -11,52 +11,52 @@
 	"peardrift/internal/status"
 )
 
-// checkNodes refuses addresses that no node can have, before anything is tried:
-// a mistyped one would look like a node that is down.
-func checkNodes(addrs []string) error {
+// validateNodeAddrs rejects malformed addresses before any call: a mistyped one
+// would otherwise look like a node that is down.
+func validateNodeAddrs(addrs []string) error {
 	for _, addr := range addrs {
 		if a, err := netip.ParseAddrPort(addr); err != nil || a.Port() == 0 {
 			return status.New(status.CodeInvalidSettings,
-				"--node must be an IP address with a port, such as 10.0.0.1:7403, is %q", addr)
+				"--node must be an IP address with a port, such as 10.0.0.1:7403, not %q", addr)
 		}
 	}
 	return nil
 }
 
-// nodeTimeout bounds one call to a node: a node that doesn't answer must not
-// hold up the report of an apply that was accepted.
+// nodeTimeout limits one call to a node, so that an unresponsive node doesn't
+// delay the result of an accepted apply.
 const nodeTimeout = 3 * time.Second
 
-// nodesAtOnce bounds the nodes that are called at a time.
-const nodesAtOnce = 32
+// maxConcurrentNodes limits concurrent calls to nodes.
+const maxConcurrentNodes = 32
 
-// each calls f for each address and returns when all calls have. One after the
-// other, a few nodes that are down would use up the command's time, and those
-// named after them look down too.
-func each(addrs []string, f func(i int, addr string)) {
+// forEachNode calls f concurrently for each address and returns when all calls
+// have returned. Called sequentially, a few nodes that are down would use up the
+// command's timeout, and the nodes after them would appear down too.
+func forEachNode(addrs []string, f func(i int, addr string)) {
 	var wg sync.WaitGroup
-	free := make(chan struct{}, nodesAtOnce)
+	semaphore := make(chan struct{}, maxConcurrentNodes)
 	for i, addr := range addrs {
-		free <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-semaphore }()
 			f(i, addr)
 		})
 	}
 	wg.Wait()
 }
 
-// RPCNodes calls nodes by net/rpc; for Env.Nodes.
+// RPCNodes implements Nodes over net/rpc.
 type RPCNodes struct{ pool *rpc.Pool }
 
 var _ Nodes = (*RPCNodes)(nil)
 
-// NewRPCNodes returns a caller without connections.
+// NewRPCNodes returns an RPCNodes without open connections.
 func NewRPCNodes() *RPCNodes {
 	return &RPCNodes{pool: rpc.NewPool(rpc.DefaultConfig(), &rpc.Meter{})}
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (n *RPCNodes) Close() { n.pool.Close() }
 
 // Head implements Nodes.
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -20,14 +20,13 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: a script that reads the status of nodes breaks when one is down.
-// Events: one node answers, another doesn't, output is JSON. Cause: the failure
-// followed the result as a second JSON value.
-func TestStatusWithAFailureIsOneJSONValue(t *testing.T) {
+// Guards against a failure printed as a second JSON value after the result when
+// one node is down, which breaks scripts that parse the output.
+func TestStatusWithFailureIsOneJSONValue(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	is.Equal(b.run("apply", b.set("25", "0.5"), "--base", "0"), ExitOK)
-	is.Equal(b.run("--output", "json", "status", "--node", knownNode, "--node", "127.0.0.1:9"), ExitFailure)
+	b := newTestTool(t)
+	is.Equal(b.run("apply", b.writeSet("25", "0.5"), "--base", "0"), ExitOK)
+	is.Equal(b.run("--output", "json", "status", "--node", liveNode, "--node", "127.0.0.1:9"), ExitFailure)
 	var out statusResult
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &out)) // fails if anything follows
 	is.Equal(len(out.Accepted), 1)
@@ -38,14 +37,13 @@
 	is.Equal(b.err.String(), "")
 }
 
-// Symptom: a typing mistake reads as an outage: exit code 5, "safe to run
-// again", or 4, "apply on the new base". Events: an option has a value that can
-// never work. Cause: values went to the platform unchecked.
-func TestOptionsThatCannotWorkAreUsageErrors(t *testing.T) {
-	b := newBench(t)
-	set := b.set("25", "0.5")
+// Guards against invalid option values that reach the platform unchecked: a typing
+// mistake then exits with 5 (unavailable, safe to retry) or 4 (conflict).
+func TestInvalidOptionsAreUsageErrors(t *testing.T) {
+	b := newTestTool(t)
+	set := b.writeSet("25", "0.5")
 	for _, tt := range []struct {
-		says string
+		want string
 		args []string
 	}{
 		{"--base must not be negative", []string{"apply", set, "--base", "-1"}},
@@ -59,8 +57,8 @@
 	} {
 		is := is.New(t)
 		is.Equal(b.run(tt.args...), ExitUsage)
-		if !strings.Contains(b.err.String(), tt.says) {
-			t.Errorf("%v: got %q, want %q in it", tt.args, b.err.String(), tt.says)
+		if !strings.Contains(b.err.String(), tt.want) {
+			t.Errorf("%v: got %q, want %q in it", tt.args, b.err.String(), tt.want)
 		}
 	}
 	if n := b.table.Count(porttest.OpGet) + b.table.Count(porttest.OpPutAll); n > 0 {
@@ -68,42 +66,40 @@
 	}
 }
 
-// Symptom: "no row config/kalahari/head", which tells an operator nothing.
-// Events: a tenant's name is mistyped, or a version asked for that is not there
-// yet. Cause: the table's own failure was shown as it was.
-func TestWhatIsNotThereIsNamedInTheOperatorsWords(t *testing.T) {
+// Guards against exposing the table's error, such as "no row config/kalahari/head",
+// when a tenant's name is mistyped or a version does not exist.
+func TestMissingTenantAndVersionErrors(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	is.Equal(b.run("apply", b.set("25", "0.5"), "--base", "0"), ExitOK)
+	b := newTestTool(t)
+	is.Equal(b.run("apply", b.writeSet("25", "0.5"), "--base", "0"), ExitOK)
 	is.Equal(b.run("history", "--tenant", "kalahari"), ExitFailure)
 	is.True(strings.Contains(b.err.String(), "tenant kalahari has no accepted version"))
 	is.Equal(b.run("diff", "--tenant", "khaosan", "--from", "1", "--to", "9"), ExitFailure)
 	is.True(strings.Contains(b.err.String(), "tenant khaosan has no version 9"))
 }
 
-// fullDisk takes no output.
-type fullDisk struct{}
+// failingWriter fails every write.
+type failingWriter struct{}
 
-func (fullDisk) Write([]byte) (int, error) { return 0, os.ErrClosed }
+func (failingWriter) Write([]byte) (int, error) { return 0, os.ErrClosed }
 
-// Symptom: a script keeps an empty or cut history and goes on. Events: standard
-// output is a file on a full disk. Cause: text that can't be written was not
-// taken for a failure, as it was with JSON.
-func TestOutputThatCannotBeWrittenIsAFailure(t *testing.T) {
+// Guards against exit code 0 with truncated text output, for example when standard
+// output is a file on a full disk.
+func TestOutputWriteErrorIsFailure(t *testing.T) {
 	for _, form := range []string{"text", "json"} {
 		is := is.New(t)
-		b := newBench(t)
+		b := newTestTool(t)
 		is.Equal(Run(context.Background(), []string{"--output", form, "version"},
-			Env{Stdout: fullDisk{}, Stderr: &b.err, Nodes: b.nodes}), ExitFailure)
+			Env{Stdout: failingWriter{}, Stderr: &b.err, Nodes: b.nodes}), ExitFailure)
 	}
 }
 
-// Symptom: the tool calls a platform that the file doesn't name. Events: a key
-// of the file's platform section is mistyped. Cause: the file was read
-// leniently, and only its first fault was told, in the YAML library's words.
-func TestPlatformFileIsCheckedLikeANodes(t *testing.T) {
+// Guards against lenient parsing of the platform file: a mistyped key was ignored,
+// so the tool called another platform. All problems must be reported, not only the
+// YAML library's first error.
+func TestPlatformFileIsValidatedStrictly(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestTool(t)
 	file := filepath.Join(t.TempDir(), "platform.yaml")
 	is.NoErr(os.WriteFile(file, []byte(`node: {colour: red}
 platform:
@@ -115,9 +111,9 @@
 		file+":4:12: platform.timeout must be a duration with its unit, such as 250ms or 5s\n")
 }
 
-func TestAllThatThePlatformLacksIsToldAtOnce(t *testing.T) {
+func TestAllMissingPlatformSettingsAreReported(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestTool(t)
 	t.Setenv("PEARDRIFT_TABLE_ENDPOINT", "")
 	t.Setenv("PEARDRIFT_OBJECTS_ENDPOINT", "")
 	t.Setenv("PEARDRIFT_SECRET_KEY", "")
@@ -127,11 +123,11 @@
 	}
 }
 
-// downNodes has one node that answers; all others keep their caller waiting.
-type downNodes struct{ fakeNodes }
+// unresponsiveNodes answers for liveNode; calls to all others time out.
+type unresponsiveNodes struct{ fakeNodes }
 
-func (d *downNodes) Status(ctx context.Context, addr string) (adminapi.StatusReply, error) {
-	if addr != knownNode {
+func (d *unresponsiveNodes) Status(ctx context.Context, addr string) (adminapi.StatusReply, error) {
+	if addr != liveNode {
 		time.Sleep(nodeTimeout)
 	}
 	if ctx.Err() != nil {
@@ -140,32 +136,31 @@
 	return d.fakeNodes.Status(ctx, addr)
 }
 
-// Symptom: in an outage "status" shows nodes as down that are not. Events: ten
-// nodes that don't answer are named before one that does. Cause: they were asked
-// one after the other, within the time of the whole command.
-func TestNodesThatAreDownDoNotHideOthers(t *testing.T) {
-	b := newBench(t)
+// Guards against showing live nodes as down in an outage: ten unresponsive nodes
+// are listed first and, queried sequentially, use up the command's timeout.
+func TestUnresponsiveNodesDoNotBlockOthers(t *testing.T) {
+	b := newTestTool(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		args := []string{"status"}
 		for i := range 10 {
 			args = append(args, "--node", "10.0.0.1:"+strconv.Itoa(7000+i))
 		}
-		code := Run(context.Background(), append(args, "--node", knownNode), Env{
-			Stdout: &b.out, Stderr: &b.err, Nodes: &downNodes{},
+		code := Run(context.Background(), append(args, "--node", liveNode), Env{
+			Stdout: &b.out, Stderr: &b.err, Nodes: &unresponsiveNodes{},
 			Open: func(settings.Platform) (*apply.Store, func(), error) {
 				return apply.New(b.table, b.objects, apply.DefaultConfig()), func() {}, nil
 			},
 		})
 		is.Equal(code, ExitFailure)
-		is.True(strings.Contains(b.out.String(), "node "+knownNode+": feed-1"))
+		is.True(strings.Contains(b.out.String(), "node "+liveNode+": feed-1"))
 	})
 }
 
-func TestStatusTellsOfOverloadAndReadiness(t *testing.T) {
+func TestStatusShowsOverloadAndReadiness(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	is.Equal(b.run("status", "--node", knownNode), ExitOK)
+	b := newTestTool(t)
+	is.Equal(b.run("status", "--node", liveNode), ExitOK)
 	is.True(strings.Contains(b.out.String(), "  not ready: its target is down\n"+
 		"  target: 24 of 25 run, 7 wait, demand 60.0; refuses what is less important than 30.2\n"))
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -16,7 +16,7 @@
 
 const outputJSON = "json"
 
-// failure is how an error appears in JSON output.
+// failure is an error in JSON output.
 type failure struct {
 	Code     status.Code      `json:"code"`
 	Detail   string           `json:"detail"`
@@ -31,35 +31,35 @@
 	Current int64          `json:"current"`
 }
 
-// shown is a failure that stands in the output already, beside a result.
-type shown struct{ error }
+// reportedError is a failure that the output already contains beside a result.
+type reportedError struct{ error }
 
 // Unwrap returns the failure.
-func (s shown) Unwrap() error { return s.error }
+func (s reportedError) Unwrap() error { return s.error }
 
-// fail reports an error and returns the exit code: in JSON on standard output,
-// in text on standard error.
-func (a *app) fail(err error) int {
-	exit := exitOf(err)
+// reportError prints an error, as JSON to standard output or as text to standard
+// error, and returns the exit code.
+func (a *app) reportError(err error) int {
+	exit := exitCodeOf(err)
 	if a.opts.Output != outputJSON {
-		a.failText(err)
+		a.printError(err)
 		return exit
 	}
-	if errors.As(err, new(shown)) {
-		return exit // a second JSON value would break what reads the first
+	if errors.As(err, new(reportedError)) {
+		return exit // a second JSON value would break parsers of the output
 	}
-	if err := a.json(map[string]failure{"error": failureOf(err)}); err != nil {
+	if err := a.printJSON(map[string]failure{"error": newFailure(err)}); err != nil {
 		return ExitFailure
 	}
 	return exit
 }
 
-func (a *app) failText(err error) {
+func (a *app) printError(err error) {
 	var set yamlset.Problems
 	var file *settings.Invalid
 	switch {
 	case errors.As(err, &set):
-		a.printf(a.env.Stderr, "%v\n", set) // lines that editors can jump by
+		a.printf(a.env.Stderr, "%v\n", set) // file:line:column lines, which editors can follow
 	case errors.As(err, &file):
 		a.printf(a.env.Stderr, "%v\n", file) // likewise
 	default:
@@ -67,8 +67,8 @@
 	}
 }
 
-func failureOf(err error) failure {
-	f := failure{Code: status.CodeOf(err), Detail: err.Error(), Exit: exitOf(err)}
+func newFailure(err error) failure {
+	f := failure{Code: status.CodeOf(err), Detail: err.Error(), Exit: exitCodeOf(err)}
 	errors.As(err, &f.Problems)
 	var c *apply.Conflict
 	if errors.As(err, &c) {
@@ -77,12 +77,12 @@
 	return f
 }
 
-// show prints a result: the value as JSON, or what text prints. The text is
-// written at once, so that one which can't be written whole is a failure: a
-// script would else take a list cut by a full disk for the whole.
-func (a *app) show(value any, text func(w io.Writer)) error {
+// printResult prints a result: value as JSON, or the output of text. Text is
+// buffered and written at once, so that a partial write is a failure: a script
+// would otherwise accept a list truncated by a full disk.
+func (a *app) printResult(value any, text func(w io.Writer)) error {
 	if a.opts.Output == outputJSON {
-		return a.json(value)
+		return a.printJSON(value)
 	}
 	var b bytes.Buffer
 	text(&b)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (a *app) json(value any) error {
+func (a *app) printJSON(value any) error {
 	enc := json.NewEncoder(a.env.Stdout)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(value); err != nil {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// printf writes text, to memory or to standard error. Where that has gone, there
-// is nowhere left to tell it.
+// printf writes text to memory or to standard error. It ignores errors, since a
+// failing standard error leaves nowhere to report them.
 func (a *app) printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -13,8 +13,8 @@
 	"peardrift/internal/status"
 )
 
-// platformFlags say where the platform is. A flag wins over its environment
-// variable, that over the file, that over the default.
+// platformFlags configure access to the platform. Precedence from high to low:
+// flag, environment variable, file, default.
 type platformFlags struct {
 	File            string        `long:"platform" env:"PEARDRIFT_PLATFORM" value-name:"FILE" description:"YAML file with the key platform, as in the settings of a node"`
 	TableEndpoint   string        `long:"table-endpoint" env:"PEARDRIFT_TABLE_ENDPOINT" value-name:"URL" description:"the table service"`
@@ -23,12 +23,12 @@
 	Bucket          string        `long:"bucket" env:"PEARDRIFT_BUCKET" value-name:"NAME" description:"the bucket (default: peardrift)"`
 	Region          string        `long:"region" env:"PEARDRIFT_REGION" value-name:"NAME" description:"the region of both (default: local)"`
 	AccessKey       string        `long:"access-key" env:"PEARDRIFT_ACCESS_KEY" value-name:"KEY" description:"the access key"`
-	SecretKeyFile   string        `long:"secret-key-file" env:"PEARDRIFT_SECRET_KEY_FILE" value-name:"FILE" description:"file with the secret key; PEARDRIFT_SECRET_KEY holds the key itself. No flag takes it, as others can read command lines"`
-	CallTimeout     time.Duration `long:"call-timeout" value-name:"DURATION" description:"bound of one call to the platform (default: 2s)"`
+	SecretKeyFile   string        `long:"secret-key-file" env:"PEARDRIFT_SECRET_KEY_FILE" value-name:"FILE" description:"file with the secret key; PEARDRIFT_SECRET_KEY holds the key itself. There is no flag for the key itself, since other users can read command lines"`
+	CallTimeout     time.Duration `long:"call-timeout" value-name:"DURATION" description:"time limit of one call to the platform (default: 2s)"`
 }
 
-// flagsOf says by which flag one gives what a field of the platform needs.
-var flagsOf = map[string]string{
+// flagByField maps a settings field of the platform to the flag that sets it.
+var flagByField = map[string]string{
 	"platform.table.endpoint":   "--table-endpoint",
 	"platform.table.name":       "--table",
 	"platform.table.region":     "--region",
@@ -41,7 +41,7 @@
 	"platform.timeout":          "--call-timeout",
 }
 
-// resolve merges flags, environment, file and defaults.
+// resolve merges flags, environment, file and defaults, and checks the result.
 func (f *platformFlags) resolve() (settings.Platform, error) {
 	p := settings.Default().Platform
 	if f.File != "" {
@@ -64,18 +64,18 @@
 		p.SecretKey, p.SecretKeyFile = "", f.SecretKeyFile
 	}
 	if ps := p.Complete(); len(ps) > 0 {
-		return p, unusable(ps)
+		return p, invalidPlatformError(ps)
 	}
 	return p, nil
 }
 
-// unusable is the failure of a platform that can't be called, with all problems
-// and the flags that mend them.
-func unusable(ps []settings.Problem) error {
+// invalidPlatformError returns an error that lists all problems of the platform
+// settings and the flags that fix them.
+func invalidPlatformError(ps []settings.Problem) error {
 	lines := make([]string, 0, len(ps))
 	for _, p := range ps {
 		line := p.String()
-		if flag, ok := flagsOf[p.Field]; ok {
+		if flag, ok := flagByField[p.Field]; ok {
 			line += " (" + flag + ")"
 		}
 		lines = append(lines, line)
@@ -83,7 +83,8 @@
 	return status.New(status.CodeInvalidSettings, "%s", strings.Join(lines, "; "))
 }
 
-// OpenPlatform connects to the platform by the official clients; for Env.Open.
+// OpenPlatform connects to the platform with the AWS clients; it implements
+// Env.Open.
 func OpenPlatform(p settings.Platform) (*apply.Store, func(), error) {
 	cfg := awscall.DefaultConfig()
 	cfg.Endpoint, cfg.Region = p.Table.Endpoint, p.Table.Region
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	timeFormat = time.RFC3339
-	maxShown   = 20
+	timeFormat          = time.RFC3339
+	maxConflictVersions = 20
 )
 
 // record is an accepted version in output.
@@ -34,19 +34,19 @@
 	At      time.Time      `json:"at"`
 }
 
-func recordOf(r apply.Record) record {
+func newRecord(r apply.Record) record {
 	return record{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest.String(),
 		Bytes: r.Bytes, Share: r.Share, By: r.By, At: r.At}
 }
 
-func (a *app) table(w io.Writer, records []record) {
+func (a *app) printRecords(w io.Writer, records []record) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	a.printf(t, "TENANT\tVERSION\tSHARE\tBYTES\tBY\tAT\tDIGEST\n")
 	for _, r := range records {
 		a.printf(t, "%s\t%d\t%g\t%d\t%s\t%s\t%s\n",
 			r.Tenant, r.Version, r.Share, r.Bytes, r.By, r.At.Format(timeFormat), r.Digest)
 	}
-	_ = t.Flush() // as printf
+	_ = t.Flush() // ignored as in printf
 }
 
 type statusCommand struct {
@@ -66,38 +66,38 @@
 	Error  string                `json:"error,omitempty"`
 }
 
-// Execute implements flags.Commander. Nodes are asked also when the platform is
-// down, as that is when one wants to know; the failure decides the exit code.
+// Execute implements flags.Commander. Nodes are queried even if the platform is
+// down, when their status matters most; the first failure decides the exit code.
 func (c *statusCommand) Execute([]string) error {
-	if err := checkNodes(c.Nodes); err != nil {
+	if err := validateNodeAddrs(c.Nodes); err != nil {
 		return err
 	}
 	var out statusResult
-	var failed error
-	out.Accepted, failed = c.accepted()
+	var firstErr error
+	out.Accepted, firstErr = c.acceptedRecords()
 	out.Nodes = make([]nodeStatus, len(c.Nodes))
-	faults := make([]error, len(c.Nodes))
-	each(c.Nodes, func(i int, addr string) { out.Nodes[i], faults[i] = c.ask(addr) })
-	for _, err := range faults {
-		if failed == nil {
-			failed = err
+	errs := make([]error, len(c.Nodes))
+	forEachNode(c.Nodes, func(i int, addr string) { out.Nodes[i], errs[i] = c.queryNode(addr) })
+	for _, err := range errs {
+		if firstErr == nil {
+			firstErr = err
 		}
 	}
-	if failed == nil {
-		return c.show(out, func(w io.Writer) { c.text(w, out) })
+	if firstErr == nil {
+		return c.printResult(out, func(w io.Writer) { c.printText(w, out) })
 	}
 	if len(out.Nodes) == 0 {
-		return failed
+		return firstErr
 	}
-	f := failureOf(failed)
+	f := newFailure(firstErr)
 	out.Error = &f
-	if err := c.show(out, func(w io.Writer) { c.text(w, out) }); err != nil {
+	if err := c.printResult(out, func(w io.Writer) { c.printText(w, out) }); err != nil {
 		return err
 	}
-	return shown{failed}
+	return reportedError{firstErr}
 }
 
-func (c *statusCommand) ask(addr string) (nodeStatus, error) {
+func (c *statusCommand) queryNode(addr string) (nodeStatus, error) {
 	reply, err := c.env.Nodes.Status(c.ctx, addr)
 	if err != nil {
 		return nodeStatus{Addr: addr, Error: err.Error()}, err
@@ -105,12 +105,12 @@
 	return nodeStatus{Addr: addr, Status: &reply}, nil
 }
 
-func (c *statusCommand) accepted() ([]record, error) {
-	store, done, err := c.store()
+func (c *statusCommand) acceptedRecords() ([]record, error) {
+	store, release, err := c.openStore()
 	if err != nil {
 		return nil, err
 	}
-	defer done()
+	defer release()
 	tenants, _, err := store.Tenants(c.ctx)
 	if err != nil {
 		return nil, err
@@ -121,13 +121,13 @@
 		if err != nil {
 			return out, err
 		}
-		out = append(out, recordOf(head))
+		out = append(out, newRecord(head))
 	}
 	return out, nil
 }
 
-func (c *statusCommand) text(w io.Writer, out statusResult) {
-	c.table(w, out.Accepted)
+func (c *statusCommand) printText(w io.Writer, out statusResult) {
+	c.printRecords(w, out.Accepted)
 	for _, n := range out.Nodes {
 		if n.Status == nil {
 			c.printf(w, "node %s: %s\n", n.Addr, n.Error)
@@ -136,17 +136,17 @@
 		s := n.Status
 		c.printf(w, "node %s: %s of %s in %s, ready %t, leaving %t, %d members\n",
 			n.Addr, s.Node, s.Service, s.Zone, s.Ready, s.Leaving, s.Members)
-		for _, why := range s.NotReady {
-			c.printf(w, "  not ready: %s\n", why)
+		for _, reason := range s.NotReady {
+			c.printf(w, "  not ready: %s\n", reason)
 		}
-		c.printf(w, "  target: %s\n", gateText(s.Gate))
+		c.printf(w, "  target: %s\n", formatGate(s.Gate))
 		for _, t := range s.Tenants {
 			c.printf(w, "  %s: version %d in force, %d known\n", t.Tenant, t.InForce, t.Known)
 		}
 	}
 }
 
-func gateText(g adminapi.GateStatus) string {
+func formatGate(g adminapi.GateStatus) string {
 	refuses := "nothing"
 	if g.Level > 0 {
 		refuses = fmt.Sprintf("what is less important than %.1f", g.Level)
@@ -165,20 +165,20 @@
 	if c.Limit < 1 {
 		return status.New(status.CodeInvalidSettings, "--limit must be at least 1")
 	}
-	store, done, err := c.store()
+	store, release, err := c.openStore()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	records, err := store.History(c.ctx, request.Tenant(c.Tenant), c.Limit)
 	if err != nil {
 		return err
 	}
 	out := make([]record, len(records))
 	for i, r := range records {
-		out[i] = recordOf(r)
+		out[i] = newRecord(r)
 	}
-	return c.show(out, func(w io.Writer) { c.table(w, out) })
+	return c.printResult(out, func(w io.Writer) { c.printRecords(w, out) })
 }
 
 type diffCommand struct {
@@ -215,30 +215,30 @@
 		}
 		c.Tenant = string(to.Tenant)
 	}
-	store, done, err := c.store()
+	store, release, err := c.openStore()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	if !files {
-		if to, err = c.version(store, c.To); err != nil {
+		if to, err = c.loadVersion(store, c.To); err != nil {
 			return err
 		}
 		c.From = cmp.Or(c.From, max(to.Version-1, 1))
 	}
-	from, err := c.version(store, c.From)
+	from, err := c.loadVersion(store, c.From)
 	if files && c.From == 0 && errors.Is(err, port.ErrNotFound) {
-		err = nil // the tenant has no set yet: all is new
+		err = nil // the tenant has no set yet: compare with an empty one
 	}
 	if err != nil {
 		return err
 	}
 	out := diffResult{Tenant: to.Tenant, From: from.Version, To: to.Version, Differences: confset.Diff(from, to)}
-	return c.show(out, func(w io.Writer) { c.text(w, out) })
+	return c.printResult(out, func(w io.Writer) { c.printText(w, out) })
 }
 
-// version fetches an accepted version, 0 for the one in force.
-func (c *diffCommand) version(store *apply.Store, v int64) (confset.Set, error) {
+// loadVersion fetches an accepted version; 0 selects the newest.
+func (c *diffCommand) loadVersion(store *apply.Store, v int64) (confset.Set, error) {
 	tenant := request.Tenant(c.Tenant)
 	var r apply.Record
 	var err error
@@ -253,7 +253,7 @@
 	return store.Set(c.ctx, r)
 }
 
-func (c *diffCommand) text(w io.Writer, out diffResult) {
+func (c *diffCommand) printText(w io.Writer, out diffResult) {
 	if len(out.Differences) == 0 {
 		c.printf(w, "no difference to version %d\n", out.From)
 	}
@@ -274,5 +274,5 @@
 // Execute implements flags.Commander.
 func (c *versionCommand) Execute([]string) error {
 	out := buildinfo.Read()
-	return c.show(out, func(w io.Writer) { c.printf(w, "peardrift %s\n", out) })
+	return c.printResult(out, func(w io.Writer) { c.printf(w, "peardrift %s\n", out) })
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -14,7 +14,7 @@
 	"peardrift/internal/status"
 )
 
-// setArgs names the files of a set.
+// setArgs are the paths of a set's files.
 type setArgs struct {
 	Paths []string `positional-arg-name:"DIR" description:"directory of the set, or its files" required:"1"`
 }
@@ -24,7 +24,7 @@
 	Args setArgs `positional-args:"yes" required:"yes"`
 }
 
-// setSummary describes a set in output.
+// setSummary is the output of validate.
 type setSummary struct {
 	Tenant   request.Tenant `json:"tenant"`
 	Share    float64        `json:"share"`
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	return c.show(sum, func(w io.Writer) {
+	return c.printResult(sum, func(w io.Writer) {
 		c.printf(w, "valid: tenant %s, share %g, %d services, %d classes, digest %s\n",
 			sum.Tenant, sum.Share, sum.Services, sum.Classes, sum.Digest)
 	})
@@ -70,19 +70,19 @@
 	Args  setArgs  `positional-args:"yes" required:"yes"`
 }
 
-// applied is the result of an apply.
-type applied struct {
+// applyResult is the output of apply.
+type applyResult struct {
 	Tenant    request.Tenant `json:"tenant"`
 	Version   int64          `json:"version"`
 	Digest    string         `json:"digest"`
 	Settled   bool           `json:"settled"`
 	Unchanged bool           `json:"unchanged"`
-	Nodes     []told         `json:"nodes,omitempty"`
+	Nodes     []notification `json:"nodes,omitempty"`
 }
 
-// told is what became of telling one node. That it failed does not change what
-// was accepted: nodes learn of it from each other and from the platform.
-type told struct {
+// notification is the result of notifying one node. A failure does not affect the
+// accepted version: nodes also learn of it from each other and from the platform.
+type notification struct {
 	Addr    string `json:"addr"`
 	InForce int64  `json:"inForce"`
 	Error   string `json:"error,omitempty"`
@@ -93,37 +93,37 @@
 	if c.Base < 0 {
 		return status.New(status.CodeInvalidSettings, "--base must not be negative")
 	}
-	if err := checkNodes(c.Nodes); err != nil {
+	if err := validateNodeAddrs(c.Nodes); err != nil {
 		return err
 	}
 	set, err := yamlset.Load(c.Args.Paths...)
 	if err != nil {
 		return err
 	}
-	store, done, err := c.store()
+	store, release, err := c.openStore()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer release()
 	by := cmp.Or(c.By, os.Getenv("USER"), "unknown")
 	acc, err := store.Apply(c.ctx, set, c.Base, by)
 	if err != nil {
-		c.explain(store, err)
+		c.showConflict(store, err)
 		return err
 	}
-	out := applied{
+	out := applyResult{
 		Tenant: set.Tenant, Version: acc.Version, Digest: acc.Digest.String(),
 		Settled: acc.Settled, Unchanged: acc.Unchanged,
-		Nodes: c.tell(adminapi.HeadArgs{Tenant: set.Tenant, Version: acc.Version}),
+		Nodes: c.notifyNodes(adminapi.HeadArgs{Tenant: set.Tenant, Version: acc.Version}),
 	}
-	return c.show(out, func(w io.Writer) { c.text(w, out) })
+	return c.printResult(out, func(w io.Writer) { c.printText(w, out) })
 }
 
-func (c *applyCommand) tell(args adminapi.HeadArgs) []told {
-	out := make([]told, len(c.Nodes))
-	each(c.Nodes, func(i int, addr string) {
+func (c *applyCommand) notifyNodes(args adminapi.HeadArgs) []notification {
+	out := make([]notification, len(c.Nodes))
+	forEachNode(c.Nodes, func(i int, addr string) {
 		reply, err := c.env.Nodes.Head(c.ctx, addr, args)
-		out[i] = told{Addr: addr, InForce: reply.InForce}
+		out[i] = notification{Addr: addr, InForce: reply.InForce}
 		if err != nil {
 			out[i].Error = err.Error()
 		}
@@ -131,31 +131,31 @@
 	return out
 }
 
-func (c *applyCommand) text(w io.Writer, out applied) {
-	how := "accepted"
+func (c *applyCommand) printText(w io.Writer, out applyResult) {
+	outcome := "accepted"
 	switch {
 	case out.Settled:
-		how = "had been accepted before"
+		outcome = "had been accepted before"
 	case out.Unchanged:
-		how = "is accepted already, nothing changed"
+		outcome = "is accepted already, nothing changed"
 	}
-	c.printf(w, "%s: tenant %s, version %d, digest %s\n", how, out.Tenant, out.Version, out.Digest)
+	c.printf(w, "%s: tenant %s, version %d, digest %s\n", outcome, out.Tenant, out.Version, out.Digest)
 	for _, t := range out.Nodes {
 		if t.Error != "" {
-			c.printf(c.env.Stderr, "peardrift: node %s was not told, it learns of it from others: %s\n", t.Addr, t.Error)
+			c.printf(c.env.Stderr, "peardrift: node %s was not notified; it will learn the version from other nodes: %s\n", t.Addr, t.Error)
 		}
 	}
 }
 
-// explain shows, beside a conflict, who applied what since the base.
-func (c *applyCommand) explain(store *apply.Store, err error) {
+// showConflict prints, for a conflict, who applied which versions since the base.
+func (c *applyCommand) showConflict(store *apply.Store, err error) {
 	var conflict *apply.Conflict
 	if !errors.As(err, &conflict) || c.opts.Output == outputJSON {
 		return
 	}
-	records, err := store.History(c.ctx, conflict.Tenant, int(min(conflict.Current-conflict.Base, maxShown)))
+	records, err := store.History(c.ctx, conflict.Tenant, int(min(conflict.Current-conflict.Base, maxConflictVersions)))
 	if err != nil {
-		return // the conflict itself is reported; its story is an extra
+		return // the conflict itself is reported; the history is optional
 	}
 	for _, r := range records {
 		c.printf(c.env.Stderr, "version %d was applied by %s at %s, digest %s\n",
