--- a/internal/adapter/zaplog/doc.go
+++ b/internal/adapter/zaplog/doc.go
@@ -1,14 +1,14 @@
-// Package zaplog sets up the node's logs on zap: one JSON object a line, at a
-// bounded rate, written off the goroutines that serve traffic.
+// Package zaplog sets up the node's logs on zap: one JSON object per line, rate
+// limited, and written by a goroutine that serves no traffic.
 //
-// Three bounds apply in turn. A message that repeats within a second is
-// sampled. All messages together are held to settings.Logs.PerSecond, of which
-// a quarter is reserved for lines of level error. And lines wait for the
-// output in a queue of bounded length. What a bound drops is counted and the
+// Three limits apply in this order. A message that repeats within a second is
+// sampled. All messages together are limited to settings.Logs.PerSecond, of
+// which a quarter is reserved for lines of level error. Lines wait for the output
+// in a queue of bounded length. Lines dropped by each limit are counted, and the
 // counts are logged within a second.
 //
-// Lines never hold bodies, the platform's keys or idempotency keys: log the
-// latter with Key, and any other text that comes from outside with Text, which
-// bounds its length. New is called once, before the node's listeners open; the
-// close function last of all. The logger may be used from any goroutine.
+// Lines never contain bodies, the platform's keys or idempotency keys: log an
+// idempotency key with Key, and any other external text with Text, which limits
+// its length. Call New once, before the node's listeners open, and the close
+// function last. The logger is safe for concurrent use.
 package zaplog
--- a/internal/adapter/zaplog/fields.go
+++ b/internal/adapter/zaplog/fields.go
@@ -12,23 +12,23 @@
 	"peardrift/internal/status"
 )
 
-// maxText bounds one text from outside in a line, in bytes.
-const maxText = 256
+// maxTextBytes limits one external text in a line.
+const maxTextBytes = 256
 
-// Request is the field of a request's identity, its trace id.
+// Request is the field of a request's identity, which is its trace ID.
 func Request(id request.ID) zap.Field { return zap.Stringer("request", id) }
 
-// Name is the field of what the caller calls a request.
+// Name is the field of the caller's name for a request.
 func Name(v string) zap.Field { return Text("name", v) }
 
-// Version is the field of the set that something was judged by.
+// Version is the field of the configuration version that was applied.
 func Version(v int64) zap.Field { return zap.Int64("version", v) }
 
-// Level is the field of an admission level, as an importance.
+// Level is the field of the admission threshold, as an importance.
 func Level(l request.Level) zap.Field { return zap.Float64("refused_below", l.AsImportance()) }
 
-// Known is the field of the admission level that an entry knew of its callee and the
-// services below it, as an importance.
+// Known is the field of the admission threshold, as an importance, that an entry
+// hop knew of its callee and the services downstream of it.
 func Known(l request.Level) zap.Field { return zap.Float64("known_below", l.AsImportance()) }
 
 // Service is the field of a service.
@@ -37,10 +37,10 @@
 // Class is the field of a request class.
 func Class(c request.Class) zap.Field { return zap.String("class", string(c)) }
 
-// Organisation is the field of the organisation that calls.
+// Organisation is the field of the calling organisation.
 func Organisation(o request.Organisation) zap.Field { return zap.String("organisation", string(o)) }
 
-// Detail is the field of what decided a refusal.
+// Detail is the field of the detailed reason for a refusal.
 func Detail(text string) zap.Field { return zap.String("detail", text) }
 
 // Tenant is the field of a tenant.
@@ -49,33 +49,33 @@
 // Target is the field of a target instance.
 func Target(id request.TargetID) zap.Field { return zap.Stringer("target", id) }
 
-// Outcome is the field of what the caller was told.
+// Outcome is the field of the outcome reported to the caller.
 func Outcome(o request.Outcome) zap.Field { return zap.Stringer("outcome", o) }
 
-// Key is the field of an idempotency key, as a hash: enough to find the lines
-// of one key, without the key, which its owner may have made of personal data.
+// Key is the field of an idempotency key, as a hash: it identifies the lines of
+// one key without exposing the key, which may contain personal data.
 func Key(key string) zap.Field {
 	return zap.String("key_hash", strconv.FormatUint(xxhash.Sum64String(key), 16))
 }
 
-// Text is a field whose value comes from outside; what is over 256 bytes is cut.
-func Text(name, value string) zap.Field { return zap.String(name, bounded(value)) }
+// Text is a field whose value comes from outside, truncated to 256 bytes.
+func Text(name, value string) zap.Field { return zap.String(name, truncate(value)) }
 
-// Failure is the fields "code" and "error" of a failure.
-func Failure(err error) zap.Field { return zap.Inline(failure{err}) }
+// Failure adds the fields "code" and "error" of an error.
+func Failure(err error) zap.Field { return zap.Inline(errorFields{err}) }
 
-type failure struct{ error }
+type errorFields struct{ error }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (f failure) MarshalLogObject(enc zapcore.ObjectEncoder) error {
+func (f errorFields) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString("code", string(status.CodeOf(f.error)))
-	enc.AddString("error", bounded(f.Error()))
+	enc.AddString("error", truncate(f.Error()))
 	return nil
 }
 
-func bounded(s string) string {
-	if len(s) <= maxText {
+func truncate(s string) string {
+	if len(s) <= maxTextBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxText], "") + "…"
+	return strings.ToValidUTF8(s[:maxTextBytes], "") + "…"
 }
--- a/internal/adapter/zaplog/queue.go
+++ b/internal/adapter/zaplog/queue.go
@@ -11,52 +11,53 @@
 )
 
 const (
-	queueLines = 512      // lines that wait for the output
-	maxLine    = 16 << 10 // bytes; so the queue holds at most 8 MiB
-	// drainTimeout bounds the wait for an output that may be stuck.
-	drainTimeout = time.Second
+	queueCapacity = 512      // lines waiting for the output
+	maxLineBytes  = 16 << 10 // bytes; so the queue holds at most 8 MiB
+	// flushTimeout limits the wait for an output that may be blocked.
+	flushTimeout = time.Second
 )
 
-// queue writes lines from one goroutine of its own. If whoever reads standard
-// error stops reading, the pipe fills and a write blocks for good; were that
-// write on a goroutine that serves traffic, all calls would hang at their next
-// line while the node looks alive. Here only lines are lost, and counted.
+// queue writes lines from a dedicated goroutine. If the reader of standard error
+// stops reading, the pipe fills and a write blocks forever; on a goroutine that
+// serves traffic, all calls would hang at their next line while the node looks
+// alive. The queue drops and counts lines instead.
 type queue struct {
 	w       io.Writer
 	items   chan item
 	done    chan struct{} // closed by Close
-	ended   chan struct{} // closed when no more is written
+	stopped chan struct{} // closed after the last write
 	onDrop  func()        // set before the first line
-	dropped atomic.Uint64 // lines lost since the start
+	dropped atomic.Uint64 // lines dropped since the start
 }
 
-// item is a line or, without one, a request to say when all before it is out.
+// item is a line or, if line is nil, a flush request: flushed is closed once all
+// items before it are written.
 type item struct {
 	line    *buffer.Buffer
 	flushed chan struct{}
 }
 
-var lines = buffer.NewPool()
+var linePool = buffer.NewPool()
 
 func newQueue(w io.Writer) *queue {
-	q := &queue{w: w, items: make(chan item, queueLines), done: make(chan struct{}), ended: make(chan struct{})}
+	q := &queue{w: w, items: make(chan item, queueCapacity), done: make(chan struct{}), stopped: make(chan struct{})}
 	go q.run()
 	return q
 }
 
 func (q *queue) run() {
-	defer close(q.ended)
+	defer close(q.stopped)
 	for {
 		select {
 		case i := <-q.items:
-			q.out(i)
+			q.process(i)
 		case <-q.done:
 			return
 		}
 	}
 }
 
-func (q *queue) out(i item) {
+func (q *queue) process(i item) {
 	if i.line == nil {
 		close(i.flushed)
 		return
@@ -69,11 +70,11 @@
 
 // Write implements zapcore.WriteSyncer; it never blocks and never fails.
 func (q *queue) Write(p []byte) (int, error) {
-	if len(p) > maxLine {
+	if len(p) > maxLineBytes {
 		q.drop()
 		return len(p), nil
 	}
-	line := lines.Get()
+	line := linePool.Get()
 	_, _ = line.Write(p)
 	select {
 	case q.items <- item{line: line}:
@@ -84,32 +85,32 @@
 	return len(p), nil
 }
 
-// Sync implements zapcore.WriteSyncer: it waits, within bounds, for the lines
-// before it to be written.
+// Sync implements zapcore.WriteSyncer: it waits up to flushTimeout for earlier
+// lines to be written.
 func (q *queue) Sync() error {
-	timeout := time.NewTimer(drainTimeout)
+	timeout := time.NewTimer(flushTimeout)
 	defer timeout.Stop()
 	flush := item{flushed: make(chan struct{})}
 	select {
 	case q.items <- flush:
 	case <-timeout.C:
-		return status.New(status.CodeInternal, "the log output takes no lines")
+		return status.New(status.CodeInternal, "the log output is blocked")
 	}
 	select {
 	case <-flush.flushed:
 		return nil
 	case <-timeout.C:
-		return status.New(status.CodeInternal, "the log output takes no lines")
+		return status.New(status.CodeInternal, "the log output is blocked")
 	}
 }
 
-// Close writes out what waits, within bounds, and ends the goroutine. Nothing
-// is written after it has returned without error. It may be called once.
+// Close writes the queued lines, within flushTimeout, and stops the goroutine.
+// Nothing is written after it returns without error. Call it only once.
 func (q *queue) Close() error {
 	err := q.Sync()
 	close(q.done)
 	if err == nil {
-		<-q.ended // the output takes lines, so this is soon
+		<-q.stopped // the output isn't blocked, so this is brief
 	}
 	return err
 }
--- a/internal/adapter/zaplog/zaplog.go
+++ b/internal/adapter/zaplog/zaplog.go
@@ -13,11 +13,12 @@
 
 const (
 	fileMode = 0o640
-	stdout   = "-" // as settings.Logs.File
+	stdout   = "-" // value of settings.Logs.File for standard output
 )
 
-// New returns a logger as the settings say, and a function that writes out
-// what still waits, within a second, and releases the output.
+// New returns a logger configured by the settings, and a function that writes
+// the queued lines, within a second, and closes the output. Errors have
+// status.CodeInvalidSettings.
 func New(s settings.Logs) (*zap.Logger, func() error, error) {
 	level, err := zapcore.ParseLevel(s.Level)
 	if err != nil {
@@ -44,17 +45,17 @@
 
 func newLogger(w io.Writer, level zapcore.Level, perSecond int) (*zap.Logger, func() error) {
 	out := newQueue(w)
-	base := zapcore.NewCore(zapcore.NewJSONEncoder(encoding()), out, level)
-	b := newBound(base, perSecond, out)
-	log := zap.New(b.sampled(perSecond), zap.ErrorOutput(out))
+	base := zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig()), out, level)
+	core := newLimitedCore(base, perSecond, out)
+	log := zap.New(core.withSampling(perSecond), zap.ErrorOutput(out))
 	return log, func() error {
-		b.stop()
+		core.stop()
 		return out.Close()
 	}
 }
 
-// encoding says how a line looks; docs/operators/logs.md describes it.
-func encoding() zapcore.EncoderConfig {
+// encoderConfig defines the format of a line; see docs/operators/logs.md.
+func encoderConfig() zapcore.EncoderConfig {
 	return zapcore.EncoderConfig{
 		TimeKey:        "time",
 		LevelKey:       "level",
--- a/internal/adapter/zaplog/zaplog_test.go
+++ b/internal/adapter/zaplog/zaplog_test.go
@@ -23,8 +23,8 @@
 	"peardrift/internal/status"
 )
 
-// records parses each line; a line that isn't a JSON object fails the test.
-func records(t *testing.T, b []byte) []map[string]any {
+// parseLines parses each line as a JSON object and fails the test if it isn't one.
+func parseLines(t *testing.T, b []byte) []map[string]any {
 	t.Helper()
 	var rs []map[string]any
 	for line := range bytes.Lines(b) {
@@ -37,7 +37,7 @@
 	return rs
 }
 
-func TestLineHasTypedFieldsAndNoKeys(t *testing.T) {
+func TestLineHasTypedFieldsAndNoSecrets(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "log")
 	log, closeLog, err := New(settings.Logs{Level: "info", File: path, PerSecond: 100})
@@ -51,7 +51,7 @@
 	is.NoErr(closeLog())
 	b, err := os.ReadFile(path)
 	is.NoErr(err)
-	rs := records(t, b)
+	rs := parseLines(t, b)
 	is.Equal(len(rs), 1)
 	r := rs[0]
 	is.Equal(r["level"], "warn")
@@ -64,8 +64,9 @@
 	is.True(!bytes.Contains(b, []byte("platform-key")) && !bytes.Contains(b, []byte("person@example")))
 }
 
-// TestPageListsFields holds the operators' page to the code, both ways.
-func TestPageListsFields(t *testing.T) {
+// TestFieldsMatchDocs checks that docs/operators/logs.md lists exactly the fields
+// that the code writes.
+func TestFieldsMatchDocs(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/operators/logs.md")
 	is.NoErr(err)
@@ -73,11 +74,11 @@
 	log, closeLog := newLogger(&out, zapcore.InfoLevel, 100)
 	log.Info("all", Request(request.ID{1}), Service("s.t"), Class("c"), Tenant("t"), Target(7),
 		Organisation("o"), Detail("d"), Name("n"), Version(1), Level(1), Known(1), Outcome(request.Failed), Key("k"), Failure(status.New(status.CodeInternal, "x")))
-	log.Info("too long", zap.String("x", strings.Repeat("x", maxLine)))
+	log.Info("too long", zap.String("x", strings.Repeat("x", maxLineBytes)))
 	is.NoErr(closeLog())
 	var documented []string
 	fields := map[string]any{}
-	for _, r := range records(t, out.Bytes()) {
+	for _, r := range parseLines(t, out.Bytes()) {
 		maps.Copy(fields, r)
 	}
 	for _, m := range regexp.MustCompile("(?m)^\\| `(\\w+)` \\|").FindAllStringSubmatch(string(page), -1) {
@@ -87,7 +88,7 @@
 	is.Equal(documented, slices.Sorted(maps.Keys(fields)))
 }
 
-func TestWrongSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, s := range []settings.Logs{
 		{Level: "all", PerSecond: 1},
 		{Level: "info", File: t.TempDir(), PerSecond: 1},
@@ -99,11 +100,10 @@
 	}
 }
 
-// Symptom: goodput falls further in an overload when more is logged. Events:
-// thousands of calls a second are refused, each with a line. Cause: logging
-// takes the processor time that calls need. The rate must hold, errors must
-// still come through, and the reader must be told what is missing.
-func TestRateHoldsUnderOverload(t *testing.T) {
+// Guards against logging taking the CPU time of calls in an overload, when
+// thousands of calls a second are refused and each logs a line. The rate limit
+// must hold, errors must get through, and drops must be reported.
+func TestRateLimitUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
@@ -123,7 +123,7 @@
 
 		var ordinary, errs int
 		dropped := map[string]float64{}
-		for _, r := range records(t, out.Bytes()) {
+		for _, r := range parseLines(t, out.Bytes()) {
 			switch {
 			case r["message"] == "log lines dropped":
 				for _, why := range []string{"sampled", "over_rate", "lost"} {
@@ -144,42 +144,41 @@
 	})
 }
 
-// stuck is an output whose reader has gone away without closing it.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output whose reader stopped reading without closing it.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Symptom: all calls hang though the process is alive. Events: the reader of
-// standard error stops reading; the pipe fills; the next line blocks. Cause:
-// lines written on the goroutines that serve calls.
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
+// Guards against calls that hang in a live process: the reader of standard error
+// stops reading, the pipe fills, and a write on a call's goroutine blocks.
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := stuck{make(chan struct{})}
+		out := blockedWriter{make(chan struct{})}
 		log, closeLog := newLogger(out, zapcore.InfoLevel, 100_000)
 		start := time.Now()
-		for i := range 3 * queueLines {
+		for i := range 3 * queueCapacity {
 			log.Info("line", zap.Int("i", i))
 		}
 		is.Equal(time.Since(start), time.Duration(0))
-		is.Equal(status.CodeOf(closeLog()), status.CodeInternal) // says so instead of waiting for good
-		is.True(time.Since(start) <= 2*drainTimeout)
+		is.Equal(status.CodeOf(closeLog()), status.CodeInternal) // fails instead of blocking forever
+		is.True(time.Since(start) <= 2*flushTimeout)
 		log.Info("after the end")
 		close(out.release)
 		synctest.Wait()
 	})
 }
 
-func TestOverlongLineIsDroppedWhole(t *testing.T) {
+func TestOverlongLineIsDropped(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	log, closeLog := newLogger(&out, zapcore.InfoLevel, 100)
-	log.Info("long", zap.String("x", strings.Repeat("x", maxLine)))
+	log.Info("long", zap.String("x", strings.Repeat("x", maxLineBytes)))
 	is.NoErr(closeLog())
-	rs := records(t, out.Bytes())
+	rs := parseLines(t, out.Bytes())
 	is.Equal(len(rs), 1)
 	is.Equal(rs[0]["lost_total"], 1.0)
 }
