--- a/internal/adapter/tallymetrics/calls.go
+++ b/internal/adapter/tallymetrics/calls.go
@@ -13,8 +13,8 @@
 	"peardrift/internal/status"
 )
 
-// maxResults bounds the pairs of outcome and code of one series group. Codes
-// come in other nodes' answers too, so their number isn't in this node's hands.
+// maxResults limits the pairs of outcome and code per hop kind, service and class.
+// Codes also come from other nodes' answers, so this node can't limit their number.
 const maxResults = 64
 
 // result is how a hop ended.
@@ -23,20 +23,20 @@
 	code    status.Code
 }
 
-// answered is the result of nearly all hops.
-var answered = result{outcome: request.Completed}
+// completedResult is the most frequent result; it has a dedicated counter.
+var completedResult = result{outcome: request.Completed}
 
-// calls holds the series of one kind of hop, service and class.
-type calls struct {
+// callSeries holds the series of one hop kind, service and class.
+type callSeries struct {
 	scope       tally.Scope
-	answered    counter
-	time, queue tally.Histogram // queue is nil but for serve hops
+	completed   counter
+	time, queue tally.Histogram // queue is nil except for serve hops
 
-	// results is replaced, never changed, under Metrics.mu.
+	// results is copied on write, under Metrics.mu.
 	results atomic.Pointer[map[result]counter]
 }
 
-// counter is a counter with the scope that it alone stands in.
+// counter is a counter with the scope that contains only this counter.
 type counter struct {
 	tally.Counter
 	scope tally.Scope
@@ -49,16 +49,16 @@
 	}
 	c := m.calls(h.Kind, pair{string(h.Service), string(h.Class)})
 	m.count(c, result{h.Outcome, h.Code})
-	c.time.RecordDuration(min(h.End.Sub(h.Start), longest))
+	c.time.RecordDuration(min(h.End.Sub(h.Start), maxDuration))
 	if h.Kind == dataplane.HopServe {
-		c.queue.RecordDuration(min(h.Queued, longest))
-		m.tenant(h.Tenant).take(h)
+		c.queue.RecordDuration(min(h.Queued, maxDuration))
+		m.tenant(h.Tenant).observe(h)
 	}
 }
 
-func (m *Metrics) count(c *calls, r result) {
-	if r == answered {
-		c.answered.Inc(1)
+func (m *Metrics) count(c *callSeries, r result) {
+	if r == completedResult {
+		c.completed.Inc(1)
 		return
 	}
 	n, ok := (*c.results.Load())[r]
@@ -68,8 +68,9 @@
 	n.Inc(1)
 }
 
-// addResult creates the counter of a result that is seen for the first time.
-func (m *Metrics) addResult(c *calls, r result) counter {
+// addResult creates the counter of a new result. Beyond maxResults, results share
+// one counter per outcome.
+func (m *Metrics) addResult(c *callSeries, r result) counter {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old := *c.results.Load()
@@ -94,34 +95,34 @@
 	return counter{scope.Counter(nameCalls), scope}
 }
 
-func newCalls(root tally.Scope, kind dataplane.HopKind, p pair) *calls {
+func newCallSeries(root tally.Scope, kind dataplane.HopKind, p pair) *callSeries {
 	scope := root.Tagged(map[string]string{
 		labelHop:     kind.String(),
 		labelService: p.service,
 		labelClass:   p.class,
 	})
-	c := &calls{
-		scope:    scope,
-		answered: newCounter(scope, answered),
-		time:     scope.Histogram(nameTime, buckets),
+	c := &callSeries{
+		scope:     scope,
+		completed: newCounter(scope, completedResult),
+		time:      scope.Histogram(nameTime, durationBuckets),
 	}
 	if kind == dataplane.HopServe {
-		c.queue = scope.Histogram(nameQueue, buckets)
+		c.queue = scope.Histogram(nameQueue, durationBuckets)
 	}
 	c.results.Store(&map[result]counter{})
 	return c
 }
 
-// close lets tally drop the series at its next collection. Traffic that still
-// has the handle goes on counting into nothing.
-func (c *calls) close() {
-	scopes := []tally.Scope{c.scope, c.answered.scope}
+// close closes the scopes, so that tally drops the series at its next collection.
+// Counts from traffic that still holds the handle are lost.
+func (c *callSeries) close() {
+	scopes := []tally.Scope{c.scope, c.completed.scope}
 	for _, n := range *c.results.Load() {
 		scopes = append(scopes, n.scope)
 	}
 	for _, s := range scopes {
 		if s, ok := s.(io.Closer); ok {
-			_ = s.Close() // only the root's can fail
+			_ = s.Close() // only the root scope's Close can fail
 		}
 	}
 }
--- a/internal/adapter/tallymetrics/metrics.go
+++ b/internal/adapter/tallymetrics/metrics.go
@@ -17,11 +17,11 @@
 
 var textFormat = expfmt.NewFormat(expfmt.TypeTextPlain)
 
-// ContentType is the media type of what WriteText writes.
+// ContentType is the media type of the output of WriteText.
 var ContentType = string(textFormat)
 
-// Metrics is the node's metrics. Its methods are safe for concurrent use, and
-// on a nil Metrics they drop what they are told.
+// Metrics holds the node's metrics. Its methods are safe for concurrent use; on a
+// nil Metrics they do nothing.
 type Metrics struct {
 	Gauges   Gauges
 	Counters Counters
@@ -35,8 +35,8 @@
 	state atomic.Pointer[state]
 }
 
-// New starts collecting. Failures to register a metric, which are mistakes in
-// the code, go to onError; the metric is then missing and nothing else.
+// New creates the metrics and starts collecting. Failures to register a metric,
+// which are programming errors, go to onError; only that metric is then missing.
 func New(s settings.Metrics, onError func(error)) *Metrics {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
@@ -56,7 +56,7 @@
 		closer:   closer,
 		registry: registry,
 	}
-	m.state.Store(&state{max: s.MaxClasses, pairs: map[pair]*group{}, tenants: map[string]*tenant{}})
+	m.state.Store(&state{maxPairs: s.MaxClasses, pairs: map[pair]*hopSeries{}, tenants: map[string]*tenantSeries{}})
 	registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
@@ -67,8 +67,8 @@
 	return m
 }
 
-// Scope is where other packages keep metrics of their own, under the node's
-// prefix. Their names must not repeat one with other labels.
+// Scope returns the scope, with the node's prefix, for metrics of other packages.
+// They must not reuse a metric name with different labels.
 func (m *Metrics) Scope() tally.Scope {
 	if m == nil {
 		return tally.NoopScope
@@ -76,25 +76,25 @@
 	return m.scope
 }
 
-// WriteText writes all metrics in the text format, ContentType.
+// WriteText writes all metrics in the Prometheus text format, ContentType.
 func (m *Metrics) WriteText(w io.Writer) error {
 	if m == nil {
 		return nil
 	}
-	families, gathered := m.registry.Gather()
+	families, gatherErr := m.registry.Gather()
 	enc := expfmt.NewEncoder(w, textFormat)
 	for _, f := range families {
 		if err := enc.Encode(f); err != nil {
 			return status.Wrap(status.CodeConnectionLost, err, "cannot write the metrics")
 		}
 	}
-	if gathered != nil {
-		return status.Wrap(status.CodeInternal, gathered, "some metrics are missing")
+	if gatherErr != nil {
+		return status.Wrap(status.CodeInternal, gatherErr, "some metrics are missing")
 	}
 	return nil
 }
 
-// Close collects once more and stops.
+// Close collects a last time and stops.
 func (m *Metrics) Close() error {
 	if m == nil {
 		return nil
--- a/internal/adapter/tallymetrics/metrics_test.go
+++ b/internal/adapter/tallymetrics/metrics_test.go
@@ -28,12 +28,13 @@
 	start    = time.Unix(1, 0)
 )
 
-func hop(kind dataplane.HopKind, s request.Service, c request.Class, took time.Duration) *dataplane.Hop {
+func newHop(kind dataplane.HopKind, s request.Service, c request.Class, took time.Duration) *dataplane.Hop {
 	return &dataplane.Hop{Kind: kind, Service: s, Class: c, Start: start, End: start.Add(took), Outcome: request.Completed}
 }
 
-// run runs f on metrics under virtual time; scrape lets one interval pass.
-func run(t *testing.T, max int, f func(is *is.I, m *Metrics, scrape func() string)) {
+// runMetrics runs f on metrics in virtual time; scrape waits one interval and
+// returns the text output.
+func runMetrics(t *testing.T, max int, f func(is *is.I, m *Metrics, scrape func() string)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := New(settings.Metrics{Interval: interval, MaxClasses: max}, func(err error) { t.Error(err) })
@@ -50,11 +51,11 @@
 }
 
 func TestScrape(t *testing.T) {
-	run(t, 10, func(is *is.I, m *Metrics, scrape func() string) {
+	runMetrics(t, 10, func(is *is.I, m *Metrics, scrape func() string) {
 		for range 3 {
-			m.Hop(hop(dataplane.HopEntry, "feed.khaosan", "read", 2*time.Millisecond))
+			m.Hop(newHop(dataplane.HopEntry, "feed.khaosan", "read", 2*time.Millisecond))
 		}
-		h := hop(dataplane.HopServe, "feed.khaosan", "read", 24*time.Hour)
+		h := newHop(dataplane.HopServe, "feed.khaosan", "read", 24*time.Hour)
 		h.Outcome, h.Code, h.Queued = request.Refused, status.CodeOverloaded, 7*time.Millisecond
 		m.Hop(h)
 		m.Gauges.Limit.Update(25)
@@ -82,22 +83,21 @@
 	})
 }
 
-// Symptom: a node's memory and its scrapes grow without end. Events: a caller
-// sends requests for ever new host names, or a node answers with ever new codes.
-// Cause: a series for each value that comes from outside.
+// Guards against unbounded cardinality: a caller keeps sending new host names, or a
+// node new codes, and a series per external value grows memory and scrapes.
 func TestSeriesAreBounded(t *testing.T) {
-	run(t, 3, func(is *is.I, m *Metrics, scrape func() string) {
+	runMetrics(t, 3, func(is *is.I, m *Metrics, scrape func() string) {
 		for i := range 1000 {
 			name := fmt.Sprint("x", i)
-			m.Hop(hop(dataplane.HopEntry, request.Service(name), "read", 0))
-			m.Hop(hop(dataplane.HopEntry, "feed.khaosan", request.Class(name), 0))
-			h := hop(dataplane.HopAttempt, "feed.khaosan", "read", 0)
+			m.Hop(newHop(dataplane.HopEntry, request.Service(name), "read", 0))
+			m.Hop(newHop(dataplane.HopEntry, "feed.khaosan", request.Class(name), 0))
+			h := newHop(dataplane.HopAttempt, "feed.khaosan", "read", 0)
 			h.Outcome, h.Code = request.Unknown, status.Code(name+"\xff")
 			m.Hop(h)
 		}
 		for _, s := range services {
 			for _, c := range classes {
-				m.Hop(hop(dataplane.HopEntry, s, c, 0))
+				m.Hop(newHop(dataplane.HopEntry, s, c, 0))
 			}
 		}
 		text := scrape()
@@ -105,42 +105,41 @@
 		for _, l := range regexp.MustCompile(`class="[^"]*",hop="[^"]*",service="[^"]*"`).FindAllString(text, -1) {
 			pairs[l] = true
 		}
-		is.Equal(len(pairs), 4) // two pairs and the others' at entries, one at attempts
+		is.Equal(len(pairs), 4) // two pairs and otherPair at entry hops, one pair at attempt hops
 		is.Equal(strings.Count(text, `hop="attempt",outcome="unknown"`), maxResults+1)
 		is.True(strings.Contains(text, `{class="other",code="none",hop="entry",outcome="completed",service="other"} 2002`))
 		is.True(strings.Contains(text, fmt.Sprintf(`{class="read",code="other",hop="attempt",outcome="unknown",service="feed.khaosan"} %d`, 1000-maxResults)))
 	})
 }
 
-// Symptom: after days of changes a node shows "other" for all new classes.
-// Events: configurations add classes and drop them; a bound on series fills up.
-// Cause: series that outlive what they count.
-func TestSeriesLeaveWithTheirClass(t *testing.T) {
-	run(t, 3, func(is *is.I, m *Metrics, scrape func() string) {
+// Guards against series of removed classes that fill up the limit: after days of
+// configuration changes, all new classes are counted as "other".
+func TestSeriesAreRemovedWithClass(t *testing.T) {
+	runMetrics(t, 3, func(is *is.I, m *Metrics, scrape func() string) {
 		for i := range 20 {
 			c := request.Class(fmt.Sprint("c", i))
 			m.Configure(services, []request.Class{c})
-			m.Hop(hop(dataplane.HopServe, "feed.khaosan", c, 0))
-			m.Hop(hop(dataplane.HopEntry, "archive.khaosan", c, 0))
+			m.Hop(newHop(dataplane.HopServe, "feed.khaosan", c, 0))
+			m.Hop(newHop(dataplane.HopEntry, "archive.khaosan", c, 0))
 		}
 		text := scrape()
 		is.True(!strings.Contains(text, `class="c18"`) && !strings.Contains(text, `class="other"`))
 		is.True(strings.Contains(text, `class="c19",code="none",hop="serve",outcome="completed",service="feed.khaosan"} 1`))
 		m.Configure(nil, nil)
 		m.Configure(services, []request.Class{"c19"})
-		m.Hop(hop(dataplane.HopServe, "feed.khaosan", "c19", 0))
+		m.Hop(newHop(dataplane.HopServe, "feed.khaosan", "c19", 0))
 		is.True(strings.Contains(scrape(), `class="c19",code="none",hop="serve",outcome="completed",service="feed.khaosan"} 1`))
 		is.True(strings.Contains(scrape(), `class="c19",code="none",hop="serve",outcome="completed",service="feed.khaosan"} 1`))
 	})
 }
 
-func TestChangesBesideTraffic(t *testing.T) {
+func TestConfigureDuringTraffic(t *testing.T) {
 	m := New(settings.Metrics{Interval: time.Millisecond, MaxClasses: 3}, func(err error) { t.Error(err) })
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Go(func() {
 			for n := range 300 {
-				h := hop(dataplane.HopKind(n%hopKinds), services[n%2], classes[i%2], 0)
+				h := newHop(dataplane.HopKind(n%hopKinds), services[n%2], classes[i%2], 0)
 				h.Code = status.Code(fmt.Sprint(n % 5))
 				m.Hop(h)
 			}
@@ -156,13 +155,13 @@
 	is.New(t).NoErr(m.Close())
 }
 
-// TestPageListsMetrics holds the operators' page to the code, both ways; but for
-// what other packages keep under Scope.
-func TestPageListsMetrics(t *testing.T) {
-	run(t, 3, func(is *is.I, m *Metrics, scrape func() string) {
+// TestMetricsMatchDocs checks that docs/operators/metrics.md lists exactly the
+// metrics of the code, except those that other packages keep under Scope.
+func TestMetricsMatchDocs(t *testing.T) {
+	runMetrics(t, 3, func(is *is.I, m *Metrics, scrape func() string) {
 		page, err := os.ReadFile("../../../docs/operators/metrics.md")
 		is.NoErr(err)
-		m.Hop(hop(dataplane.HopServe, "feed.khaosan", "read", 0))
+		m.Hop(newHop(dataplane.HopServe, "feed.khaosan", "read", 0))
 		var names, documented []string
 		for _, f := range regexp.MustCompile(`(?m)^# TYPE (peardrift_\w+) (\w+)$`).FindAllStringSubmatch(scrape(), -1) {
 			names = append(names, f[1]+" "+f[2])
@@ -182,14 +181,15 @@
 	is := is.New(t)
 	var m *Metrics
 	m.Configure(services, classes)
-	m.Hop(hop(dataplane.HopEntry, "a", "b", 0))
+	m.Hop(newHop(dataplane.HopEntry, "a", "b", 0))
 	m.Scope().Counter("x").Inc(1)
 	is.NoErr(m.WriteText(io.Discard))
 	is.NoErr(m.Close())
 }
 
-// full returns metrics with all the series that the default settings allow.
-func full(b *testing.B) *Metrics {
+// newFullMetrics returns metrics with the maximum number of series under the
+// default settings.
+func newFullMetrics(b *testing.B) *Metrics {
 	s := settings.Default().Metrics
 	s.Interval = time.Hour
 	m := New(s, func(err error) { b.Error(err) })
@@ -200,24 +200,24 @@
 	m.Configure(services, cs)
 	for _, c := range cs {
 		for k := range hopKinds {
-			m.Hop(hop(dataplane.HopKind(k), "feed.khaosan", c, 3*time.Millisecond))
+			m.Hop(newHop(dataplane.HopKind(k), "feed.khaosan", c, 3*time.Millisecond))
 		}
 	}
 	return m
 }
 
 func BenchmarkHop(b *testing.B) {
-	m := full(b)
+	m := newFullMetrics(b)
 	defer m.Close()
-	refused := hop(dataplane.HopServe, "feed.khaosan", "class-7", time.Millisecond)
+	refused := newHop(dataplane.HopServe, "feed.khaosan", "class-7", time.Millisecond)
 	refused.Outcome, refused.Code = request.Refused, status.CodeOverloaded
 	for _, bb := range []struct {
 		name string
 		hop  *dataplane.Hop
 	}{
-		{"completed", hop(dataplane.HopServe, "feed.khaosan", "class-7", time.Millisecond)},
+		{"completed", newHop(dataplane.HopServe, "feed.khaosan", "class-7", time.Millisecond)},
 		{"refused", refused},
-		{"other", hop(dataplane.HopEntry, "x", "y", time.Millisecond)},
+		{"other", newHop(dataplane.HopEntry, "x", "y", time.Millisecond)},
 	} {
 		b.Run(bb.name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -236,12 +236,13 @@
 	})
 }
 
-// BenchmarkFull is the cost of creating all series and of collecting them once.
-func BenchmarkFull(b *testing.B) {
+// BenchmarkMaxSeries measures creating, collecting and scraping the maximum number
+// of series.
+func BenchmarkMaxSeries(b *testing.B) {
 	b.Run("create", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m := full(b)
+			m := newFullMetrics(b)
 			b.StopTimer()
 			_ = m.Close()
 			b.StartTimer()
@@ -251,13 +252,13 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
-			m := full(b)
+			m := newFullMetrics(b)
 			b.StartTimer()
 			_ = m.Close()
 		}
 	})
 	b.Run("scrape", func(b *testing.B) {
-		m := full(b)
+		m := newFullMetrics(b)
 		defer m.Close()
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/adapter/tallymetrics/names.go
+++ b/internal/adapter/tallymetrics/names.go
@@ -8,7 +8,7 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// namePrefix and an underscore stand before each name below.
+// namePrefix, followed by an underscore, precedes each name below.
 const namePrefix = "peardrift"
 
 // Names of the metrics of calls.
@@ -35,15 +35,15 @@
 	labelTenant  = "tenant"
 )
 
-// other is the label value that stands for all that have none of their own.
+// other is the label value shared by all values without a series of their own.
 const other = "other"
 
-// codeNone is the code of a call that was answered by a target.
+// codeNone is the code of a call that a target answered.
 const codeNone = "none"
 
-// buckets spans what a hop takes, from a fast local call to the longest
-// deadline, with a bound at the added latency that the product aims at.
-var buckets = tally.DurationBuckets{
+// durationBuckets range from a fast local call to the longest deadline. The bucket
+// bound of 1.6 ms is the objective for added latency.
+var durationBuckets = tally.DurationBuckets{
 	100 * time.Microsecond, 250 * time.Microsecond, 500 * time.Microsecond,
 	time.Millisecond, 1600 * time.Microsecond, 2500 * time.Microsecond, 5 * time.Millisecond,
 	10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
@@ -51,18 +51,18 @@
 	time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second, 30 * time.Second, time.Minute,
 }
 
-// longest is the last bucket. Longer times are recorded as this one: tally
-// reports a sample above all buckets as one of 292 years, which would ruin _sum.
-var longest = buckets[len(buckets)-1]
+// maxDuration is the last bucket. Longer durations are recorded as this value:
+// tally reports a sample above all buckets as 292 years, which would corrupt _sum.
+var maxDuration = durationBuckets[len(durationBuckets)-1]
 
-// vecs are the families whose series are removed again.
+// vecs holds the metric families whose series can be removed.
 type vecs struct {
 	calls       *prom.CounterVec
 	time, queue *prom.HistogramVec
 	tenants     []*prom.CounterVec
 }
 
-// register names the families of calls to the reporter, with help texts.
+// register registers the families with the reporter, with help texts.
 func (v *vecs) register(r prometheus.Reporter) {
 	v.calls = must(r.RegisterCounter(namePrefix+"_"+nameCalls,
 		[]string{labelHop, labelService, labelClass, labelOutcome, labelCode},
@@ -82,12 +82,12 @@
 	return must(r.RegisterTimer(namePrefix+"_"+name, []string{labelHop, labelService, labelClass}, help,
 		&prometheus.RegisterTimerOptions{
 			TimerType:        prometheus.HistogramTimerType,
-			HistogramBuckets: buckets.AsValues(),
+			HistogramBuckets: durationBuckets.AsValues(),
 		})).Histogram
 }
 
-// must returns v: the names are constants of ours on a new registry, and so
-// can't clash with any before them.
+// must returns v and panics on err. Registration can't fail: the names are
+// constants of this package and the registry is new.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -95,16 +95,16 @@
 	return v
 }
 
-// remove drops the series of one pair.
-func (v *vecs) remove(p pair) {
+// deletePair deletes the series of one pair.
+func (v *vecs) deletePair(p pair) {
 	labels := prom.Labels{labelService: p.service, labelClass: p.class}
 	v.calls.DeletePartialMatch(labels)
 	v.time.DeletePartialMatch(labels)
 	v.queue.DeletePartialMatch(labels)
 }
 
-// removeTenant drops the series of one tenant.
-func (v *vecs) removeTenant(name string) {
+// deleteTenant deletes the series of one tenant.
+func (v *vecs) deleteTenant(name string) {
 	for _, c := range v.tenants {
 		c.DeleteLabelValues(name)
 	}
--- a/internal/adapter/tallymetrics/node.go
+++ b/internal/adapter/tallymetrics/node.go
@@ -2,21 +2,21 @@
 
 import "github.com/uber-go/tally/v4"
 
-// Gauges are the node's own gauges. The control goroutine sets them; each has a
-// constant cost and no labels. Their zero value may not be used.
+// Gauges are the node's gauges, set by the control goroutine. They have a constant
+// cost and no labels. The zero value is not usable.
 type Gauges struct {
-	InFlight      tally.Gauge // calls in flight in the node, all faces
-	Running       tally.Gauge // requests that run on the target
-	Queued        tally.Gauge // requests that wait for the target
-	Limit         tally.Gauge // requests that may run on the target at once
-	Level         tally.Gauge // admission level, 0 admits all
-	Backlog       tally.Gauge // seconds that the queue takes at the present limit
+	InFlight      tally.Gauge // calls in flight in the node, on all listeners
+	Running       tally.Gauge // requests running on the target
+	Queued        tally.Gauge // requests queued for the target
+	Limit         tally.Gauge // concurrency limit of the target
+	Level         tally.Gauge // admission threshold; 0 admits all
+	Backlog       tally.Gauge // seconds to drain the queue at the current limit
 	Demand        tally.Gauge // recent demand in slots
 	Suspects      tally.Gauge // fingerprints of requests suspected of crashing targets
-	Members       tally.Gauge // targets known, all services
-	Alive         tally.Gauge // targets known that take work
+	Members       tally.Gauge // known targets of all services
+	Alive         tally.Gauge // known targets that accept requests
 	ConfigVersion tally.Gauge // version of the configuration in force
-	Ready         tally.Gauge // 1 if the node takes calls
+	Ready         tally.Gauge // 1 if the node accepts calls
 	Draining      tally.Gauge // 1 if the target is leaving
 	TargetUp      tally.Gauge // 1 if the target answers its health check
 }
@@ -40,12 +40,12 @@
 	}
 }
 
-// Counters are the node's own counters, without labels.
+// Counters are the node's counters, without labels.
 type Counters struct {
-	ControlBytes  tally.Counter // bytes sent and received for control, headers included
-	ConfigChanges tally.Counter // configuration versions that came in force
-	StoreRewinds  tally.Counter // returns of the platform's store from an older copy
-	TargetCrashes tally.Counter // times that the own target went away while it ran requests
+	ControlBytes  tally.Counter // bytes of control traffic sent and received, headers included
+	ConfigChanges tally.Counter // configuration versions that took effect
+	StoreRewinds  tally.Counter // times the platform's store was restored from an older copy
+	TargetCrashes tally.Counter // times this node's target went down with requests in flight
 }
 
 func newCounters(s tally.Scope) Counters {
--- a/internal/adapter/tallymetrics/pairs.go
+++ b/internal/adapter/tallymetrics/pairs.go
@@ -8,43 +8,43 @@
 	"peardrift/internal/dataplane"
 )
 
-// pair is a service and the class of a request that it serves.
+// pair is a service and a request class.
 type pair struct{ service, class string }
 
-// otherPair has the series of all pairs that have none of their own.
+// otherPair is the pair that all pairs without their own series share.
 var otherPair = pair{other, other}
 
-// hopKinds is how many kinds of hop there are.
+// hopKinds is the number of hop kinds.
 const hopKinds = int(dataplane.HopServe) + 1
 
-// group holds the series of one pair, by kind of hop; nil until first used.
-type group [hopKinds]atomic.Pointer[calls]
+// hopSeries holds the series of one pair by hop kind; nil until first used.
+type hopSeries [hopKinds]atomic.Pointer[callSeries]
 
-// state is what traffic looks series up in. It is replaced, never changed.
+// state is the lookup table of the series. It is immutable and replaced as a whole.
 type state struct {
-	services, classes map[string]bool // that the configuration names
-	pairs             map[pair]*group
-	max               int             // pairs with series of their own
-	owners            map[string]bool // tenants of the services
-	tenants           map[string]*tenant
+	services, classes map[string]bool // configured names
+	pairs             map[pair]*hopSeries
+	maxPairs          int             // limit of pairs with their own series
+	configuredTenants map[string]bool // tenants of the services
+	tenants           map[string]*tenantSeries
 }
 
-// place returns the pair whose series p is counted in.
-func (s *state) place(p pair) pair {
+// seriesPair returns the pair under whose labels p is counted.
+func (s *state) seriesPair(p pair) pair {
 	if _, ok := s.pairs[p]; ok {
 		return p
 	}
-	if s.known(p) && len(s.pairs) < s.max {
+	if s.configured(p) && len(s.pairs) < s.maxPairs {
 		return p
 	}
 	return otherPair
 }
 
-func (s *state) known(p pair) bool { return s.services[p.service] && s.classes[p.class] }
+func (s *state) configured(p pair) bool { return s.services[p.service] && s.classes[p.class] }
 
-// Configure tells which services and classes there are. Pairs of others, and
-// tenants without a service, have no series of their own, and lose those that they had. Called at each change of
-// the configuration, before traffic sees it.
+// Configure sets the configured services and classes. Pairs of other services or
+// classes, and tenants without a service, lose their own series. Call it at each
+// configuration change, before traffic uses the new configuration.
 func (m *Metrics) Configure(services []request.Service, classes []request.Class) {
 	if m == nil {
 		return
@@ -52,21 +52,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := *m.state.Load()
-	s.services, s.classes = set(services), set(classes)
-	s.owners = ownersOf(services)
-	m.retireTenants(&s)
+	s.services, s.classes = stringSet(services), stringSet(classes)
+	s.configuredTenants = tenantsOf(services)
+	m.removeTenants(&s)
 	s.pairs = maps.Clone(s.pairs)
 	for p, g := range s.pairs {
-		if p == otherPair || s.known(p) {
+		if p == otherPair || s.configured(p) {
 			continue
 		}
 		delete(s.pairs, p)
-		m.retire(p, g)
+		m.removePair(p, g)
 	}
 	m.state.Store(&s)
 }
 
-func set[S ~string](names []S) map[string]bool {
+func stringSet[S ~string](names []S) map[string]bool {
 	s := make(map[string]bool, len(names))
 	for _, n := range names {
 		s[string(n)] = true
@@ -74,35 +74,35 @@
 	return s
 }
 
-func (m *Metrics) retire(p pair, g *group) {
+func (m *Metrics) removePair(p pair, g *hopSeries) {
 	for i := range g {
 		if c := g[i].Load(); c != nil {
 			c.close()
 		}
 	}
-	m.vecs.remove(p)
+	m.vecs.deletePair(p)
 }
 
-// calls returns the series of a hop, creating them at their first use.
-func (m *Metrics) calls(kind dataplane.HopKind, p pair) *calls {
+// calls returns the series of a hop and creates them at first use.
+func (m *Metrics) calls(kind dataplane.HopKind, p pair) *callSeries {
 	s := m.state.Load()
-	if g, ok := s.pairs[s.place(p)]; ok {
+	if g, ok := s.pairs[s.seriesPair(p)]; ok {
 		if c := g[kind].Load(); c != nil {
 			return c
 		}
 	}
-	return m.add(kind, p)
+	return m.addCalls(kind, p)
 }
 
-// add creates the series of a hop, or finds those that stand for it.
-func (m *Metrics) add(kind dataplane.HopKind, p pair) *calls {
+// addCalls creates the series of a hop, or returns the existing or shared ones.
+func (m *Metrics) addCalls(kind dataplane.HopKind, p pair) *callSeries {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := *m.state.Load()
-	p = s.place(p)
+	p = s.seriesPair(p)
 	g, ok := s.pairs[p]
 	if !ok {
-		g = new(group)
+		g = new(hopSeries)
 		s.pairs = maps.Clone(s.pairs)
 		s.pairs[p] = g
 		m.state.Store(&s)
@@ -110,7 +110,7 @@
 	if c := g[kind].Load(); c != nil {
 		return c
 	}
-	c := newCalls(m.scope, kind, p)
+	c := newCallSeries(m.scope, kind, p)
 	g[kind].Store(c)
 	return c
 }
--- a/internal/adapter/tallymetrics/tenants.go
+++ b/internal/adapter/tallymetrics/tenants.go
@@ -12,96 +12,96 @@
 	"peardrift/internal/dataplane"
 )
 
-// maxTenants bounds the tenants that have series of their own at one node.
+// maxTenants limits the tenants with their own series on one node.
 const maxTenants = 64
 
-// tenant holds the series of one tenant's requests at the own target, by which
-// an operator finds who asks for more than the others.
-type tenant struct {
-	scope tally.Scope
-	ran   tally.Counter // requests that the gate let run
-	kept  tally.Counter // requests that were refused
-	busy  tally.Counter // milliseconds for which requests ran
+// tenantSeries holds the series of one tenant's requests at this node's target.
+// Operators use them to find the tenant that causes the most load.
+type tenantSeries struct {
+	scope      tally.Scope
+	runs       tally.Counter // requests that were admitted
+	refusals   tally.Counter // requests that were refused
+	busyMillis tally.Counter // total run time of requests in milliseconds
 }
 
-func newTenant(root tally.Scope, name string) *tenant {
+func newTenantSeries(root tally.Scope, name string) *tenantSeries {
 	scope := root.Tagged(map[string]string{labelTenant: name})
-	return &tenant{
-		scope: scope,
-		ran:   scope.Counter(nameTenantRuns),
-		kept:  scope.Counter(nameTenantRefusals),
-		busy:  scope.Counter(nameTenantBusy),
+	return &tenantSeries{
+		scope:      scope,
+		runs:       scope.Counter(nameTenantRuns),
+		refusals:   scope.Counter(nameTenantRefusals),
+		busyMillis: scope.Counter(nameTenantBusy),
 	}
 }
 
-// take counts a serve hop.
-func (t *tenant) take(h *dataplane.Hop) {
+// observe records a serve hop.
+func (t *tenantSeries) observe(h *dataplane.Hop) {
 	if h.Outcome == request.Refused {
-		t.kept.Inc(1)
+		t.refusals.Inc(1)
 		return
 	}
-	t.ran.Inc(1)
-	t.busy.Inc(int64((h.End.Sub(h.Start) - h.Queued) / time.Millisecond))
+	t.runs.Inc(1)
+	t.busyMillis.Inc(int64((h.End.Sub(h.Start) - h.Queued) / time.Millisecond))
 }
 
-// owner returns the tenant whose series a tenant is counted in. Tenants that the
-// configuration doesn't name, and those beyond the bound, share one.
-func (s *state) owner(name request.Tenant) string {
+// seriesTenant returns the tenant label under which a tenant is counted. Tenants
+// that are not configured, and those beyond maxTenants, share one.
+func (s *state) seriesTenant(name request.Tenant) string {
 	if _, ok := s.tenants[string(name)]; ok {
 		return string(name)
 	}
-	if s.owners[string(name)] && len(s.tenants) < maxTenants {
+	if s.configuredTenants[string(name)] && len(s.tenants) < maxTenants {
 		return string(name)
 	}
 	return other
 }
 
-// tenant returns a tenant's series, creating them at their first use.
-func (m *Metrics) tenant(name request.Tenant) *tenant {
+// tenant returns a tenant's series and creates them at first use.
+func (m *Metrics) tenant(name request.Tenant) *tenantSeries {
 	s := m.state.Load()
-	if t, ok := s.tenants[s.owner(name)]; ok {
+	if t, ok := s.tenants[s.seriesTenant(name)]; ok {
 		return t
 	}
 	return m.addTenant(name)
 }
 
-// addTenant creates a tenant's series, or finds those that stand for it.
-func (m *Metrics) addTenant(name request.Tenant) *tenant {
+// addTenant creates a tenant's series, or returns the existing or shared ones.
+func (m *Metrics) addTenant(name request.Tenant) *tenantSeries {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := *m.state.Load()
-	key := s.owner(name)
+	key := s.seriesTenant(name)
 	if t, ok := s.tenants[key]; ok {
 		return t
 	}
-	t := newTenant(m.scope, key)
+	t := newTenantSeries(m.scope, key)
 	s.tenants = maps.Clone(s.tenants)
 	s.tenants[key] = t
 	m.state.Store(&s)
 	return t
 }
 
-// ownersOf returns the tenants of services, whose names end with them.
-func ownersOf(services []request.Service) map[string]bool {
-	owners := make(map[string]bool)
+// tenantsOf returns the tenants of services: the last part of a service's name.
+func tenantsOf(services []request.Service) map[string]bool {
+	tenants := make(map[string]bool)
 	for _, s := range services {
 		name := string(s)
-		owners[name[strings.LastIndexByte(name, '.')+1:]] = true
+		tenants[name[strings.LastIndexByte(name, '.')+1:]] = true
 	}
-	return owners
+	return tenants
 }
 
-// retireTenants ends the series of tenants that are no longer in s.
-func (m *Metrics) retireTenants(s *state) {
+// removeTenants removes the series of tenants that are no longer configured in s.
+func (m *Metrics) removeTenants(s *state) {
 	s.tenants = maps.Clone(s.tenants)
 	for name, t := range s.tenants {
-		if name == other || s.owners[name] {
+		if name == other || s.configuredTenants[name] {
 			continue
 		}
 		delete(s.tenants, name)
 		if c, ok := t.scope.(io.Closer); ok {
-			_ = c.Close() // only the root's can fail
+			_ = c.Close() // only the root scope's Close can fail
 		}
-		m.vecs.removeTenant(name)
+		m.vecs.deleteTenant(name)
 	}
 }
--- a/internal/adapter/tallymetrics/tenants_test.go
+++ b/internal/adapter/tallymetrics/tenants_test.go
@@ -13,30 +13,29 @@
 	"peardrift/internal/status"
 )
 
-func serveHop(tenant request.Tenant, took time.Duration) *dataplane.Hop {
-	h := hop(dataplane.HopServe, "feed.khaosan", "read", took)
+func newServeHop(tenant request.Tenant, took time.Duration) *dataplane.Hop {
+	h := newHop(dataplane.HopServe, "feed.khaosan", "read", took)
 	h.Tenant = tenant
 	return h
 }
 
-// Symptom: in an overload an operator can't tell which tenant takes the slots.
-// Events: one tenant asks for far more than the others. Cause: calls were counted
-// by service and class only, and those are the callee's.
-func TestGreedyTenantShows(t *testing.T) {
-	run(t, 10, func(is *is.I, m *Metrics, scrape func() string) {
+// Guards against an overload in which the tenant that takes the slots can't be
+// identified: service and class labels are those of the callee, not the caller.
+func TestTenantMetricsIdentifyHeavyTenant(t *testing.T) {
+	runMetrics(t, 10, func(is *is.I, m *Metrics, scrape func() string) {
 		m.Configure([]request.Service{"feed.khaosan", "claimtrack.kalahari"}, classes)
 		for range 50 {
-			m.Hop(serveHop("khaosan", 30*time.Millisecond))
-			refused := serveHop("khaosan", time.Millisecond)
+			m.Hop(newServeHop("khaosan", 30*time.Millisecond))
+			refused := newServeHop("khaosan", time.Millisecond)
 			refused.Outcome, refused.Code = request.Refused, status.CodeOverShare
 			m.Hop(refused)
 		}
-		waited := serveHop("kalahari", 30*time.Millisecond)
+		waited := newServeHop("kalahari", 30*time.Millisecond)
 		waited.Queued = 10 * time.Millisecond
 		m.Hop(waited)
-		attempt := hop(dataplane.HopAttempt, "feed.khaosan", "read", time.Second)
+		attempt := newHop(dataplane.HopAttempt, "feed.khaosan", "read", time.Second)
 		attempt.Tenant = "kalahari"
-		m.Hop(attempt) // counted where it is served
+		m.Hop(attempt) // attempts are counted at the serving node
 		text := scrape()
 		for _, want := range []string{
 			`peardrift_tenant_runs_total{tenant="khaosan"} 50`,
@@ -52,22 +51,23 @@
 	})
 }
 
-// Symptom, events and cause as of TestSeriesAreBounded, for tenants.
-func TestSeriesOfTenantsAreBoundedAndLeave(t *testing.T) {
-	run(t, 10, func(is *is.I, m *Metrics, scrape func() string) {
+// Guards tenant labels as TestSeriesAreBounded and TestSeriesAreRemovedWithClass
+// guard services and classes.
+func TestTenantSeriesAreBoundedAndRemoved(t *testing.T) {
+	runMetrics(t, 10, func(is *is.I, m *Metrics, scrape func() string) {
 		var many []request.Service
 		for i := range 2 * maxTenants {
 			many = append(many, request.Service(fmt.Sprint("feed.t", i)))
 		}
 		m.Configure(many, classes)
 		for i := range 2 * maxTenants {
-			m.Hop(serveHop(request.Tenant(fmt.Sprint("t", i)), 0))
-			m.Hop(serveHop(request.Tenant(fmt.Sprint("unknown", i)), 0))
+			m.Hop(newServeHop(request.Tenant(fmt.Sprint("t", i)), 0))
+			m.Hop(newServeHop(request.Tenant(fmt.Sprint("unknown", i)), 0))
 		}
 		is.Equal(strings.Count(scrape(), "peardrift_tenant_runs_total{"), maxTenants)
 		is.True(!strings.Contains(scrape(), "unknown"))
 		m.Configure([]request.Service{"feed.late"}, classes)
-		m.Hop(serveHop("late", 0))
+		m.Hop(newServeHop("late", 0))
 		text := scrape()
 		is.True(strings.Contains(text, `peardrift_tenant_runs_total{tenant="late"} 1`))
 		is.True(!strings.Contains(text, `{tenant="t0"}`))
