--- a/internal/adapter/oteltrace/export.go
+++ b/internal/adapter/oteltrace/export.go
@@ -18,12 +18,12 @@
 
 const (
 	fileMode = 0o640
-	// uploadTimeout bounds one upload to a collector, retries included.
+	// uploadTimeout limits one upload to a collector, retries included.
 	uploadTimeout = 10 * time.Second
-	firstRetry    = 500 * time.Millisecond
+	retryInterval = 500 * time.Millisecond
 )
 
-// destination is where spans go.
+// destination is an exporter and the output that it writes to.
 type destination struct {
 	exporter sdk.SpanExporter
 	close    func() error // may be nil
@@ -37,7 +37,7 @@
 			otlptracehttp.WithTimeout(uploadTimeout),
 			otlptracehttp.WithRetry(otlptracehttp.RetryConfig{
 				Enabled:         true,
-				InitialInterval: firstRetry,
+				InitialInterval: retryInterval,
 				MaxInterval:     uploadTimeout,
 				MaxElapsedTime:  uploadTimeout,
 			}),
@@ -62,8 +62,8 @@
 	return ds, nil
 }
 
-// resourceOf describes the node to whoever reads its spans.
-func resourceOf(n settings.Node) *resource.Resource {
+// newResource returns the resource attributes that identify the node in its spans.
+func newResource(n settings.Node) *resource.Resource {
 	return resource.NewSchemaless(
 		semconv.ServiceName("peardriftd"),
 		semconv.ServiceInstanceID(n.Name),
@@ -73,17 +73,17 @@
 	)
 }
 
-// counted counts what an exporter does and keeps its errors from the library's
-// global handler, which would write them to standard error past the log's
-// bounds.
-type counted struct {
+// countingExporter counts exported and failed spans and passes errors to onError.
+// It hides them from the library's global handler, which writes to standard error
+// and bypasses the log's limits.
+type countingExporter struct {
 	sdk.SpanExporter
 	exported, failed tally.Counter
 	onError          func(error)
 }
 
-func newCounted(e sdk.SpanExporter, scope tally.Scope, onError func(error)) sdk.SpanExporter {
-	return &counted{
+func newCountingExporter(e sdk.SpanExporter, scope tally.Scope, onError func(error)) sdk.SpanExporter {
+	return &countingExporter{
 		SpanExporter: e,
 		exported:     scope.Counter("spans_exported_total"),
 		failed:       scope.Counter("spans_failed_total"),
@@ -92,7 +92,7 @@
 }
 
 // ExportSpans implements sdk.SpanExporter.
-func (c *counted) ExportSpans(ctx context.Context, spans []sdk.ReadOnlySpan) error {
+func (c *countingExporter) ExportSpans(ctx context.Context, spans []sdk.ReadOnlySpan) error {
 	if err := c.SpanExporter.ExportSpans(ctx, spans); err != nil {
 		c.failed.Inc(int64(len(spans)))
 		c.onError(status.Wrap(status.CodeConnectionLost, err, "cannot export %d spans", len(spans)))
--- a/internal/adapter/oteltrace/tracer.go
+++ b/internal/adapter/oteltrace/tracer.go
@@ -15,30 +15,30 @@
 	"peardrift/internal/status"
 )
 
-// instrumentation names this package as the origin of the spans.
-const instrumentation = "peardrift/internal/adapter/oteltrace"
+// instrumentationName identifies this package as the source of the spans.
+const instrumentationName = "peardrift/internal/adapter/oteltrace"
 
 const (
-	// exportEvery is the time after which a batch that isn't full is exported.
-	exportEvery = time.Second
-	// maxBatch bounds the spans of one export.
-	maxBatch = 512
+	// batchTimeout is the time after which an incomplete batch is exported.
+	batchTimeout = time.Second
+	// maxBatchSpans limits the spans of one export.
+	maxBatchSpans = 512
 )
 
 // Tracer records hops as spans. It is safe for concurrent use.
 type Tracer struct {
-	provider *sdk.TracerProvider
-	tracer   trace.Tracer
-	sampler  sdk.Sampler
-	keep     *rate.Limiter
-	recorded tally.Counter
-	close    []func() error // of destinations, after the provider's end
+	provider     *sdk.TracerProvider
+	tracer       trace.Tracer
+	sampler      sdk.Sampler
+	errorLimiter *rate.Limiter
+	recorded     tally.Counter
+	closers      []func() error // close the destinations after the provider's shutdown
 }
 
-// New returns a tracer as the settings say, nil if they name no destination.
-// Failed exports go to onError, on a goroutine that isn't traffic's; scope gets
-// counters of spans recorded, exported and failed, the rest of the recorded
-// were dropped.
+// New returns a tracer configured by the settings, nil if they name no
+// destination. Failed exports go to onError, on a goroutine that serves no
+// traffic. scope gets counters of spans recorded, exported and failed; recorded
+// spans that are neither exported nor failed were dropped.
 func New(s settings.Traces, node settings.Node, scope tally.Scope, onError func(error)) (*Tracer, error) {
 	dests, err := destinations(s)
 	if err != nil || len(dests) == 0 {
@@ -46,33 +46,33 @@
 	}
 	scope = scope.SubScope("traces")
 	opts := []sdk.TracerProviderOption{
-		sdk.WithSampler(sdk.AlwaysSample()), // Hop has decided
-		sdk.WithIDGenerator(given{}),
-		sdk.WithResource(resourceOf(node)),
+		sdk.WithSampler(sdk.AlwaysSample()), // Hop makes the sampling decision
+		sdk.WithIDGenerator(fixedIDs{}),
+		sdk.WithResource(newResource(node)),
 	}
 	t := &Tracer{
-		sampler:  sdk.TraceIDRatioBased(s.SampleRatio),
-		keep:     rate.NewLimiter(rate.Limit(s.KeepPerSecond), s.KeepPerSecond),
-		recorded: scope.Counter("spans_recorded_total"),
+		sampler:      sdk.TraceIDRatioBased(s.SampleRatio),
+		errorLimiter: rate.NewLimiter(rate.Limit(s.KeepPerSecond), s.KeepPerSecond),
+		recorded:     scope.Counter("spans_recorded_total"),
 	}
 	for _, d := range dests {
-		opts = append(opts, sdk.WithBatcher(newCounted(d.exporter, scope, onError),
+		opts = append(opts, sdk.WithBatcher(newCountingExporter(d.exporter, scope, onError),
 			sdk.WithMaxQueueSize(s.QueueSpans),
-			sdk.WithMaxExportBatchSize(min(maxBatch, s.QueueSpans)),
-			sdk.WithBatchTimeout(exportEvery),
+			sdk.WithMaxExportBatchSize(min(maxBatchSpans, s.QueueSpans)),
+			sdk.WithBatchTimeout(batchTimeout),
 			sdk.WithExportTimeout(uploadTimeout),
 		))
 		if d.close != nil {
-			t.close = append(t.close, d.close)
+			t.closers = append(t.closers, d.close)
 		}
 	}
 	t.provider = sdk.NewTracerProvider(opts...)
-	t.tracer = t.provider.Tracer(instrumentation)
+	t.tracer = t.provider.Tracer(instrumentationName)
 	return t, nil
 }
 
-// Sampled reports whether the request's hops are recorded, for the flag that
-// traceparent passes on.
+// Sampled reports whether the request's hops are recorded. It provides the sampled
+// flag of traceparent.
 func (t *Tracer) Sampled(id request.ID) bool {
 	if t == nil {
 		return false
@@ -86,27 +86,27 @@
 
 // Hop implements dataplane.Observer.
 func (t *Tracer) Hop(h *dataplane.Hop) {
-	if t == nil || !t.wants(h) {
+	if t == nil || !t.shouldRecord(h) {
 		return
 	}
 	t.recorded.Inc(1)
 	t.record(h)
 }
 
-func (t *Tracer) wants(h *dataplane.Hop) bool {
+func (t *Tracer) shouldRecord(h *dataplane.Hop) bool {
 	if t.Sampled(h.ID) {
 		return true
 	}
-	return h.Outcome != request.Completed && t.keep.AllowN(h.End, 1)
+	return h.Outcome != request.Completed && t.errorLimiter.AllowN(h.End, 1)
 }
 
-// Close exports what waits, until ctx ends, and releases the destinations.
+// Close exports the queued spans until ctx ends, and closes the destinations.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
 	}
 	err := t.provider.Shutdown(ctx)
-	for _, c := range t.close {
+	for _, c := range t.closers {
 		if e := c(); err == nil {
 			err = e
 		}
--- a/internal/adapter/oteltrace/tracer_test.go
+++ b/internal/adapter/oteltrace/tracer_test.go
@@ -32,8 +32,8 @@
 	start = time.Unix(1_000_000, 0)
 )
 
-// line is what a reader of the file needs of a span.
-type line struct {
+// spanLine is a span as written to the file.
+type spanLine struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
@@ -46,7 +46,7 @@
 	Status struct{ Code, Description string }
 }
 
-func (l line) attr(key string) any {
+func (l spanLine) attr(key string) any {
 	for _, a := range l.Attributes {
 		if a.Key == key {
 			return a.Value.Value
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// record records hops under the settings and returns the file's lines.
-func record(t *testing.T, s settings.Traces, hops ...*dataplane.Hop) []line {
+// recordHops records hops with the given settings and returns the file's lines.
+func recordHops(t *testing.T, s settings.Traces, hops ...*dataplane.Hop) []spanLine {
 	t.Helper()
 	is := is.New(t)
 	s.File = filepath.Join(t.TempDir(), "spans")
@@ -69,29 +69,29 @@
 	is.NoErr(tr.Close(t.Context()))
 	b, err := os.ReadFile(s.File)
 	is.NoErr(err)
-	var lines []line
+	var lines []spanLine
 	for sc := bufio.NewScanner(bytes.NewReader(b)); sc.Scan(); {
-		var l line
+		var l spanLine
 		is.NoErr(json.Unmarshal(sc.Bytes(), &l))
 		lines = append(lines, l)
 	}
 	return lines
 }
 
-func hopOf(kind dataplane.HopKind, id byte, o request.Outcome) *dataplane.Hop {
+func newHop(kind dataplane.HopKind, id byte, o request.Outcome) *dataplane.Hop {
 	return &dataplane.Hop{
 		Kind: kind, ID: request.ID{8: id}, Span: dataplane.SpanID{7: 1}, Start: start, End: start.Add(time.Millisecond),
 		Service: "feed.khaosan", Class: "read", Tenant: "khaosan", Outcome: o,
 	}
 }
 
-func TestSpanTellsTheHop(t *testing.T) {
+func TestSpanDescribesHop(t *testing.T) {
 	is := is.New(t)
-	serve := hopOf(dataplane.HopServe, 1, request.Refused)
+	serve := newHop(dataplane.HopServe, 1, request.Refused)
 	serve.Span, serve.Parent = dataplane.SpanID{7: 2}, dataplane.SpanID{7: 1}
 	serve.Code, serve.Target, serve.Zone = status.CodeOverloaded, 9, "bangkok-b"
 	serve.Attempt, serve.Level, serve.Allowance, serve.Queued = 2, 77, 3, 2500*time.Microsecond
-	lines := record(t, settings.Traces{SampleRatio: 1}, hopOf(dataplane.HopEntry, 1, request.Completed), serve)
+	lines := recordHops(t, settings.Traces{SampleRatio: 1}, newHop(dataplane.HopEntry, 1, request.Completed), serve)
 	is.Equal(len(lines), 2)
 	root, l := lines[0], lines[1]
 	is.Equal(root.Name, "entry feed.khaosan")
@@ -113,12 +113,13 @@
 	}
 }
 
-// TestPageListsAttributes holds the operators' page to the code, both ways.
-func TestPageListsAttributes(t *testing.T) {
+// TestAttributesMatchDocs checks that docs/operators/traces.md lists exactly the
+// attributes of the code.
+func TestAttributesMatchDocs(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/operators/traces.md")
 	is.NoErr(err)
-	h := hopOf(dataplane.HopServe, 1, request.Refused)
+	h := newHop(dataplane.HopServe, 1, request.Refused)
 	h.Code, h.Retry, h.Target, h.Zone, h.Queued = status.CodeOverloaded, "final", 1, "bangkok-a", 1
 	var keys, documented []string
 	for _, a := range attributes(h) {
@@ -133,53 +134,53 @@
 }
 
 func TestDecision(t *testing.T) {
-	called := hopOf(dataplane.HopEntry, 1, request.Completed)
+	called := newHop(dataplane.HopEntry, 1, request.Completed)
 	called.Attempt = 1
 	for _, tt := range []struct {
 		hop  *dataplane.Hop
 		want string
 	}{
-		{hopOf(dataplane.HopServe, 1, request.Completed), "admitted"},
-		{hopOf(dataplane.HopServe, 1, request.Unknown), "admitted"},
-		{hopOf(dataplane.HopServe, 1, request.Refused), "refused"},
-		{hopOf(dataplane.HopAttempt, 1, request.Refused), "sent"},
-		{hopOf(dataplane.HopEgress, 1, request.Refused), "refused"},
+		{newHop(dataplane.HopServe, 1, request.Completed), "admitted"},
+		{newHop(dataplane.HopServe, 1, request.Unknown), "admitted"},
+		{newHop(dataplane.HopServe, 1, request.Refused), "refused"},
+		{newHop(dataplane.HopAttempt, 1, request.Refused), "sent"},
+		{newHop(dataplane.HopEgress, 1, request.Refused), "refused"},
 		{called, "called"},
 	} {
 		is.New(t).Equal(decision(tt.hop), tt.want)
 	}
 }
 
-func TestSamplingGoesByRequest(t *testing.T) {
+func TestSamplingIsPerRequest(t *testing.T) {
 	is := is.New(t)
 	var hops []*dataplane.Hop
 	for i := range 250 {
 		id := byte(i)
-		hops = append(hops, hopOf(dataplane.HopEntry, id, request.Completed), hopOf(dataplane.HopServe, id, request.Completed))
+		hops = append(hops, newHop(dataplane.HopEntry, id, request.Completed), newHop(dataplane.HopServe, id, request.Completed))
 	}
-	lines := record(t, settings.Traces{SampleRatio: 0.2, KeepPerSecond: 100}, hops...)
+	lines := recordHops(t, settings.Traces{SampleRatio: 0.2, KeepPerSecond: 100}, hops...)
 	byTrace := map[string]int{}
 	for _, l := range lines {
 		byTrace[l.SpanContext.TraceID]++
 	}
 	is.True(len(byTrace) > 0 && len(byTrace) < 250)
 	for _, n := range byTrace {
-		is.Equal(n, 2) // a request is recorded whole or not at all
+		is.Equal(n, 2) // all hops of a request are recorded or none
 	}
-	is.Equal(len(record(t, settings.Traces{KeepPerSecond: 100}, hops...)), 0)
+	is.Equal(len(recordHops(t, settings.Traces{KeepPerSecond: 100}, hops...)), 0)
 }
 
-// Symptom: tracing takes the processor time that calls need. Events: in an
-// overload nearly all requests are refused. Cause: every refusal is kept.
-func TestKeptRefusalsAreBounded(t *testing.T) {
+// Guards against tracing taking the CPU time of calls in an overload, when nearly
+// all requests are refused and every refusal is recorded.
+func TestUnsampledRefusalsAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	var hops []*dataplane.Hop
 	for i := range 1000 {
-		h := hopOf(dataplane.HopServe, byte(i), request.Refused)
+		h := newHop(dataplane.HopServe, byte(i), request.Refused)
 		h.End = start.Add(time.Duration(i) * 2 * time.Millisecond) // two seconds in all
 		hops = append(hops, h)
 	}
-	n := len(record(t, settings.Traces{KeepPerSecond: 10}, hops...))
+	n := len(recordHops(t, settings.Traces{KeepPerSecond: 10}, hops...))
 	is.True(n >= 20 && n <= 31) // the rate over two seconds and one burst
 }
 
@@ -201,7 +202,7 @@
 	scope := tally.NewTestScope("", nil)
 	tr, err := New(settings.Traces{Endpoint: srv.URL + "/v1/traces", SampleRatio: 1, QueueSpans: 16}, node, scope, func(err error) { t.Error(err) })
 	is.NoErr(err)
-	tr.Hop(hopOf(dataplane.HopEntry, 1, request.Completed))
+	tr.Hop(newHop(dataplane.HopEntry, 1, request.Completed))
 	is.NoErr(tr.Close(t.Context()))
 	mu.Lock()
 	defer mu.Unlock()
@@ -214,10 +215,10 @@
 	is.Equal(counters["traces.spans_exported_total+"].Value(), int64(1))
 }
 
-// Symptom: calls hang, or the process doesn't end. Events: the collector takes
-// connections and never answers. Cause: spans exported on the calls' goroutines,
-// or a last export without a bound.
-func TestSilentCollectorHoldsNobodyUp(t *testing.T) {
+// Guards against hanging calls or shutdown when the collector accepts connections
+// but never answers: spans must not be exported on the calls' goroutines, and the
+// last export must have a time limit.
+func TestUnresponsiveCollectorDoesNotBlock(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -226,34 +227,34 @@
 	tr, err := New(settings.Traces{Endpoint: srv.URL, SampleRatio: 1, QueueSpans: 16}, node, tally.NoopScope, func(error) {})
 	is.NoErr(err)
 	for range 1000 { // far more than the queue holds
-		tr.Hop(hopOf(dataplane.HopEntry, 1, request.Completed))
+		tr.Hop(newHop(dataplane.HopEntry, 1, request.Completed))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(tr.Close(ctx) != nil) // says that spans are missing
+	is.True(tr.Close(ctx) != nil) // reports lost spans
 }
 
-func TestFailedExportIsCountedAndTold(t *testing.T) {
+func TestFailedExportIsCountedAndReported(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
 	scope := tally.NewTestScope("", nil)
-	var told []error
-	tr, err := New(settings.Traces{Endpoint: srv.URL, SampleRatio: 1, QueueSpans: 16}, node, scope, func(err error) { told = append(told, err) })
+	var exportErrs []error
+	tr, err := New(settings.Traces{Endpoint: srv.URL, SampleRatio: 1, QueueSpans: 16}, node, scope, func(err error) { exportErrs = append(exportErrs, err) })
 	is.NoErr(err)
-	tr.Hop(hopOf(dataplane.HopEntry, 1, request.Completed))
+	tr.Hop(newHop(dataplane.HopEntry, 1, request.Completed))
 	is.NoErr(tr.Close(t.Context()))
-	is.Equal(len(told), 1)
-	is.Equal(status.CodeOf(told[0]), status.CodeConnectionLost)
+	is.Equal(len(exportErrs), 1)
+	is.Equal(status.CodeOf(exportErrs[0]), status.CodeConnectionLost)
 	is.Equal(scope.Snapshot().Counters()["traces.spans_failed_total+"].Value(), int64(1))
 }
 
-func TestOffAndWrongSettings(t *testing.T) {
+func TestDisabledAndInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	off, err := New(settings.Default().Traces, node, tally.NoopScope, nil)
 	is.NoErr(err)
 	is.True(off == nil)
-	off.Hop(hopOf(dataplane.HopEntry, 1, request.Failed))
+	off.Hop(newHop(dataplane.HopEntry, 1, request.Failed))
 	is.True(!off.Sampled(request.ID{1}))
 	is.NoErr(off.Close(t.Context()))
 	_, err = New(settings.Traces{File: t.TempDir()}, node, tally.NoopScope, nil)
@@ -278,7 +279,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			h := hopOf(dataplane.HopServe, 0, bb.outcome)
+			h := newHop(dataplane.HopServe, 0, bb.outcome)
 			var n byte
 			b.ReportAllocs()
 			for b.Loop() {
