--- a/cmd/peardrift/main.go
+++ b/cmd/peardrift/main.go
@@ -17,8 +17,8 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// The first signal lets a command end in order; a second one ends it at once,
-	// also where it waits for what no context ends, such as a file that is a pipe.
+	// The first signal cancels the command gracefully; a second one kills it, even
+	// in a wait that no context can cancel, such as opening a pipe.
 	context.AfterFunc(ctx, stop)
 	nodes := cli.NewRPCNodes()
 	defer nodes.Close()
