--- a/cmd/peardriftd/main.go
+++ b/cmd/peardriftd/main.go
@@ -1,4 +1,4 @@
-// Command peardriftd is a node: one process beside each target instance.
+// Command peardriftd is a node: a sidecar process of each target instance.
 package main
 
 import (
