--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,6 +1,5 @@
-// Package buildinfo says which build of peardrift a program is, from what the Go
-// toolchain stamps into it. Its functions are pure and may be called from any
-// goroutine.
+// Package buildinfo identifies the build of the running program, from the build
+// information that the Go toolchain embeds. It is safe for concurrent use.
 package buildinfo
 
 import (
@@ -10,13 +9,13 @@
 
 // Info identifies a build.
 type Info struct {
-	Version  string `json:"version"`            // of the module; "(devel)" from a checkout, "unknown" without stamps
+	Version  string `json:"version"`            // of the module; "(devel)" from a checkout, "unknown" without build information
 	Revision string `json:"revision,omitempty"` // of the version control system
-	Modified bool   `json:"modified,omitempty"` // the checkout had changes
+	Modified bool   `json:"modified,omitempty"` // the checkout had uncommitted changes
 	Go       string `json:"go"`
 }
 
-// Read returns the running program's build.
+// Read returns the build of the running program.
 func Read() Info {
 	out := Info{Version: "unknown"}
 	info, ok := debug.ReadBuildInfo()
