--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,9 +1,8 @@
-// Package rapidtest makes property tests draw the same cases in each run.
+// Package rapidtest gives property tests a fixed seed.
 //
-// Drawn anew each time, a rare failure would turn a run red that has nothing to
-// do with it, and green again on the next. New cases are drawn by hand, with
-// -rapid.seed=N or -rapid.checks=N on the command line; what they find becomes a
-// test of its own.
+// With a new seed per run, a rare failure would break an unrelated CI run and
+// disappear in the next. To explore new cases, pass -rapid.seed=N or
+// -rapid.checks=N on the command line; add a regression test for each failure.
 package rapidtest
 
 import (
@@ -16,7 +15,7 @@
 func Main(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // the flag is gone from the library: the seed would not hold
+			panic(err) // the library no longer has the flag, so the seed would not be fixed
 		}
 	}
 	os.Exit(m.Run())
