--- a/internal/mpack/mpack.go
+++ b/internal/mpack/mpack.go
@@ -1,15 +1,15 @@
-// Package mpack decodes MessagePack that was written by somebody else: rows and
-// objects of the platform, and what peers hand on within their messages.
+// Package mpack decodes untrusted MessagePack: rows and objects of the platform,
+// and data that peers forward in their messages.
 package mpack
 
 import "github.com/vmihailenco/msgpack/v5"
 
 // Unmarshal decodes b into v, as msgpack.Unmarshal does.
 //
-// The library makes a list as long as its head says, a million elements at a time
-// and for lists within lists each anew: ten bytes were seen to ask for 60 GB, and
-// the node ended for want of memory. So b is first skipped through, which fails
-// unless it is complete; then each element has at least one byte.
+// The library allocates as many elements as a list header announces, a million at
+// a time and again for each nested list: ten bytes requested 60 GB, and the node
+// ran out of memory. Unmarshal therefore skips through b first, which fails unless
+// b is complete; in complete input each element takes at least one byte.
 func Unmarshal(b []byte, v any) error {
 	var raw msgpack.RawMessage
 	if err := msgpack.Unmarshal(b, &raw); err != nil {
--- a/internal/mpack/mpack_test.go
+++ b/internal/mpack/mpack_test.go
@@ -14,28 +14,27 @@
 	Pad   [16]int64
 }
 
-// Symptom: a node ends for want of memory. Events: it reads a row, an object or a
-// peer's patch that was cut, or written by something else. Cause: lists made as
-// long as they say.
-func TestWhatIsNotCompleteCostsNoMemory(t *testing.T) {
-	const most = 1 << 20
-	whole, err := msgpack.Marshal([]item{{Name: "a", Lists: [][]int64{{1}, {2, 3}}}})
+// Guards against running out of memory on a row, an object or a peer's patch that
+// is truncated or foreign: lists were allocated with the length in their header.
+func TestIncompleteInputAllocatesLittle(t *testing.T) {
+	const maxAllocated = 1 << 20
+	complete, err := msgpack.Marshal([]item{{Name: "a", Lists: [][]int64{{1}, {2, 3}}}})
 	is := is.New(t)
 	is.NoErr(err)
 	var got []item
-	is.NoErr(Unmarshal(whole, &got))
+	is.NoErr(Unmarshal(complete, &got))
 	is.Equal(got[0].Lists, [][]int64{{1}, {2, 3}})
 	for _, b := range [][]byte{
 		{0xdd, 0x7f, 0xff, 0xff, 0xff}, // two billion items
 		{0x91, 0x93, 0xa0, 0xdd, 0x7f, 0xff, 0xff, 0xff, 0xdd, 0x7f, 0xff, 0xff, 0xff}, // lists of lists
 		{0xdf, 0x7f, 0xff, 0xff, 0xff}, // a map
-		whole[:len(whole)-1],
+		complete[:len(complete)-1],
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		var v []item
 		is.True(Unmarshal(b, &v) != nil)
 		runtime.ReadMemStats(&after)
-		is.True(after.TotalAlloc-before.TotalAlloc < most)
+		is.True(after.TotalAlloc-before.TotalAlloc < maxAllocated)
 	}
 }
