--- a/internal/simtime/simtime.go
+++ b/internal/simtime/simtime.go
@@ -1,5 +1,5 @@
-// Package simtime is a virtual clock with a queue of events, for tests that step
-// pure cores.
+// Package simtime provides a virtual clock with an event queue, for deterministic
+// tests of code without I/O and timers.
 package simtime
 
 import (
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Queue holds what is to happen. The zero value begins at time 0. Not safe for
-// concurrent use.
+// Queue is a virtual clock with a queue of scheduled events. The zero value starts
+// at time 0. It is not safe for concurrent use.
 type Queue struct {
-	// Now is the virtual time; set it only while nothing is queued.
+	// Now is the virtual time; set it only while the queue is empty.
 	Now    time.Duration
 	events events
 	seq    int
 }
 
-// After makes f run d from now; what is due at one time runs in the order in which
-// it was queued.
+// After schedules f to run after d. Events due at the same time run in the order
+// in which they were scheduled.
 func (q *Queue) After(d time.Duration, f func()) {
 	q.seq++
 	heap.Push(&q.events, event{at: q.Now + d, seq: q.seq, run: f})
 }
 
-// RunUntil runs what is due by end, in order, and sets the clock to end.
+// RunUntil runs all events due by end, in order, and sets the clock to end.
 func (q *Queue) RunUntil(end time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= end {
 		e := heap.Pop(&q.events).(event)
