--- a/bench/faults/claims.go
+++ b/bench/faults/claims.go
@@ -14,12 +14,12 @@
 	"peardrift/internal/status"
 )
 
-// shareClaims writes the layout that holds for all dated keys. That is safe only
-// here: no set is in force, so that no node takes calls. Operators announce it
-// two hours ahead.
-func (l *Lab) shareClaims(ctx context.Context) error {
+// writeClaimLayout writes a layout that applies to all dated keys at once. This is safe
+// only because no configuration set is in force yet and no node accepts calls.
+// Operators announce a layout two hours ahead.
+func (l *Lab) writeClaimLayout(ctx context.Context) error {
 	cfg := awscall.DefaultConfig()
-	cfg.Endpoint, cfg.AccessKey, cfg.SecretKey = l.Fleet.URL, "lab", "lab" // the stand-in takes any
+	cfg.Endpoint, cfg.AccessKey, cfg.SecretKey = l.Fleet.URL, "lab", "lab" // the stand-in accepts any credentials
 	table := awstable.New(cfg, "peardrift")
 	defer table.Close()
 	rows := batch.DefaultConfig()
@@ -31,7 +31,7 @@
 	return table.Put(ctx, port.Put{Item: item})
 }
 
-// OfClaims returns the scenarios that are played with shared rows too.
+// OfClaims returns the scenarios that also run with claims in shared rows.
 func OfClaims() []Scenario {
 	return []Scenario{
 		{"node killed", nodeKilled},
@@ -39,13 +39,13 @@
 		{"platform down for 3 s", platformDown},
 		{"writes applied, answers lost", answersLost},
 		{"node stopped in overload", stopInOverload},
-		{"claims went between nodes", claimsWentBetween},
+		{"claims went between nodes", claimsForwarded},
 	}
 }
 
-// claimsWentBetween holds that the scenarios before it were about shared rows:
-// some node was answered by another that batched a row.
-func claimsWentBetween(ctx context.Context, l *Lab) (Row, error) {
+// claimsForwarded checks that the preceding scenarios exercised shared rows: at
+// least one node sent a claim to the node that batches the row and got an answer.
+func claimsForwarded(ctx context.Context, l *Lab) (Row, error) {
 	for _, h := range l.Fleet.Hosts {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Addr.Ops+"/metrics", nil)
 		if err != nil {
@@ -64,5 +64,5 @@
 			return Row{}, nil
 		}
 	}
-	return Row{}, status.New(CodeBroken, "no node sent a claim to another")
+	return Row{}, status.New(CodeBroken, "no node forwarded a claim to another node")
 }
--- a/bench/faults/control.go
+++ b/bench/faults/control.go
@@ -14,18 +14,19 @@
 	"peardrift/internal/status"
 )
 
-// controlTime bounds one call to a stand-in's or a node's control.
-const controlTime = 2 * time.Second
+// controlTimeout is the timeout of one request to a control endpoint of a stand-in or
+// a node.
+const controlTimeout = 2 * time.Second
 
-var controls = &http.Client{Timeout: controlTime, Transport: &http.Transport{DisableKeepAlives: true}}
+var controlClient = &http.Client{Timeout: controlTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// post tells a stand-in or a node to do something.
-func post(url string, body any) error {
+// postControl sends a JSON command to a control endpoint of a stand-in or a node.
+func postControl(url string, body any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return status.Wrap(harness.CodeHarness, err, "encode")
 	}
-	resp, err := controls.Post(url, "application/json", bytes.NewReader(b))
+	resp, err := controlClient.Post(url, "application/json", bytes.NewReader(b))
 	if err != nil {
 		return status.Wrap(harness.CodeHarness, err, "post %s", url)
 	}
@@ -36,9 +37,9 @@
 	return nil
 }
 
-// counters asks a host's target.
-func counters(h *harness.Host) (c target.Counters, err error) {
-	resp, err := controls.Get("http://" + h.Addr.Target + "/control/counters")
+// fetchCounters fetches the counters of a host's target.
+func fetchCounters(h *harness.Host) (c target.Counters, err error) {
+	resp, err := controlClient.Get("http://" + h.Addr.Target + "/control/counters")
 	if err != nil {
 		return c, status.Wrap(harness.CodeHarness, err, "counters of %s", h.Name)
 	}
@@ -49,16 +50,18 @@
 	return c, nil
 }
 
-// faults sets what is wrong with the platform.
-func (l *Lab) faults(f platform.Faults) error { return post(l.Fleet.URL+"/control/faults", f) }
+// setPlatformFaults sets the faults that the platform stand-in injects.
+func (l *Lab) setPlatformFaults(f platform.Faults) error {
+	return postControl(l.Fleet.URL+"/control/faults", f)
+}
 
-// apply submits the lab's set on top of a version and returns what the tool
-// made of it.
-func (l *Lab) apply(ctx context.Context, base int64) error {
-	return l.submit(ctx, l.set, base)
+// applySet submits the lab's configuration set on a base version and returns the
+// error of the command-line tool.
+func (l *Lab) applySet(ctx context.Context, base int64) error {
+	return l.submitSet(ctx, l.set, base)
 }
 
-func (l *Lab) submit(ctx context.Context, dir string, base int64) error {
+func (l *Lab) submitSet(ctx context.Context, dir string, base int64) error {
 	_, _, err := l.Fleet.Tool(ctx, "apply", "--base", strconv.FormatInt(base, 10),
 		"--node", l.Fleet.Hosts[0].Addr.Control, dir)
 	if err == nil {
--- a/bench/faults/crash.go
+++ b/bench/faults/crash.go
@@ -12,23 +12,22 @@
 	"peardrift/internal/status"
 )
 
-// maxCrashes is how many targets a request may crash before it is refused, and
-// a further one that may have been under way (see internal/core/suspect).
+// maxCrashes is the number of crashes after which a request is refused, plus one
+// attempt that may already be in flight by then (see internal/core/suspect).
 const maxCrashes = 3 + 1
 
-// resends is how often the caller of the crashing request sends it.
+// The caller sends the crashing request resends times, one every resendInterval.
 const (
-	resends     = 40
-	resendEvery = 100 * time.Millisecond
+	resends        = 40
+	resendInterval = 100 * time.Millisecond
 )
 
-// Symptom: one request takes down target after target.
-// Events: it crashes each target that runs it; its caller sends it again at
-// once through other nodes; the targets are started again.
-// Cause: each node counts on its own, or the request is known only by the
-// identity of one attempt.
-func crashes(ctx context.Context, l *Lab) (Row, error) {
-	row, n, err := l.crashing(ctx, l.resendCrash)
+// crashingRequest resends a request that crashes every target that runs it, through a
+// different node each time, while the targets are restarted. It guards against one
+// request crashing target after target, because nodes count crashes separately or
+// identify the request by a single attempt.
+func crashingRequest(ctx context.Context, l *Lab) (Row, error) {
+	row, n, err := l.playCrashes(ctx, l.resendCrashingRequest)
 	if err == nil && (n < 1 || n > maxCrashes) {
 		err = status.New(CodeBroken, "one request crashed %d targets", n)
 	}
@@ -36,44 +35,44 @@
 	return row, err
 }
 
-// resendCrash sends the crashing request again and again.
-func (l *Lab) resendCrash(ctx context.Context) error {
+// resendCrashingRequest sends the crashing request repeatedly.
+func (l *Lab) resendCrashingRequest(ctx context.Context) error {
 	for n := range resends {
-		if err := firstOf(l.sendCrash(ctx, n), pause(ctx, resendEvery)()); err != nil {
+		if err := firstError(l.sendCrashingRequest(ctx, n), pause(ctx, resendInterval)()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// crashing plays what sends crashing requests, while feed's targets are started
-// again each time they die, and returns how often they did.
-func (l *Lab) crashing(ctx context.Context, send func(context.Context) error) (Row, int64, error) {
-	var died atomic.Int64
-	watch, stop := context.WithCancel(ctx)
+// playCrashes runs send under load, restarts the targets of feed whenever they exit,
+// and returns the number of exits.
+func (l *Lab) playCrashes(ctx context.Context, send func(context.Context) error) (Row, int64, error) {
+	var exits atomic.Int64
+	reviveCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	feeds := []*harness.Host{l.host("feed", 1), l.host("feed", 2)}
 	faults := make(chan error, len(feeds))
 	for _, h := range feeds {
-		wg.Go(func() { faults <- l.revive(watch, h, &died) })
+		wg.Go(func() { faults <- l.restartOnExit(reviveCtx, h, &exits) })
 	}
-	row, err := l.play(ctx, l.entries("notices"), func() error { return send(ctx) }, nil, func() error { return l.whole(ctx) })
+	row, err := l.play(ctx, l.callerURLs("notices"), func() error { return send(ctx) }, nil, func() error { return l.awaitAllReady(ctx) })
 	stop()
 	wg.Wait()
 	for range feeds {
-		err = firstOf(err, <-faults)
+		err = firstError(err, <-faults)
 	}
-	return row, died.Load(), err
+	return row, exits.Load(), err
 }
 
-// crashPath is that of the load's crashing request, another one for each scenario:
-// the nodes remember those of earlier ones.
+// crashPath returns the path of the crashing request. It differs per scenario
+// because nodes remember the crashing requests of earlier scenarios.
 func (l *Lab) crashPath() string { return fmt.Sprintf("/feed/special-%d", l.seed) }
 
-// sendCrash sends the crashing request once, through another node each time. It
-// is the same request each time, but for the mark, which the product ignores.
-func (l *Lab) sendCrash(ctx context.Context, n int) error {
-	urls := l.entries("notices")
+// sendCrashingRequest sends the crashing request once, through the n-th node. All
+// requests are identical except for the mark, which nodes ignore.
+func (l *Lab) sendCrashingRequest(ctx context.Context, n int) error {
+	urls := l.callerURLs("notices")
 	_, err := client.Run(ctx, client.Config{
 		URLs: urls[n%len(urls):][:1], Seed: uint64(n), Duration: time.Hour,
 		Classes: []client.Class{{Name: crashMark, Host: "feed.lab", Path: l.crashPath(), Workers: 1, Requests: 1}},
@@ -81,18 +80,18 @@
 	return err
 }
 
-// revive starts a target again each time it ends, as a supervisor does.
-func (l *Lab) revive(ctx context.Context, h *harness.Host, died *atomic.Int64) error {
+// restartOnExit restarts a target whenever it exits, as a process supervisor does.
+func (l *Lab) restartOnExit(ctx context.Context, h *harness.Host, exits *atomic.Int64) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 		if !h.Target.Ended() {
 			continue
 		}
-		died.Add(1)
+		exits.Add(1)
 		if err := l.Fleet.StartTarget(h); err != nil {
 			return err
 		}
--- a/bench/faults/doc.go
+++ b/bench/faults/doc.go
@@ -1,18 +1,19 @@
-// Package faults plays the failures that the project must live with on a small
-// fleet of real processes, and holds what callers were told against what ran.
+// Package faults injects the failures that the system must tolerate into a small
+// fleet of real processes, and compares the outcomes that callers saw with what the
+// targets ran.
 //
-// A Lab is a running fleet: three services with two targets each, nodes that
-// reach each other over links that can be broken. A Scenario plays one failure
-// under load. What it measures goes into a Row; what must hold is an error.
-// Verdicts rest on counts and outcomes. Times are only printed.
+// A Lab is a running fleet: three services with two targets each, and nodes that
+// reach each other over links that can be broken. A Scenario injects one failure
+// under load. It returns its measurements as a Row and a violated guarantee as an
+// error. Pass or fail depends on counts and outcomes only; times are just printed.
 package faults
 
 import "peardrift/internal/status"
 
-// Codes of what a scenario can find.
+// Status codes of scenario failures.
 const (
-	// CodeBroken: something that must always hold did not.
+	// CodeBroken means that a guarantee was violated.
 	CodeBroken status.Code = "promise-broken"
-	// CodeStuck: the fleet did not come back after the fault was gone.
+	// CodeStuck means that the fleet did not recover after the fault was removed.
 	CodeStuck status.Code = "not-recovered"
 )
--- a/bench/faults/faults_test.go
+++ b/bench/faults/faults_test.go
@@ -9,19 +9,19 @@
 	"peardrift/bench/harness"
 )
 
-// Each scenario opens with the failure that it plays; see there.
-func TestFaults(t *testing.T) { playAll(t, Open, All()) }
+// The comment at each scenario function describes the failure it guards against.
+func TestFaults(t *testing.T) { runScenarios(t, Open, All()) }
 
-// The same, with publishes whose claims share rows.
-func TestFaultsOfSharedClaims(t *testing.T) { playAll(t, OpenShared, OfClaims()) }
+// The same with publishes whose claims share rows.
+func TestFaultsOfSharedClaims(t *testing.T) { runScenarios(t, OpenShared, OfClaims()) }
 
-func playAll(t *testing.T, open func(context.Context, harness.Bins) (*Lab, error), scenarios []Scenario) {
+func runScenarios(t *testing.T, open func(context.Context, harness.Bins) (*Lab, error), scenarios []Scenario) {
 	t.Helper()
-	end, err := harness.Turn()
+	release, err := harness.Turn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer end()
+	defer release()
 	root, err := harness.Root()
 	if err != nil {
 		t.Fatal(err)
@@ -30,13 +30,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	start := time.Now()
 	l, err := open(t.Context(), bins)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	t.Logf("%d hosts after %v", len(l.Fleet.Hosts), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d hosts after %v", len(l.Fleet.Hosts), time.Since(start).Round(time.Millisecond))
 	var rows []Row
 	for _, s := range scenarios {
 		t.Run(s.Name, func(t *testing.T) {
--- a/bench/faults/freeze.go
+++ b/bench/faults/freeze.go
@@ -10,35 +10,33 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: after a long freeze a node goes on as if no time had passed: it runs a
-// publish that its caller has long sent again elsewhere, follows an old set for
-// good, or counts as dead for good though it serves.
-// Events: a node is frozen until the others hold it for dead; meanwhile a set is
-// accepted and in force at all others; the node is resumed.
-// Cause: what was known before the freeze is taken for the present.
-func frozenTillDead(ctx context.Context, l *Lab) (Row, error) {
+// frozenUntilDead freezes a node until the others declare it dead, rolls out a new set
+// to them, and resumes the node. It guards against a resumed node that acts on stale
+// state: it runs a publish that the caller has already retried elsewhere, keeps the
+// old set, or stays declared dead although it serves.
+func frozenUntilDead(ctx context.Context, l *Lab) (Row, error) {
 	h := l.host("notices", 1)
 	var stale time.Duration
-	row, err := l.play(ctx, l.entries("feed"), func() error {
+	row, err := l.play(ctx, l.callerURLs("feed"), func() error {
 		h.Node.Signal(syscall.SIGSTOP)
-		return await(ctx, "the others hold the node for dead", func() bool { return l.holdDead(h) })
-	}, func() error { return l.nextSet(ctx, h) }, func() error {
+		return await(ctx, "the other nodes declare the node dead", func() bool { return l.declaredDead(h) })
+	}, func() error { return l.rollOutExcept(ctx, h) }, func() error {
 		resumed := time.Now()
 		h.Node.Signal(syscall.SIGCONT)
-		if err := l.inForce(ctx); err != nil {
+		if err := l.awaitVersion(ctx); err != nil {
 			return err
 		}
 		stale = time.Since(resumed)
-		return l.whole(ctx)
+		return l.awaitAllReady(ctx)
 	})
 	row.Note = fmt.Sprintf("followed the new set %v after it was resumed", stale.Round(time.Millisecond))
 	return row, err
 }
 
-// holdDead reports whether all other nodes hold a host's node for dead.
-func (l *Lab) holdDead(gone *harness.Host) bool {
+// declaredDead reports whether all other nodes have declared a host's node dead.
+func (l *Lab) declaredDead(dead *harness.Host) bool {
 	for _, h := range l.Fleet.Hosts {
-		if h == gone {
+		if h == dead {
 			continue
 		}
 		s, err := h.Status()
@@ -49,98 +47,97 @@
 	return true
 }
 
-// nextSet has a new set accepted, and in force at all nodes but one.
-func (l *Lab) nextSet(ctx context.Context, but *harness.Host) error {
-	dir, err := l.setOf(49)
+// rollOutExcept submits a new set and waits until it is in force at all nodes but one.
+func (l *Lab) rollOutExcept(ctx context.Context, except *harness.Host) error {
+	dir, err := l.writeSetWithSlots(49)
 	if err != nil {
 		return err
 	}
-	if err := l.submit(ctx, dir, l.version); err != nil {
+	if err := l.submitSet(ctx, dir, l.version); err != nil {
 		return err
 	}
 	for _, h := range l.Fleet.Hosts {
-		if h == but {
+		if h == except {
 			continue
 		}
-		if err := l.follows(ctx, h); err != nil {
+		if err := l.awaitVersionAt(ctx, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Symptom: a publish runs twice, or is told wrongly.
-// Events: every second write of the platform takes effect and its answer is lost;
-// a node with claims under way is frozen for longer than publishes may take, while
-// their callers send them again through others.
-// Cause: the holder that wakes takes its lost write for written, or for not.
+// answersLostAndFrozen drops the response of every second platform write and freezes a
+// node with claims in flight past the publish deadline, while callers retry through
+// other nodes. It guards against a publish that runs twice or gets a wrong outcome
+// because the resumed claim holder assumes that its unacknowledged write succeeded,
+// or that it failed.
 func answersLostAndFrozen(ctx context.Context, l *Lab) (Row, error) {
 	h := l.host("notices", 1)
-	return l.play(ctx, l.entries("feed"), func() error {
-		if err := l.faults(lostAnswers); err != nil {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
+		if err := l.setPlatformFaults(lostAnswers); err != nil {
 			return err
 		}
-		if err := l.worked(ctx, h); err != nil {
+		if err := l.awaitRuns(ctx, h); err != nil {
 			return err
 		}
 		h.Node.Signal(syscall.SIGSTOP)
 		return nil
 	}, pause(ctx, publishDeadline+time.Second), func() error {
 		h.Node.Signal(syscall.SIGCONT)
-		return firstOf(l.faults(healthy), l.whole(ctx))
+		return firstError(l.setPlatformFaults(noFaults), l.awaitAllReady(ctx))
 	})
 }
 
-// publishDeadline is that of the publish class in configSet.
+// publishDeadline is the deadline of the publish class in configSet.
 const publishDeadline = 3 * time.Second
 
-// Symptom: two operators both hold that their set won, or an operator who was told
-// nothing finds another set in force than the one that won.
-// Events: several operators submit a set on the same base while the platform breaks
-// every connection, or loses every second write's answer; it comes back.
-// Cause: an answer that was lost is taken for a yes or a no.
+// operatorsInOutage has several operators submit a set on the same base while the
+// platform loses the response of every second write, then ends the fault. It guards
+// against two operators being told that their set was accepted, or a set in force
+// other than the accepted one, because a lost response is taken as success or failure.
 func operatorsInOutage(ctx context.Context, l *Lab) (Row, error) {
-	return l.play(ctx, l.entries("feed"), nil, func() error {
-		if err := l.faults(lostAnswers); err != nil {
+	return l.play(ctx, l.callerURLs("feed"), nil, func() error {
+		if err := l.setPlatformFaults(lostAnswers); err != nil {
 			return err
 		}
 		codes, err := l.submitTogether(ctx, 60)
 		if err != nil {
 			return err
 		}
-		if err := l.faults(healthy); err != nil {
+		if err := l.setPlatformFaults(noFaults); err != nil {
 			return err
 		}
-		return l.judgeOperators(ctx, codes)
-	}, func() error { return l.whole(ctx) })
+		return l.checkOperators(ctx, codes)
+	}, func() error { return l.awaitAllReady(ctx) })
 }
 
-// judgeOperators holds what several operators were told, on the same base, against
-// the set that is accepted.
-func (l *Lab) judgeOperators(ctx context.Context, codes []int) error {
-	won, lost := 0, 0
+// checkOperators compares the exit codes of operators that submitted on the same base
+// with the set that was accepted.
+func (l *Lab) checkOperators(ctx context.Context, codes []int) error {
+	accepted, conflicts := 0, 0
 	for _, code := range codes {
 		switch code {
 		case 0:
-			won++
+			accepted++
 		case exitConflict:
-			lost++
+			conflicts++
 		}
 	}
-	if won > 1 {
-		return status.New(CodeBroken, "%d operators were told that they won: exit codes %v", won, codes)
+	if accepted > 1 {
+		return status.New(CodeBroken, "%d operators were told that their set was accepted: exit codes %v", accepted, codes)
 	}
-	// The next set settles it: it is refused on the old base if one of them won.
-	dir, err := l.setOf(48)
+	// A further set on the old base is refused exactly if one of theirs was accepted.
+	dir, err := l.writeSetWithSlots(48)
 	if err != nil {
 		return err
 	}
-	err = l.submit(ctx, dir, l.version)
-	if err == nil && won+lost > 0 {
-		return status.New(CodeBroken, "nothing was accepted, but operators were told so: exit codes %v", codes)
+	err = l.submitSet(ctx, dir, l.version)
+	if err == nil && accepted+conflicts > 0 {
+		return status.New(CodeBroken, "no set was accepted, but an operator was told of success or a conflict: exit codes %v", codes)
 	}
 	if err != nil {
 		l.version++
 	}
-	return l.inForce(ctx)
+	return l.awaitVersion(ctx)
 }
--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -17,13 +17,13 @@
 // Lab is a running fleet. Use it from one goroutine; call Close at the end.
 type Lab struct {
 	Fleet *harness.Fleet
-	// Links are where other nodes reach a host's node.
+	// Links holds, by host name, the link through which other nodes reach its node.
 	Links map[string]*link.Link
 
-	set     string // folder of the configuration set
-	version int64  // of the set that was accepted last
-	seed    uint64 // of the last load
-	shared  bool   // claims share rows
+	set     string // directory of the configuration set
+	version int64  // version of the last accepted set
+	seed    uint64 // seed of the last load
+	shared  bool   // whether claims share rows
 }
 
 // configSet declares the lab's services.
@@ -52,7 +52,7 @@
       - {name: upload, method: POST, path: /uploads, importance: 80, deadline: 1m, attempts: 0, maxBody: 64MiB}
 `
 
-// deployment is what the lab runs.
+// deployment returns the deployment that the lab runs.
 func deployment() deploy.Deployment {
 	call := func(method string) []target.Call {
 		return []target.Call{{Service: "archive.lab", Method: method, Path: "/articles/a", Required: true}}
@@ -75,19 +75,19 @@
 	}
 }
 
-// crashMark in a request's mark crashes the target that runs it.
+// crashMark in a request's mark makes the target that runs the request crash.
 const crashMark = "crash"
 
 const (
-	startTime = 60 * time.Second // far more than a start takes
-	recovery  = 60 * time.Second // far more than any recovery takes
-	poll      = 20 * time.Millisecond
+	startTimeout    = 60 * time.Second // far longer than a start takes
+	recoveryTimeout = 60 * time.Second // far longer than any recovery takes
+	pollInterval    = 20 * time.Millisecond
 )
 
 // Open starts a lab from built programs.
 func Open(ctx context.Context, bins harness.Bins) (*Lab, error) { return open(ctx, bins, false) }
 
-// OpenShared starts a lab whose publishes have dated keys that share rows.
+// OpenShared starts a lab whose publishes use dated keys with claims in shared rows.
 func OpenShared(ctx context.Context, bins harness.Bins) (*Lab, error) { return open(ctx, bins, true) }
 
 func open(ctx context.Context, bins harness.Bins, shared bool) (*Lab, error) {
@@ -107,44 +107,44 @@
 	if err := l.writeSet(l.set, configSet); err != nil {
 		return err
 	}
-	var fault error
+	var linkErr error
 	l.Fleet.Tune = func(h *harness.Host, s *settings.Settings) {
 		ln, err := link.Listen(h.Addr.Nodes)
 		if err != nil {
-			fault = err
+			linkErr = err
 			return
 		}
 		l.Links[h.Name] = ln
 		s.Advertise.Data = ln.Addr()
-		for _, other := range l.Fleet.Hosts { // those planned before it
+		for _, other := range l.Fleet.Hosts { // those added before h
 			s.Peers = append(s.Peers, other.Addr.Control)
 		}
 	}
 	l.Fleet.TuneTarget = func(h *harness.Host, c *target.Config) {
 		c.Dist, c.RunsFile = target.DistFixed, filepath.Join(l.Fleet.Dir, h.Name+runsSuffix)
-		c.HealthLies = h.Name == drainee // a drain must be known without it
+		c.HealthLies = h.Name == drainHost // a drain must be noticed without the health endpoint
 	}
-	if err := l.Fleet.Add(deployment()); err != nil || fault != nil {
-		return firstOf(err, fault)
+	if err := l.Fleet.Add(deployment()); err != nil || linkErr != nil {
+		return firstError(err, linkErr)
 	}
 	if err := l.Fleet.Start(); err != nil {
 		return err
 	}
 	if l.shared {
-		if err := l.shareClaims(ctx); err != nil {
+		if err := l.writeClaimLayout(ctx); err != nil {
 			return err
 		}
 	}
-	if err := l.apply(ctx, 0); err != nil {
+	if err := l.applySet(ctx, 0); err != nil {
 		return err
 	}
-	if err := l.Fleet.Ready(startTime); err != nil {
+	if err := l.Fleet.Ready(startTimeout); err != nil {
 		return err
 	}
-	return l.Fleet.Converged(startTime)
+	return l.Fleet.Converged(startTimeout)
 }
 
-func firstOf(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -155,7 +155,7 @@
 
 func (l *Lab) writeSet(dir, set string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return status.Wrap(harness.CodeHarness, err, "folder of the set")
+		return status.Wrap(harness.CodeHarness, err, "create the directory of the set")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "lab.yaml"), []byte(set), 0o600); err != nil {
 		return status.Wrap(harness.CodeHarness, err, "write the set")
@@ -171,10 +171,10 @@
 	}
 }
 
-// drainee is the name of the host that the scenarios of a drain make leave.
-const drainee = "lab-archive-1"
+// drainHost is the name of the host that the drain scenarios drain.
+const drainHost = "lab-archive-1"
 
-// host returns the n-th host of a service, from 1.
+// host returns the n-th host of a service, counted from 1. It panics if there is none.
 func (l *Lab) host(service string, n int) *harness.Host {
 	for _, h := range l.Fleet.Hosts {
 		if h.Service == service+".lab" {
@@ -183,11 +183,11 @@
 			}
 		}
 	}
-	panic("no such host: " + service) // a scenario's own fault
+	panic("no such host: " + service) // a bug in a scenario
 }
 
-// entries returns the callers' faces of a service's nodes.
-func (l *Lab) entries(service string) (urls []string) {
+// callerURLs returns the URLs at which a service's nodes accept callers.
+func (l *Lab) callerURLs(service string) (urls []string) {
 	for _, h := range l.Fleet.Hosts {
 		if h.Service == service+".lab" {
 			urls = append(urls, "http://"+h.Addr.Callers)
@@ -196,15 +196,16 @@
 	return urls
 }
 
-// await polls until ok; what names the condition.
+// await polls until ok returns true or the recovery timeout passes; what names the
+// condition in the error.
 func await(ctx context.Context, what string, ok func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, recovery)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return status.New(CodeStuck, "never: %s", what)
-		case <-time.After(poll):
+			return status.New(CodeStuck, "timed out; expected: %s", what)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
--- a/bench/faults/load.go
+++ b/bench/faults/load.go
@@ -11,23 +11,23 @@
 	"peardrift/internal/status"
 )
 
-// classes is the mix that runs during scenarios.
+// classes returns the request mix that runs during scenarios.
 func classes(rate float64) []client.Class {
-	steady := []client.Phase{{For: time.Hour, Rate: rate}} // until stopped
+	phases := []client.Phase{{For: time.Hour, Rate: rate}} // until stopped
 	return []client.Class{
-		{Name: "read", Host: "feed.lab", Path: "/feed", Phases: steady},
-		{Name: "write", Method: "POST", Host: "archive.lab", Path: "/writes", Body: 300, Phases: steady},
+		{Name: "read", Host: "feed.lab", Path: "/feed", Phases: phases},
+		{Name: "write", Method: "POST", Host: "archive.lab", Path: "/writes", Body: 300, Phases: phases},
 		{
 			Name: "publish", Method: "POST", Host: "notices.lab", Path: "/notices", Key: true, Body: 200,
-			Phases: steady, Attempts: 4, Backoff: 50 * time.Millisecond,
+			Phases: phases, Attempts: 4, Backoff: 50 * time.Millisecond,
 		},
 	}
 }
 
-// hosts are the services that the classes' requests go to.
-var hosts = map[string]string{"read": "feed.lab", "write": "archive.lab", "publish": "notices.lab", "crash": "feed.lab", "upload": "archive.lab"}
+// serviceOfClass maps a class to the service that its requests are sent to.
+var serviceOfClass = map[string]string{"read": "feed.lab", "write": "archive.lab", "publish": "notices.lab", "crash": "feed.lab", "upload": "archive.lab"}
 
-// load is a mix of requests under way.
+// load is a running mix of requests.
 type load struct {
 	lab  *Lab
 	stop context.CancelFunc
@@ -37,9 +37,9 @@
 	attempts map[string][]client.Attempt // by mark
 }
 
-// begin starts a load through some nodes. Requests that are under way when it
-// ends are finished.
-func (l *Lab) begin(ctx context.Context, urls []string, cs []client.Class) *load {
+// startLoad starts a load through the nodes at urls. When it stops, requests in flight
+// still complete.
+func (l *Lab) startLoad(ctx context.Context, urls []string, cs []client.Class) *load {
 	l.seed++
 	ld := &load{lab: l, done: make(chan error, 1), attempts: make(map[string][]client.Attempt)}
 	for i := range cs {
@@ -60,7 +60,7 @@
 	ld.attempts[a.Mark] = append(ld.attempts[a.Mark], a)
 }
 
-// await waits until the attempts so far are as wished.
+// await waits until ok accepts the attempts so far.
 func (ld *load) await(ctx context.Context, what string, ok func(as map[string][]client.Attempt) bool) error {
 	return await(ctx, what, func() bool {
 		ld.mu.Lock()
@@ -69,12 +69,12 @@
 	})
 }
 
-// recovered waits until requests of all classes that began from now on have
-// completed, n of each in a row.
-func (ld *load) recovered(ctx context.Context, n int) error {
+// awaitRecovery waits until n consecutive requests of each class that start from now on
+// have completed.
+func (ld *load) awaitRecovery(ctx context.Context, n int) error {
 	from := time.Now()
 	return ld.await(ctx, "requests of all classes complete again", func(as map[string][]client.Attempt) bool {
-		good, last := map[string]int{}, map[string]time.Time{}
+		completed, last := map[string]int{}, map[string]time.Time{}
 		for _, tries := range as {
 			if a := tries[len(tries)-1]; a.Final && a.Result != client.Completed && a.At.After(last[a.Class]) {
 				last[a.Class] = a.At
@@ -83,72 +83,73 @@
 		for _, tries := range as {
 			a := tries[len(tries)-1]
 			if a.Result == client.Completed && a.At.After(from) && a.At.After(last[a.Class]) {
-				good[a.Class]++
+				completed[a.Class]++
 			}
 		}
-		return good["read"] >= n && good["write"] >= n && good["publish"] >= n
+		return completed["read"] >= n && completed["write"] >= n && completed["publish"] >= n
 	})
 }
 
-// end stops the load, waits until nothing runs, and judges all attempts.
-func (ld *load) end(ctx context.Context) error {
+// finish stops the load, waits until all targets are idle, and checks all requests.
+func (ld *load) finish(ctx context.Context) error {
 	ld.stop()
 	if err := <-ld.done; err != nil {
 		return err
 	}
-	if err := ld.lab.quiet(ctx); err != nil {
+	if err := ld.lab.awaitIdle(ctx); err != nil {
 		return err
 	}
-	t, err := ld.lab.tally(hosts)
+	t, err := ld.lab.countRuns(serviceOfClass)
 	if err != nil {
 		return err
 	}
 	for mark, as := range ld.attempts {
-		if err := judge(mark, as, t); err != nil {
+		if err := checkRequest(mark, as, t); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// gaveUp reports requests that the end of the load canceled; of their outcome
-// nothing may be concluded.
-func gaveUp(as []client.Attempt) bool {
+// canceledAtEnd reports whether the end of the load canceled a request. Its outcome is
+// then undefined.
+func canceledAtEnd(as []client.Attempt) bool {
 	return errors.Is(as[len(as)-1].Err, context.Canceled)
 }
 
-// allowance is the extra attempts of the lab's classes, over the whole chain.
-const allowance = 2
+// extraAttempts is the number of extra attempts of the lab's classes over the whole call
+// chain.
+const extraAttempts = 2
 
-// judge holds what a request's caller was told against what ran.
-func judge(mark string, as []client.Attempt, t tally) error {
+// checkRequest compares the outcomes that a request's caller saw with the runs at targets.
+func checkRequest(mark string, as []client.Attempt, t runCounts) error {
 	last := as[len(as)-1]
 	for _, a := range as {
 		switch a.Result {
 		case client.Wrong, client.Partial:
 			return status.Wrap(CodeBroken, a.Err, "%s: %s answer", mark, a.Result)
 		case client.Completed:
-			if t.own[mark] == 0 {
+			if t.atService[mark] == 0 {
 				return status.New(CodeBroken, "%s: completed without a run", mark)
 			}
 		}
 	}
-	once := last.Class != "read"
+	atMostOnce := last.Class != "read"
 	switch {
-	case once && t.own[mark] > 1:
-		return status.New(CodeBroken, "%s: ran %d times", mark, t.own[mark])
-	case !once && t.all[mark] > 2+allowance:
-		return status.New(CodeBroken, "%s: %d runs of a chain of two with %d extra attempts", mark, t.all[mark], allowance)
+	case atMostOnce && t.atService[mark] > 1:
+		return status.New(CodeBroken, "%s: ran %d times", mark, t.atService[mark])
+	case !atMostOnce && t.all[mark] > 2+extraAttempts:
+		return status.New(CodeBroken, "%s: %d runs of a call chain of two hops with %d extra attempts", mark, t.all[mark], extraAttempts)
 	case last.Result == client.Refused && t.all[mark] > 0:
 		return status.New(CodeBroken, "%s: refused as %s, but ran %d times", mark, last.Code, t.all[mark])
 	}
 	return nil
 }
 
-// quiet waits until no target runs anything.
-func (l *Lab) quiet(ctx context.Context) error {
+// awaitIdle waits until all targets and nodes are idle.
+func (l *Lab) awaitIdle(ctx context.Context) error {
 	for _, h := range l.Fleet.Hosts {
-		if err := await(ctx, "nothing runs at "+h.Name, func() bool { return idle(h) }); err != nil {
+		if err := await(ctx, "idle: "+h.Name, func() bool { return idle(h) }); err != nil {
 			return err
 		}
 	}
@@ -156,7 +157,7 @@
 }
 
 func idle(h *harness.Host) bool {
-	c, err := counters(h)
+	c, err := fetchCounters(h)
 	if err != nil || c.InFlight > 0 || c.Queued > 0 {
 		return false
 	}
--- a/bench/faults/operators.go
+++ b/bench/faults/operators.go
@@ -13,51 +13,50 @@
 	"peardrift/internal/status"
 )
 
-// operators is how many submit a set at the same time.
+// operators is the number of operators that submit a set concurrently.
 const operators = 4
 
-// exitConflict is the tool's exit code for a set on an old base.
+// exitConflict is the exit code of the tool for a set on an outdated base.
 const exitConflict = 4
 
-// Symptom: two operators both believe that their set is in force, or nodes
-// follow different ones.
-// Events: several submit a set on the same base at the same time.
-// Cause: a set is accepted without a look at what is accepted.
+// twoOperators has several operators submit a set on the same base concurrently. It
+// guards against two operators being told of success, or nodes following different
+// sets, because a set is accepted without comparing its base with the accepted version.
 func twoOperators(ctx context.Context, l *Lab) (Row, error) {
 	codes, err := l.submitTogether(ctx, 40)
 	if err != nil {
 		return Row{}, err
 	}
-	won, lost := 0, 0
+	accepted, conflicts := 0, 0
 	for _, code := range codes {
 		switch code {
 		case 0:
-			won++
+			accepted++
 		case exitConflict:
-			lost++
+			conflicts++
 		}
 	}
-	if won != 1 || lost != operators-1 {
-		return Row{}, status.New(CodeBroken, "%d of %d operators won, %d were told of a conflict: exit codes %v", won, operators, lost, codes)
+	if accepted != 1 || conflicts != operators-1 {
+		return Row{}, status.New(CodeBroken, "%d of %d operators succeeded, %d were told of a conflict: exit codes %v", accepted, operators, conflicts, codes)
 	}
 	l.version++
 	at := time.Now()
-	if err := l.inForce(ctx); err != nil {
+	if err := l.awaitVersion(ctx); err != nil {
 		return Row{}, err
 	}
 	took := time.Since(at).Round(time.Millisecond)
 	return Row{Note: fmt.Sprintf("1 of %d won, in force on all nodes %v after the last was told", operators, took)}, nil
 }
 
-// submitTogether has several operators submit a set on the same base, each with
-// another number of slots, and returns the exit codes that their tools ended with.
-// None may be that of a set in force: to submit that one changes nothing, and is
-// told as accepted.
+// submitTogether has several operators submit a set on the same base, each with a
+// different number of slots from slots on, and returns the exit codes of their tools.
+// No number may equal that of the set in force: resubmitting an unchanged set is
+// reported as accepted.
 func (l *Lab) submitTogether(ctx context.Context, slots int) ([]int, error) {
 	codes := make([]int, operators)
 	var wg sync.WaitGroup
 	for i := range operators {
-		dir, err := l.setOf(slots + i)
+		dir, err := l.writeSetWithSlots(slots + i)
 		if err != nil {
 			return nil, err
 		}
@@ -69,25 +68,26 @@
 	return codes, nil
 }
 
-// setOf writes the lab's set with another number of slots of its first service.
-func (l *Lab) setOf(slots int) (dir string, err error) {
+// writeSetWithSlots writes the lab's set with the given number of slots for its first
+// service and returns its directory.
+func (l *Lab) writeSetWithSlots(slots int) (dir string, err error) {
 	dir = filepath.Join(l.Fleet.Dir, fmt.Sprint("set-", slots))
 	return dir, l.writeSet(dir, strings.Replace(configSet, "slots: 50", "slots: "+strconv.Itoa(slots), 1))
 }
 
-// inForce waits until all nodes follow the version accepted last.
-func (l *Lab) inForce(ctx context.Context) error {
+// awaitVersion waits until the last accepted version is in force at all nodes.
+func (l *Lab) awaitVersion(ctx context.Context) error {
 	for _, h := range l.Fleet.Hosts {
-		if err := l.follows(ctx, h); err != nil {
+		if err := l.awaitVersionAt(ctx, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// follows waits until a host's node follows the version accepted last.
-func (l *Lab) follows(ctx context.Context, h *harness.Host) error {
-	return await(ctx, h.Name+" follows the set", func() bool {
+// awaitVersionAt waits until the last accepted version is in force at a host's node.
+func (l *Lab) awaitVersionAt(ctx context.Context, h *harness.Host) error {
+	return await(ctx, h.Name+" has the set in force", func() bool {
 		s, err := h.Status()
 		return err == nil && s.Versions["lab"] == l.version
 	})
--- a/bench/faults/outage.go
+++ b/bench/faults/outage.go
@@ -9,45 +9,43 @@
 	"peardrift/internal/status"
 )
 
-// Symptom: reads fail while the platform is down, or a publish runs without a
-// claim, or never comes to an end.
-// Events: the platform breaks every connection for seconds.
-// Cause: something of the running fleet waits for the platform.
+// platformDown makes the platform break every connection for 3 s. It guards against
+// reads that fail, and publishes that run without a claim or never finish, because
+// part of the running fleet waits for the platform.
 func platformDown(ctx context.Context, l *Lab) (Row, error) {
 	return l.outage(ctx, platform.Faults{Down: true})
 }
 
-// Symptom: as above. Events: the platform answers after two seconds.
+// platformSlow guards against the same failures when the platform answers after 2 s.
 func platformSlow(ctx context.Context, l *Lab) (Row, error) {
 	return l.outage(ctx, platform.Faults{DelayMS: 2000})
 }
 
-// Symptom: a publish runs twice, or is never run. Events: every second write of
-// the platform takes effect and its answer is lost.
+// answersLost makes every second platform write take effect without a response. It
+// guards against a publish that runs twice or never.
 func answersLost(ctx context.Context, l *Lab) (Row, error) {
 	return l.outage(ctx, platform.Faults{LoseAnswerEvery: 2})
 }
 
-// outage plays a fault of the platform, and holds that nothing but publishes
-// suffers.
+// outage injects a platform fault for 3 s and checks that it affects publishes only.
 func (l *Lab) outage(ctx context.Context, f platform.Faults) (Row, error) {
-	ld := l.begin(ctx, l.entries("feed"), classes(rate))
-	row, err := ld.play(ctx, func() error { return l.faults(f) }, pause(ctx, 3*time.Second),
-		func() error { return l.faults(platform.Faults{}) })
-	if end := ld.end(ctx); err == nil {
+	ld := l.startLoad(ctx, l.callerURLs("feed"), classes(arrivalRate))
+	row, err := ld.play(ctx, func() error { return l.setPlatformFaults(f) }, pause(ctx, 3*time.Second),
+		func() error { return l.setPlatformFaults(platform.Faults{}) })
+	if end := ld.finish(ctx); err == nil {
 		err = end
 	}
 	if err == nil {
-		err = ld.unharmed("read", "write")
+		err = ld.checkCompleted("read", "write")
 	}
 	return row, err
 }
 
-// unharmed holds that all requests of classes completed.
-func (ld *load) unharmed(classes ...string) error {
+// checkCompleted checks that all requests of the given classes completed.
+func (ld *load) checkCompleted(classes ...string) error {
 	for mark, as := range ld.attempts {
 		a := as[len(as)-1]
-		if gaveUp(as) {
+		if canceledAtEnd(as) {
 			continue
 		}
 		for _, c := range classes {
@@ -59,41 +57,40 @@
 	return nil
 }
 
-// Symptom: a node that starts during an outage serves nothing until it is over,
-// or serves by no configuration or an old one.
-// Events: the platform is down; a node starts anew, with nothing kept; its
-// settings name peers. Cause: the way to peers and sets leads over the platform.
+// startInOutage starts a node without stored state while the platform is down; its
+// settings name peers. It guards against a node that does not serve until the outage
+// ends, or serves with no or an outdated configuration, because it finds peers and
+// sets only through the platform.
 func startInOutage(ctx context.Context, l *Lab) (Row, error) {
 	h := l.host("archive", 2)
-	return l.play(ctx, l.entries("feed"), func() error {
-		if err := l.faults(platform.Faults{Down: true}); err != nil {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
+		if err := l.setPlatformFaults(platform.Faults{Down: true}); err != nil {
 			return err
 		}
 		l.killNode(h)
-		return firstOf(l.startNode(ctx, h), l.whole(ctx))
+		return firstError(l.startNode(ctx, h), l.awaitAllReady(ctx))
 	}, func() error {
 		s, err := h.Status()
 		if err == nil && s.Versions["lab"] != l.version {
-			err = status.New(CodeBroken, "version %d in force, %d was accepted", s.Versions["lab"], l.version)
+			err = status.New(CodeBroken, "version %d is in force, but %d was accepted", s.Versions["lab"], l.version)
 		}
 		return err
-	}, func() error { return l.faults(platform.Faults{}) })
+	}, func() error { return l.setPlatformFaults(platform.Faults{}) })
 }
 
-// Symptom: what each failure alone leaves whole is lost by both.
-// Events: the platform goes down, then a node and a target of another host die,
-// and come back while it is still down.
-// Cause: recovery from the one needs what the other has taken.
+// outageAndDeaths takes the platform down, kills a node and the target of another host,
+// and restarts both during the outage. It guards against a recovery from one failure
+// that depends on what the other failure made unavailable.
 func outageAndDeaths(ctx context.Context, l *Lab) (Row, error) {
 	a, n := l.host("archive", 2), l.host("notices", 2)
-	return l.play(ctx, l.entries("feed"), func() error {
-		if err := l.faults(platform.Faults{Down: true}); err != nil {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
+		if err := l.setPlatformFaults(platform.Faults{Down: true}); err != nil {
 			return err
 		}
 		l.killNode(n)
 		a.Target.Kill()
 		return nil
 	}, func() error {
-		return firstOf(l.Fleet.StartTarget(a), l.startNode(ctx, n), l.whole(ctx))
-	}, func() error { return l.faults(platform.Faults{}) })
+		return firstError(l.Fleet.StartTarget(a), l.startNode(ctx, n), l.awaitAllReady(ctx))
+	}, func() error { return l.setPlatformFaults(platform.Faults{}) })
 }
--- a/bench/faults/process.go
+++ b/bench/faults/process.go
@@ -10,64 +10,63 @@
 	"peardrift/internal/link"
 )
 
-// Symptom: requests are lost for long, run twice, or are said not to have run.
-// Events: the node of one target of two is killed, with calls in all stages.
-// Cause: callers go on calling it, or take a broken connection for a refusal.
+// nodeKilled kills the node of one of two targets with calls in all stages. It guards
+// against requests that fail for long, run twice, or are reported as not run, because
+// callers keep calling the node or treat a broken connection as a refusal.
 func nodeKilled(ctx context.Context, l *Lab) (Row, error) {
 	a, n := l.host("archive", 1), l.host("notices", 1)
-	return l.play(ctx, l.entries("feed"), func() error {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
 		l.killNode(a)
 		l.killNode(n)
 		return nil
 	}, pause(ctx, time.Second), func() error {
-		return firstOf(l.startNode(ctx, a), l.startNode(ctx, n), l.whole(ctx))
+		return firstError(l.startNode(ctx, a), l.startNode(ctx, n), l.awaitAllReady(ctx))
 	})
 }
 
-// Symptom: as above; or a publish that was claimed before the pause runs after
-// it, though its caller sent it again meanwhile.
-// Events: a node is frozen longer than its calls' deadlines, and resumed.
-// Cause: a paused holder goes on as if no time had passed.
+// nodeFrozen freezes nodes for longer than read and write deadlines and resumes them. It
+// guards against the failures above, and against a publish claimed before the pause
+// that runs after it although the caller has retried, because a paused claim holder
+// does not notice the elapsed time.
 func nodeFrozen(ctx context.Context, l *Lab) (Row, error) {
 	a, n := l.host("archive", 1), l.host("notices", 1)
-	return l.play(ctx, l.entries("feed"), func() error {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
 		a.Node.Signal(syscall.SIGSTOP)
 		n.Node.Signal(syscall.SIGSTOP)
 		return nil
 	}, pause(ctx, 3*time.Second), func() error {
 		a.Node.Signal(syscall.SIGCONT)
 		n.Node.Signal(syscall.SIGCONT)
-		return l.whole(ctx)
+		return l.awaitAllReady(ctx)
 	})
 }
 
-// Symptom: requests fail long after a target has died, or its node's other
-// requests are blamed for the death.
-// Events: targets are killed with work in flight, and started again.
-// Cause: the node waits for the health endpoint to tell.
+// targetKilled kills targets with work in flight and restarts them. It guards against
+// requests that fail long after the crash, or are blamed for it, because the node
+// learns of a crash only from the health endpoint.
 func targetKilled(ctx context.Context, l *Lab) (Row, error) {
 	a, n := l.host("archive", 1), l.host("notices", 1)
-	return l.play(ctx, l.entries("feed"), func() error {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
 		a.Target.Kill()
 		n.Target.Kill()
 		return nil
 	}, pause(ctx, time.Second), func() error {
-		return firstOf(l.Fleet.StartTarget(a), l.Fleet.StartTarget(n), l.whole(ctx))
+		return firstError(l.Fleet.StartTarget(a), l.Fleet.StartTarget(n), l.awaitAllReady(ctx))
 	})
 }
 
-// Symptom: calls hang until their deadline, one after the other.
-// Events: the open connections to a target go silent; new ones work.
-// Cause: idle connections that may be dead carry further calls.
+// targetSilent silences the open connections to a target while new ones work. It guards
+// against successive calls that hang until their deadline because idle connections
+// that may be dead are reused.
 func targetSilent(ctx context.Context, l *Lab) (Row, error) {
-	return l.play(ctx, l.entries("feed"), func() error {
-		return post("http://"+l.host("archive", 1).Addr.Target+"/control/silence", nil)
+	return l.play(ctx, l.callerURLs("feed"), func() error {
+		return postControl("http://"+l.host("archive", 1).Addr.Target+"/control/silence", nil)
 	}, pause(ctx, 2*time.Second), nil)
 }
 
-// Symptom: as above. Events: the open connections to two nodes go silent.
+// nodesSilent guards against the same failure on the open connections to two nodes.
 func nodesSilent(ctx context.Context, l *Lab) (Row, error) {
-	return l.play(ctx, l.entries("feed"), func() error {
+	return l.play(ctx, l.callerURLs("feed"), func() error {
 		l.Links[l.host("archive", 1).Name].Break(link.Silence)
 		l.Links[l.host("notices", 1).Name].Break(link.Silence)
 		return nil
@@ -78,15 +77,15 @@
 	})
 }
 
-// killNode kills a host's node; its address refuses connections from then on.
+// killNode kills a host's node and makes its address refuse connections.
 func (l *Lab) killNode(h *harness.Host) {
 	h.Node.Kill()
 	l.Links[h.Name].Break(link.Kill)
 }
 
-// startNode starts a host's node again and lets connections to it in.
+// startNode restarts a host's node and lets connections through its link again.
 func (l *Lab) startNode(ctx context.Context, h *harness.Host) error {
-	l.Links[h.Name].Break(link.Kill) // of one that ended by itself
+	l.Links[h.Name].Break(link.Kill) // in case the node exited by itself
 	if err := l.Fleet.StartNode(h); err != nil {
 		return err
 	}
@@ -97,22 +96,22 @@
 		}
 		return err == nil
 	})
-	return firstOf(err, l.Links[h.Name].Up())
+	return firstError(err, l.Links[h.Name].Up())
 }
 
-// whole waits until all nodes take calls and know each other.
-func (l *Lab) whole(ctx context.Context) error {
+// awaitAllReady waits until all nodes are ready and know each other.
+func (l *Lab) awaitAllReady(ctx context.Context) error {
 	for _, h := range l.Fleet.Hosts {
-		if err := l.ready(ctx, h); err != nil {
+		if err := l.awaitReady(ctx, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ready waits until a host's node takes calls for its target.
-func (l *Lab) ready(ctx context.Context, h *harness.Host) error {
-	return await(ctx, h.Name+" takes calls", func() bool {
+// awaitReady waits until a host's node accepts calls for its target.
+func (l *Lab) awaitReady(ctx context.Context, h *harness.Host) error {
+	return await(ctx, h.Name+" accepts calls", func() bool {
 		s, err := h.Status()
 		return err == nil && s.Ready && s.Complete && !s.Leaving && s.Members["alive"] == len(l.Fleet.Hosts)
 	})
--- a/bench/faults/runs.go
+++ b/bench/faults/runs.go
@@ -12,14 +12,14 @@
 
 const runsSuffix = ".runs"
 
-// run is one line of a target's file of runs.
+// run is one line of a target's run log.
 type run struct{ service, path, key, mark string }
 
-// runs reads what has run so far, on all targets that ever lived.
+// runs reads all runs so far, of all target processes, including exited ones.
 func (l *Lab) runs() ([]run, error) {
 	files, err := filepath.Glob(filepath.Join(l.Fleet.Dir, "*"+runsSuffix))
 	if err != nil {
-		return nil, status.Wrap(harness.CodeHarness, err, "files of runs")
+		return nil, status.Wrap(harness.CodeHarness, err, "list the run logs")
 	}
 	var all []run
 	for _, name := range files {
@@ -35,7 +35,7 @@
 func readRuns(name string) (rs []run, err error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, status.Wrap(harness.CodeHarness, err, "file of runs")
+		return nil, status.Wrap(harness.CodeHarness, err, "open the run log")
 	}
 	defer f.Close()
 	for sc := bufio.NewScanner(f); sc.Scan(); {
@@ -46,23 +46,23 @@
 	return rs, nil
 }
 
-// tally counts the runs of each mark: in all, and at the service that the
-// request went to.
-type tally struct{ all, own map[string]int }
+// runCounts counts the runs of each mark: at all services, and at the service that the
+// request was sent to.
+type runCounts struct{ all, atService map[string]int }
 
-func (l *Lab) tally(hosts map[string]string) (tally, error) {
-	t := tally{map[string]int{}, map[string]int{}}
+func (l *Lab) countRuns(hosts map[string]string) (runCounts, error) {
+	t := runCounts{map[string]int{}, map[string]int{}}
 	rs, err := l.runs()
 	for _, r := range rs {
 		t.all[r.mark]++
 		if r.service == hosts[classOf(r.mark)] {
-			t.own[r.mark]++
+			t.atService[r.mark]++
 		}
 	}
 	return t, err
 }
 
-// classOf returns the class in a mark of the stand-in caller's.
+// classOf returns the class in a mark set by the stand-in client.
 func classOf(mark string) string {
 	class, _, _ := strings.Cut(mark, "-")
 	return class
--- a/bench/faults/scenario.go
+++ b/bench/faults/scenario.go
@@ -10,35 +10,35 @@
 	"peardrift/bench/standin/client"
 )
 
-// Row is what a scenario measured.
+// Row holds the measurements of a scenario.
 type Row struct {
 	Name string
-	Sent int // requests
-	// Lost are requests whose last attempt did not complete, by what it was told.
+	Sent int // number of requests
+	// Lost counts requests whose last attempt did not complete, by its result.
 	Lost map[client.Result]int
-	// Noticed is the time from the fault to the last attempt that did not
-	// complete: from then on the fault costs nothing.
+	// Noticed is the time from the fault to the last attempt that did not complete;
+	// after it the fault has no effect.
 	Noticed time.Duration
 	Note    string
 	Took    time.Duration
 }
 
-// Scenario plays one failure on a lab and leaves it whole again. Its error says
-// what did not hold.
+// Scenario injects one failure into a lab and restores it. Its error names the
+// guarantee that was violated.
 type Scenario struct {
 	Name string
 	Play func(ctx context.Context, l *Lab) (Row, error)
 }
 
-// Run plays the scenario.
+// Run plays the scenario and returns its row with name and duration.
 func (s Scenario) Run(ctx context.Context, l *Lab) (Row, error) {
-	began := time.Now()
+	start := time.Now()
 	row, err := s.Play(ctx, l)
-	row.Name, row.Took = s.Name, time.Since(began)
+	row.Name, row.Took = s.Name, time.Since(start)
 	return row, err
 }
 
-// All returns the scenarios in the order in which they are played.
+// All returns the scenarios in the order in which they run.
 func All() []Scenario {
 	return []Scenario{
 		{"node killed", nodeKilled},
@@ -49,12 +49,12 @@
 		{"platform down for 3 s", platformDown},
 		{"platform slow for 3 s", platformSlow},
 		{"writes applied, answers lost", answersLost},
-		{"request that crashes targets", crashes},
+		{"request that crashes targets", crashingRequest},
 		{"two operators at once", twoOperators},
 		{"node starts in an outage", startInOutage},
 		{"outage, node and target killed", outageAndDeaths},
-		{"drain", drained},
-		{"drain, then node killed", drainedThenKilled},
+		{"drain", nodeDrained},
+		{"drain, then node killed", nodeDrainedThenKilled},
 		{"node stopped before target", nodeStopsFirst},
 		{"target stopped before node", targetStopsFirst},
 		{"node stopped in overload", stopInOverload},
@@ -65,34 +65,34 @@
 		{"operators at once, answers lost", operatorsInOutage},
 		{"connections silent, node killed", silentAndKilled},
 		{"overload, connections silent", silentInOverload},
-		{"node frozen until held dead, new set", frozenTillDead},
+		{"node frozen until held dead, new set", frozenUntilDead},
 	}
 }
 
-// rate is the arrivals of each class a second, small enough for a busy machine.
-const rate = 60
+// arrivalRate is the arrival rate of each class in requests/s, low enough for a busy machine.
+const arrivalRate = 60
 
-// steady is how many requests of each class complete in a row when the fleet
-// is well.
-const steady = 10
+// healthyStreak is the number of consecutive requests of each class that must complete for
+// the fleet to count as healthy.
+const healthyStreak = 10
 
-// play runs a load through all nodes of the services that stay, breaks
-// something, waits for while, mends it, and waits until requests complete again.
-func (l *Lab) play(ctx context.Context, urls []string, breaks, while, mends func() error) (Row, error) {
-	ld := l.begin(ctx, urls, classes(rate))
-	row, err := ld.play(ctx, breaks, while, mends)
-	if end := ld.end(ctx); err == nil {
+// play runs a load through the nodes at urls, injects a fault, runs a step during the
+// fault, repairs it, and waits until requests complete again.
+func (l *Lab) play(ctx context.Context, urls []string, inject, during, repair func() error) (Row, error) {
+	ld := l.startLoad(ctx, urls, classes(arrivalRate))
+	row, err := ld.play(ctx, inject, during, repair)
+	if end := ld.finish(ctx); err == nil {
 		err = end
 	}
 	return row, err
 }
 
-func (ld *load) play(ctx context.Context, breaks, while, mends func() error) (Row, error) {
-	if err := ld.recovered(ctx, steady); err != nil {
+func (ld *load) play(ctx context.Context, inject, during, repair func() error) (Row, error) {
+	if err := ld.awaitRecovery(ctx, healthyStreak); err != nil {
 		return Row{}, err
 	}
 	at := time.Now()
-	for _, step := range []func() error{breaks, while, mends} {
+	for _, step := range []func() error{inject, during, repair} {
 		if step == nil {
 			continue
 		}
@@ -100,24 +100,24 @@
 			return Row{}, err
 		}
 	}
-	if err := ld.recovered(ctx, steady); err != nil {
+	if err := ld.awaitRecovery(ctx, healthyStreak); err != nil {
 		return Row{}, err
 	}
-	return ld.row(at), nil
+	return ld.measure(at), nil
 }
 
-// row measures what a fault at a time has cost so far.
-func (ld *load) row(at time.Time) Row {
+// measure measures the effect so far of a fault that began at a time.
+func (ld *load) measure(faultStart time.Time) Row {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	r := Row{Sent: len(ld.attempts), Lost: map[client.Result]int{}}
 	for _, as := range ld.attempts {
-		if gaveUp(as) {
+		if canceledAtEnd(as) {
 			continue
 		}
 		for _, a := range as {
-			if a.Result != client.Completed && a.At.Sub(at) > r.Noticed {
-				r.Noticed = a.At.Sub(at)
+			if a.Result != client.Completed && a.At.Sub(faultStart) > r.Noticed {
+				r.Noticed = a.At.Sub(faultStart)
 			}
 		}
 		if a := as[len(as)-1]; a.Final && a.Result != client.Completed {
@@ -127,7 +127,7 @@
 	return r
 }
 
-// pause returns a step that waits.
+// pause returns a step that sleeps for d.
 func pause(ctx context.Context, d time.Duration) func() error {
 	return func() error {
 		select {
