--- a/bench/overload/doc.go
+++ b/bench/overload/doc.go
@@ -1,8 +1,8 @@
-// Package overload plays scenarios of the replay on real processes: the same
-// trace, slots and service times, with nodes, and once more straight at targets
-// without nodes. It judges what callers were told against what the targets ran,
-// and sets the figures beside those that the replay predicts.
+// Package overload runs scenarios of the replay on real processes: with the same
+// trace, slots and service times, through nodes and directly against targets without
+// nodes. It compares the outcomes that callers saw with what the targets ran, and the
+// measurements with the predictions of the replay.
 //
-// Deployments are made smaller and slower (Size) until the targets' slots are
-// the narrow place, not the machine's processor.
+// Deployments are scaled down and slowed (Size) until the targets' slots, not the
+// machine's processors, are the bottleneck.
 package overload
--- a/bench/overload/dump.go
+++ b/bench/overload/dump.go
@@ -12,9 +12,9 @@
 	"peardrift/internal/node"
 )
 
-// Dump takes, as lines of JSON, each attempt of the clients' and each node's
-// gate ten times a second: to find out why a run differs from the replay. It is
-// safe for concurrent use; nil takes nothing.
+// Dump records, as lines of JSON, each client attempt and each node's gate state ten
+// times a second, to diagnose why a run differs from the replay. It is safe for
+// concurrent use; a nil Dump records nothing.
 type Dump struct {
 	mu  sync.Mutex
 	enc *json.Encoder
@@ -23,8 +23,8 @@
 // NewDump returns a Dump that writes to w.
 func NewDump(w io.Writer) *Dump { return &Dump{enc: json.NewEncoder(w)} }
 
-// Line is one line of a Dump, of an attempt or of a gate. Times are in ms, T
-// since the start of the trace.
+// Line is one line of a Dump, for an attempt or a gate state. Times are in ms; T is
+// relative to the start of the trace.
 type Line struct {
 	T      int64         `json:"t"`
 	Class  string        `json:"class,omitempty"`
@@ -38,42 +38,42 @@
 	Gate   *node.Gate    `json:"gate,omitempty"`
 }
 
-func (d *Dump) put(l Line) {
+func (d *Dump) write(l Line) {
 	if d == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.enc.Encode(l) // a diagnostic: what can't be written is missing
+	_ = d.enc.Encode(l) // best effort: the dump is diagnostic only
 }
 
-func (d *Dump) attempt(start time.Time, a client.Attempt) {
+func (d *Dump) recordAttempt(start time.Time, a client.Attempt) {
 	l := Line{T: a.At.Sub(start).Milliseconds(), Class: a.Class, Mark: a.Mark, Try: a.N, Took: a.Took.Milliseconds(), Result: a.Result, Code: a.Code}
 	if a.Err != nil {
 		l.Err = a.Err.Error()
 	}
-	d.put(l)
+	d.write(l)
 }
 
 const dumpPeriod = 100 * time.Millisecond
 
-// gates notes the nodes' gates until ctx ends.
-func (d *Dump) gates(ctx context.Context, start time.Time, hosts []*harness.Host) {
+// recordGates records the state of the nodes' gates every dumpPeriod until ctx ends.
+func (d *Dump) recordGates(ctx context.Context, start time.Time, hosts []*harness.Host) {
 	if d == nil {
 		return
 	}
-	tick := time.NewTicker(dumpPeriod)
-	defer tick.Stop()
+	ticker := time.NewTicker(dumpPeriod)
+	defer ticker.Stop()
 	for {
 		for _, h := range hosts {
 			if s, err := h.Status(); err == nil {
-				d.put(Line{T: time.Since(start).Milliseconds(), Node: h.Name, Gate: &s.Gate})
+				d.write(Line{T: time.Since(start).Milliseconds(), Node: h.Name, Gate: &s.Gate})
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
--- a/bench/overload/guarantees.go
+++ b/bench/overload/guarantees.go
@@ -5,40 +5,40 @@
 	"peardrift/internal/status"
 )
 
-// CodeBroken: something did not hold that must.
+// CodeBroken means that a guarantee was violated.
 const CodeBroken status.Code = "overload-broken"
 
-// Broken counts what must never be. Straight targets promise none of it.
+// Broken counts violations of the guarantees. Targets without nodes give none of them.
 type Broken struct {
 	Twice    int // at-most-once requests that ran more than once
-	FalseNot int // requests that were told "refused" only, and ran
-	Wrong    int // answers that were another request's
-	Partial  int // answers that ended as if they were whole
+	FalseNot int // requests that ran although their callers had only seen refusals
+	Wrong    int // answers that belong to another request
+	Partial  int // truncated answers that ended like complete ones
 	NoRun    int // completed requests without a run
 }
 
-// Err returns the first promise that was broken.
+// Err returns an error with all counts if any guarantee was violated, else nil.
 func (b Broken) Err() error {
 	if b == (Broken{}) {
 		return nil
 	}
-	return status.New(CodeBroken, "%d ran twice, %d were falsely told not run, %d wrong and %d partial answers, %d completed without a run",
+	return status.New(CodeBroken, "%d ran more than once, %d were refused but ran, %d wrong and %d partial answers, %d completed without a run",
 		b.Twice, b.FalseNot, b.Wrong, b.Partial, b.NoRun)
 }
 
-// judge holds what callers were told against what ran.
-func (l *Lab) judge(p *played) (b Broken, err error) {
-	begun, err := l.begun(p.nodes)
+// checkGuarantees compares the outcomes that callers saw with the runs at targets.
+func (l *Lab) checkGuarantees(p *playback) (b Broken, err error) {
+	begun, err := l.startedRuns(p.nodes)
 	if err != nil {
 		return b, err
 	}
-	work, err := l.work(p.nodes)
+	work, err := l.finishedRuns(p.nodes)
 	if err != nil {
 		return b, err
 	}
 	for mark, as := range p.attempts {
 		class := l.Case.Dep.Class(as[0].Class)
-		own := begun[[2]string{l.Case.full(class.Root.Service), mark}]
+		own := begun[[2]string{l.Case.fullName(class.Root.Service), mark}]
 		if class.AtMostOnce && own > 1 {
 			b.Twice++
 		}
@@ -59,9 +59,9 @@
 	return b, nil
 }
 
-// falselyRefused reports whether something ran while the caller had been told
-// nothing but refusals: until the first attempt that ended otherwise. A target
-// that the harness killed lacks its last runs; none is.
+// falselyRefused reports whether a run began while the caller had seen only refusals,
+// that is, before the first attempt with another result. The last runs of a killed
+// target would be missing, but the harness kills no target.
 func falselyRefused(as []client.Attempt, runs []run) bool {
 	if len(runs) == 0 {
 		return false
--- a/bench/overload/lab.go
+++ b/bench/overload/lab.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	startTime  = 90 * time.Second // more than a start takes on a busy machine
-	workSuffix = ".work"
-	runsSuffix = ".runs"
+	startTimeout = 90 * time.Second // exceeds the time a start takes on a busy machine
+	workSuffix   = ".work"
+	runsSuffix   = ".runs"
 )
 
-// Lab is a case's running processes: targets with nodes, and as many without.
+// Lab holds the running processes of a case: targets with nodes, and as many without.
 // Use it from one goroutine; call Close at the end.
 type Lab struct {
 	Case  *Case
 	Fleet *harness.Fleet
-	Dump  *Dump  // of the runs through nodes; nil for none
-	seed  uint64 // of the last target's draws
+	Dump  *Dump  // records the runs through nodes; nil for none
+	seed  uint64 // random seed of the last target
 }
 
-// Open starts the processes of a case and puts its sets in force.
+// Open starts the processes of a case and applies its configuration sets.
 func Open(ctx context.Context, bins harness.Bins, c *Case) (*Lab, error) {
 	f, err := harness.New(bins)
 	if err != nil {
@@ -47,9 +47,9 @@
 
 func (l *Lab) start(ctx context.Context) error {
 	f := l.Fleet
-	f.TuneTarget = l.tune
+	f.TuneTarget = l.tuneTarget
 	f.Tune = func(_ *harness.Host, s *settings.Settings) {
-		for _, other := range f.Hosts { // those planned before it
+		for _, other := range f.Hosts { // those added before this host
 			s.Peers = append(s.Peers, other.Addr.Control)
 		}
 	}
@@ -69,22 +69,22 @@
 			return err
 		}
 	}
-	if err := f.Ready(startTime); err != nil {
+	if err := f.Ready(startTimeout); err != nil {
 		return err
 	}
-	return f.Converged(startTime)
+	return f.Converged(startTimeout)
 }
 
-// tune makes a target what the replay's is. One without a node tries each of
-// its calls as often as the replay's baseline.
-func (l *Lab) tune(h *harness.Host, c *target.Config) {
+// tuneTarget configures a target like the replay's. A target without a node attempts each
+// of its calls as often as the replay's baseline.
+func (l *Lab) tuneTarget(h *harness.Host, c *target.Config) {
 	l.seed++
-	c.Seed, c.Dist, c.Sigma = l.seed, target.DistLognormal, spread
+	c.Seed, c.Dist, c.Sigma = l.seed, target.DistLognormal, serviceTimeSigma
 	c.RunsFile = filepath.Join(l.Fleet.Dir, h.Name+runsSuffix)
 	c.WorkFile = filepath.Join(l.Fleet.Dir, h.Name+workSuffix)
 	c.CallTimeout = l.Case.Dep.Timeout
 	for _, s := range l.Case.Dep.Services {
-		if l.Case.full(s.Name) == h.Service {
+		if l.Case.fullName(s.Name) == h.Service {
 			c.Queue = s.Connections - s.Slots
 		}
 	}
@@ -93,20 +93,20 @@
 	}
 	for i := range c.Routes {
 		for k := range c.Routes[i].Calls {
-			c.Routes[i].Calls[k].Attempts = straightTries
+			c.Routes[i].Calls[k].Attempts = directAttempts
 		}
 	}
 }
 
-// straightTries is the usual default of three attempts at each hop.
-const straightTries = 3
+// directAttempts is the usual default of three attempts at each hop.
+const directAttempts = 3
 
 func (l *Lab) apply(ctx context.Context, tenant string) error {
 	dir := filepath.Join(l.Fleet.Dir, "set-"+tenant)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return status.Wrap(harness.CodeHarness, err, "folder of the set")
+		return status.Wrap(harness.CodeHarness, err, "create the directory of the set")
 	}
-	if err := os.WriteFile(filepath.Join(dir, "set.yaml"), []byte(l.Case.set(tenant)), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "set.yaml"), []byte(l.Case.configSet(tenant)), 0o600); err != nil {
 		return status.Wrap(harness.CodeHarness, err, "write the set")
 	}
 	_, _, err := l.Fleet.Tool(ctx, "apply", "--base", strconv.Itoa(0), "--node", l.Fleet.Hosts[0].Addr.Control, dir)
@@ -121,7 +121,7 @@
 	}
 	var out []*harness.Host
 	for _, h := range all {
-		if h.Service == l.Case.full(service) {
+		if h.Service == l.Case.fullName(service) {
 			out = append(out, h)
 		}
 	}
--- a/bench/overload/measure.go
+++ b/bench/overload/measure.go
@@ -9,61 +9,60 @@
 	"peardrift/bench/standin/client"
 )
 
-// Measured is what a run on processes shows: the replay's figures as far as
-// they can be seen from outside, and what else the processes tell.
+// Measured holds the measurements of a run on processes: the replay's figures as far
+// as they are visible from outside, and those that only processes have.
 type Measured struct {
 	replay.Result
 	Broken Broken
-	// PerDone is how many requests the deep service's targets were sent for each
+	// PerDone is the ratio of the requests sent to the deep service's targets to those
 	// that the completed requests need.
 	PerDone float64
-	// Held is how long targets that call nobody held their slots before the
-	// trigger, for each second that they were told to: above 1 by what the
-	// machine adds.
+	// Held is the ratio of measured to configured slot time, before the trigger, of
+	// targets that make no calls. It exceeds 1 by the overhead of the machine.
 	Held     float64
 	Requests int
-	Tries    int // of clients
+	Tries    int // client attempts
 	Results  map[client.Result]int
-	Codes    map[string]int // of answers, by code
+	Codes    map[string]int // attempts that did not complete, by code
 }
 
-// tally collects one run.
+// tally accumulates the measurements of one run.
 type tally struct {
-	l       *Lab
-	header  workload.Header
-	out     *Measured
-	classes map[string]*series
-	useful  time.Duration
-	useless time.Duration
-	held    time.Duration // before the trigger, at targets that call nobody
-	told    time.Duration // the mean of that by the settings
-	needed  float64       // calls of the deep service that completed requests need
-	refused map[int]map[string]int
-	done    map[int]map[string]bool
+	l         *Lab
+	header    workload.Header
+	out       *Measured
+	classes   map[string]*series
+	useful    time.Duration
+	useless   time.Duration
+	held      time.Duration // slot time before the trigger at targets that make no calls
+	expected  time.Duration // expected slot time of the same runs by their settings
+	needed    float64       // calls of the deep service that completed requests need
+	refused   map[int]map[string]int
+	completed map[int]map[string]bool
 }
 
-// series counts a class's requests by replay.Bin.
-type series struct{ arrived, served, first, done []int }
+// series counts a class's requests per replay.Bin.
+type series struct{ arrived, servedByArrival, firstAttempt, done []int }
 
-// measure judges a played trace and works out its figures.
-func (l *Lab) measure(p *played) (*Measured, error) {
-	broken, err := l.judge(p)
+// measure checks the guarantees on a played trace and computes its measurements.
+func (l *Lab) measure(p *playback) (*Measured, error) {
+	broken, err := l.checkGuarantees(p)
 	if err != nil {
 		return nil, err
 	}
-	work, err := l.work(p.nodes)
+	work, err := l.finishedRuns(p.nodes)
 	if err != nil {
 		return nil, err
 	}
 	t := l.newTally(broken)
 	for mark, as := range p.attempts {
-		t.request(p.start, as)
-		t.spent(as, work[mark])
-		t.hold(p.start, as[0].Class, work[mark])
+		t.addRequest(p.start, as)
+		t.addSlotTime(as, work[mark])
+		t.addSlotRatio(p.start, as[0].Class, work[mark])
 	}
 	t.finish()
-	if t.told > 0 {
-		t.out.Held = t.held.Seconds() / t.told.Seconds()
+	if t.expected > 0 {
+		t.out.Held = t.held.Seconds() / t.expected.Seconds()
 	}
 	if t.needed > 0 {
 		t.out.PerDone = float64(p.deep) / t.needed
@@ -74,33 +73,33 @@
 func (l *Lab) newTally(b Broken) *tally {
 	h := l.Case.Trace.Header
 	t := &tally{l: l, header: h, classes: make(map[string]*series),
-		refused: make(map[int]map[string]int), done: make(map[int]map[string]bool),
+		refused: make(map[int]map[string]int), completed: make(map[int]map[string]bool),
 		out: &Measured{Broken: b, Results: make(map[client.Result]int), Codes: make(map[string]int)}}
-	n := bins(h.Lasts+l.Case.Dep.Patience+l.Case.Dep.Timeout) + 1
+	n := binOf(h.Lasts+l.Case.Dep.Patience+l.Case.Dep.Timeout) + 1
 	for _, c := range l.Case.Dep.Classes {
 		t.classes[c.Name] = &series{make([]int, n), make([]int, n), make([]int, n), make([]int, n)}
 	}
 	return t
 }
 
-func bins(d time.Duration) int { return int(d / replay.Bin) }
+func binOf(d time.Duration) int { return int(d / replay.Bin) }
 
-// request counts one request by its attempts.
-func (t *tally) request(start time.Time, as []client.Attempt) {
+// addRequest counts one request and its attempts.
+func (t *tally) addRequest(start time.Time, as []client.Attempt) {
 	s, last := t.classes[as[0].Class], as[len(as)-1]
-	slot := func(at time.Time) int { return min(max(0, bins(at.Sub(start))), len(s.done)-1) }
-	born := slot(as[0].At)
-	s.arrived[born]++
+	binAt := func(at time.Time) int { return min(max(0, binOf(at.Sub(start))), len(s.done)-1) }
+	arrival := binAt(as[0].At)
+	s.arrived[arrival]++
 	t.out.Requests++
 	t.out.Tries += len(as)
 	t.out.Results[last.Result]++
 	for _, a := range as {
-		end := slot(a.At.Add(a.Took))
+		end := binAt(a.At.Add(a.Took))
 		switch a.Result {
 		case client.Refused:
-			note(t.refused, end, a.Class, func(n int) int { return n + 1 })
+			update(t.refused, end, a.Class, func(n int) int { return n + 1 })
 		case client.Completed:
-			note(t.done, end, a.Class, func(bool) bool { return true })
+			update(t.completed, end, a.Class, func(bool) bool { return true })
 		}
 		if a.Result != client.Completed {
 			t.out.Codes[a.Code]++
@@ -109,38 +108,38 @@
 	if last.Result != client.Completed {
 		return
 	}
-	s.served[born]++
-	s.done[slot(last.At.Add(last.Took))]++
+	s.servedByArrival[arrival]++
+	s.done[binAt(last.At.Add(last.Took))]++
 	if len(as) == 1 {
-		s.first[born]++
+		s.firstAttempt[arrival]++
 	}
-	t.needed += calls(&t.l.Case.Dep.Class(last.Class).Root, t.l.Case.Dep.Deep)
+	t.needed += meanCalls(&t.l.Case.Dep.Class(last.Class).Root, t.l.Case.Dep.Deep)
 }
 
-func note[V any](m map[int]map[string]V, bin int, class string, f func(V) V) {
+func update[V any](m map[int]map[string]V, bin int, class string, f func(V) V) {
 	if m[bin] == nil {
 		m[bin] = make(map[string]V)
 	}
 	m[bin][class] = f(m[bin][class])
 }
 
-// calls is the mean number of calls of a service that one call makes.
-func calls(c *workload.Call, service string) float64 {
+// meanCalls returns the mean number of calls of a service in the call tree of c.
+func meanCalls(c *workload.Call, service string) float64 {
 	n := 0.0
 	if c.Service == service {
 		n = 1
 	}
 	for _, step := range c.Steps {
 		for i := range step {
-			n += float64(step[i].Count) * step[i].Chance * calls(&step[i].Call, service)
+			n += float64(step[i].Count) * step[i].Chance * meanCalls(&step[i].Call, service)
 		}
 	}
 	return n
 }
 
-// spent divides the slot time of a request's runs: useful is that of the
-// attempt that completed.
-func (t *tally) spent(as []client.Attempt, runs []run) {
+// addSlotTime splits the slot time of a request's runs into useful, which belongs to the
+// attempt that completed, and useless.
+func (t *tally) addSlotTime(as []client.Attempt, runs []run) {
 	for _, r := range runs {
 		k := 0
 		for k+1 < len(as) && !as[k+1].At.After(r.began) {
@@ -154,65 +153,65 @@
 	}
 }
 
-// hold compares the slot time of runs that call nobody with what their targets
-// were told.
-func (t *tally) hold(start time.Time, class string, runs []run) {
+// addSlotRatio adds up the measured and the configured slot time of runs that make no
+// calls, before the trigger.
+func (t *tally) addSlotRatio(start time.Time, class string, runs []run) {
 	for _, r := range runs {
 		service, _, _ := strings.Cut(r.service, ".")
-		call := at(t.l.Case.Dep.Class(class), service)
+		call := callAt(t.l.Case.Dep.Class(class), service)
 		if call == nil || len(call.Steps) > 0 || r.began.Sub(start) >= t.header.From {
 			continue
 		}
 		t.held += r.held
-		t.told += call.Work
+		t.expected += call.Work
 	}
 }
 
-// finish works out the figures of the whole run.
+// finish computes the results of the whole run.
 func (t *tally) finish() {
 	d, h, r := t.l.Case.Dep, t.header, &t.out.Result
 	r.Deployment, r.Header, r.Classes = d, h, make(map[string]replay.ClassResult)
-	from, to := bins(h.From), bins(h.To)
+	from, to := binOf(h.From), binOf(h.To)
 	demand := make(map[string]float64)
 	for _, c := range d.Classes {
 		demand[c.Name] = perSecond(t.classes[c.Name].arrived, from, to)
 	}
 	best := d.Best(demand, t.condition())
-	r.Goodput = make([]float64, bins(h.Lasts))
+	r.Goodput = make([]float64, binOf(h.Lasts))
 	for _, c := range d.Classes {
 		s := t.classes[c.Name]
-		one := replay.ClassResult{Demand: demand[c.Name], Best: best[c.Name], Done: perSecond(s.done, from, to), Served: 1, First: 1}
-		if one.Demand > 0 {
-			one.Served, one.First = perSecond(s.served, from, to)/one.Demand, perSecond(s.first, from, to)/one.Demand
+		result := replay.ClassResult{Demand: demand[c.Name], Best: best[c.Name], Done: perSecond(s.done, from, to), Served: 1, First: 1}
+		if result.Demand > 0 {
+			result.Served, result.First = perSecond(s.servedByArrival, from, to)/result.Demand, perSecond(s.firstAttempt, from, to)/result.Demand
 		}
-		r.Classes[c.Name] = one
+		r.Classes[c.Name] = result
 		r.Best += best[c.Name]
-		r.Surge += one.Done
-		r.Normal += perSecond(s.done, min(bins(warmUp), from/2), from)
+		r.Surge += result.Done
+		r.Normal += perSecond(s.done, min(binOf(warmUp), from/2), from)
 		for i := range r.Goodput {
 			r.Goodput[i] += float64(s.done[i]) / replay.Bin.Seconds()
 		}
 	}
 	r.Recovery, r.Recovered = replay.Recovery(r.Goodput, to, r.Normal)
-	if all := t.useful + t.useless; all > 0 {
-		r.Useless = float64(t.useless) / float64(all)
+	if total := t.useful + t.useless; total > 0 {
+		r.Useless = float64(t.useless) / float64(total)
 	}
 	t.inversions()
 }
 
-// warmUp is left out of the mean before the trigger, as in the replay.
+// warmUp is excluded from the mean before the trigger, as in the replay.
 const warmUp = 2 * time.Second
 
-// condition is what the trigger does to the deployment.
+// condition returns the effect of the trigger on the deployment.
 func (t *tally) condition() workload.Condition {
 	d := t.l.Case.Dep
-	in := workload.Condition{Slow: make(map[string]float64), Within: d.Timeout - 2*d.ClientDelay}
+	cond := workload.Condition{Slow: make(map[string]float64), Within: d.Timeout - 2*d.ClientDelay}
 	for _, e := range t.l.Case.Trace.Events {
 		if e.Fault == workload.Slow && e.Factor > 1 {
-			in.Slow[e.Service] = e.Factor
+			cond.Slow[e.Service] = e.Factor
 		}
 	}
-	return in
+	return cond
 }
 
 func perSecond(counts []int, from, to int) float64 {
@@ -223,9 +222,9 @@
 	return float64(n) / (float64(to-from) * replay.Bin.Seconds())
 }
 
-// inversions counts refusals of important classes, and those of them within the
-// same replay.Bin as a completed request that is less important and used the
-// service that refused: the entry's.
+// inversions counts refusals of important classes, and among them the priority
+// inversions: those in the same replay.Bin as a completed request that is less
+// important and used the refusing service, which is the entry service.
 func (t *tally) inversions() {
 	d := t.l.Case.Dep
 	for bin, classes := range t.refused {
@@ -235,8 +234,8 @@
 				continue
 			}
 			t.out.Refused += n
-			for other := range t.done[bin] {
-				if o := d.Class(other); o.Importance < class.Importance && at(o, class.Root.Service) != nil {
+			for other := range t.completed[bin] {
+				if o := d.Class(other); o.Importance < class.Importance && callAt(o, class.Root.Service) != nil {
 					t.out.Inverted += n
 					break
 				}
--- a/bench/overload/overload.go
+++ b/bench/overload/overload.go
@@ -7,17 +7,17 @@
 	"peardrift/internal/status"
 )
 
-// Outcome is a case on processes, beside what the replay makes of it.
+// Outcome holds the results of a case on processes and in the replay.
 type Outcome struct {
 	Case            *Case
-	Nodes, Straight *Measured // nil: not run
-	// Replayed and Uncontrolled are the replay's results of the same trace: with
-	// the parts that a node runs (levels are asked at the entry only), and
+	Nodes, Straight *Measured // nil if not run
+	// Replayed and Uncontrolled are the replay's results for the same trace: with the
+	// controls that a node has (admission levels are checked at the entry only), and
 	// without control.
 	Replayed, Uncontrolled *replay.Result
 }
 
-// Predict returns what the replay makes of a case; no process runs.
+// Predict returns the replay's results of a case. It starts no process.
 func Predict(c *Case) (*Outcome, error) {
 	o := &Outcome{Case: c}
 	var err error
@@ -28,21 +28,21 @@
 	return o, err
 }
 
-// Play plays a case through nodes and then, if straight, at targets without
-// nodes.
-func (l *Lab) Play(ctx context.Context, straight bool) (*Outcome, error) {
+// Play runs a case through nodes and then, if direct is set, directly against
+// targets without nodes.
+func (l *Lab) Play(ctx context.Context, direct bool) (*Outcome, error) {
 	o, err := Predict(l.Case)
 	if err != nil {
 		return nil, err
 	}
-	if o.Nodes, err = l.one(ctx, true); err != nil || !straight {
+	if o.Nodes, err = l.playOnce(ctx, true); err != nil || !direct {
 		return o, err
 	}
-	o.Straight, err = l.one(ctx, false)
+	o.Straight, err = l.playOnce(ctx, false)
 	return o, err
 }
 
-// The replay's policies that stand beside the processes.
+// Policies of the replay that the processes are compared with.
 const (
 	nodePolicy = "early-at-entry"
 	noControl  = "none"
@@ -56,7 +56,7 @@
 	return replay.Run(c.Dep, c.Trace, p, c.Trace.Header.Seed), nil
 }
 
-func (l *Lab) one(ctx context.Context, nodes bool) (*Measured, error) {
+func (l *Lab) playOnce(ctx context.Context, nodes bool) (*Measured, error) {
 	p, err := l.play(ctx, nodes)
 	if err != nil {
 		return nil, err
--- a/bench/overload/overload_test.go
+++ b/bench/overload/overload_test.go
@@ -11,21 +11,19 @@
 	"peardrift/bench/standin/client"
 )
 
-// Symptom: while there is too much to do, something runs twice, a caller is told
-// "not run" of what ran, or payouts and uploads are refused and status checks
-// served.
-// Events: a deep service slows, demand doubles, clients retry hard, on real
-// processes; then all is normal again.
-// Cause: none is known; the replay can't show faults of the wiring.
+// Guards against duplicate runs, false refusals, and payouts and uploads being refused
+// while status checks are served, in an overload on real processes: a deep service
+// slows, demand doubles and clients retry aggressively. No cause is known; the replay
+// can't show integration faults.
 //
-// Only counts are judged, and of the order only what differs by a factor of more
-// than twenty: in a run at a load average of 106, 3% of the least important class
-// were served, 75 and 100% of the important ones.
+// Only counts are checked, and the order of classes only where it differs by a factor
+// of more than 20: in a run at a load average of 106, 3% of the least important class
+// were served, and 75% and 100% of the important ones.
 func TestWorstCaseOnProcesses(t *testing.T) {
 	is := is.New(t)
-	end, err := harness.Turn()
+	release, err := harness.Turn()
 	is.NoErr(err)
-	defer end()
+	defer release()
 	root, err := harness.Root()
 	is.NoErr(err)
 	bins, err := harness.Build(root, t.TempDir())
@@ -36,17 +34,17 @@
 	l, err := Open(t.Context(), bins, c)
 	is.NoErr(err)
 	defer l.Close()
-	out, err := l.Play(t.Context(), false)
+	outcome, err := l.Play(t.Context(), false)
 	is.NoErr(err)
-	is.NoErr(out.Print(t.Output()))
-	is.NoErr(out.Nodes.Broken.Err())
-	is.True(out.Nodes.Results[client.Refused] > 0) // there was an overload
-	least := out.Nodes.Classes["claim-status"].Served
-	is.True(out.Nodes.Classes["upload"].Served >= least)
-	is.True(out.Nodes.Classes["payout-approval"].Served >= least)
+	is.NoErr(outcome.Print(t.Output()))
+	is.NoErr(outcome.Nodes.Broken.Err())
+	is.True(outcome.Nodes.Results[client.Refused] > 0) // there was an overload
+	leastServed := outcome.Nodes.Classes["claim-status"].Served
+	is.True(outcome.Nodes.Classes["upload"].Served >= leastServed)
+	is.True(outcome.Nodes.Classes["payout-approval"].Served >= leastServed)
 }
 
-func TestFalseRefusalsAreSeen(t *testing.T) {
+func TestFalselyRefused(t *testing.T) {
 	start := time.Now()
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	refused := client.Attempt{At: at(0), Result: client.Refused}
@@ -68,7 +66,7 @@
 	}
 }
 
-func TestSlotTimeIsDivided(t *testing.T) {
+func TestSlotTimeSplitIntoUsefulAndUseless(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	as := []client.Attempt{
@@ -76,7 +74,7 @@
 		{At: start.Add(time.Second), Result: client.Completed},
 	}
 	tl := &tally{}
-	tl.spent(as, []run{
+	tl.addSlotTime(as, []run{
 		{began: start, held: 3 * time.Second},
 		{began: start.Add(time.Second), held: 5 * time.Second},
 	})
@@ -84,9 +82,8 @@
 	is.Equal(tl.useful, 5*time.Second)
 }
 
-// The processes must run what the replay plays: as many calls of each class at each
-// service.
-func TestTargetsDoWhatTheReplayDoes(t *testing.T) {
+// The processes must make as many calls of each class at each service as the replay.
+func TestTargetRoutesMatchReplay(t *testing.T) {
 	for _, tc := range []struct{ deployment, scenario string }{{"khaosan", "worst"}, {"kalahari", Stop}, {"shared", Flood}} {
 		t.Run(tc.deployment, func(t *testing.T) {
 			is := is.New(t)
@@ -94,22 +91,22 @@
 			is.NoErr(err)
 			for _, class := range c.Dep.Classes {
 				for _, s := range c.Dep.Services {
-					want := calls(&class.Root, s.Name)
-					is.Equal(want > 0, at(&class, s.Name) != nil)
-					is.True(c.sent(&class, s.Name) == want) // as many calls as the chain has
+					want := meanCalls(&class.Root, s.Name)
+					is.Equal(want > 0, callAt(&class, s.Name) != nil)
+					is.True(c.meanRequests(&class, s.Name) == want) // as many calls as the call chain has
 				}
 			}
 		})
 	}
 }
 
-// sent is the mean number of requests that the targets of a service get for one
-// of the class, worked out from what the targets are told to do.
-func (c *Case) sent(class *workload.Class, service string) float64 {
+// meanRequests returns the mean number of requests that the targets of a service
+// receive per request of a class, computed from the routes of the targets.
+func (c *Case) meanRequests(class *workload.Class, service string) float64 {
 	var count func(name string) float64
 	count = func(name string) float64 {
 		n := 0.0
-		if name == c.full(service) {
+		if name == c.fullName(service) {
 			n = 1
 		}
 		for _, d := range c.deployments() {
@@ -118,7 +115,7 @@
 					continue
 				}
 				for _, r := range s.Routes {
-					if r.Prefix != path(class) {
+					if r.Prefix != pathOf(class) {
 						continue
 					}
 					for _, call := range r.Calls {
@@ -133,5 +130,5 @@
 		}
 		return n
 	}
-	return count(c.full(class.Root.Service))
+	return count(c.fullName(class.Root.Service))
 }
--- a/bench/overload/plan.go
+++ b/bench/overload/plan.go
@@ -13,7 +13,7 @@
 	"peardrift/internal/core/retry"
 )
 
-// deployments returns what the harness starts, one for each tenant.
+// deployments returns the deployments that the harness starts, one per tenant.
 func (c *Case) deployments() []deploy.Deployment {
 	var out []deploy.Deployment
 	for _, tenant := range c.tenants() {
@@ -22,7 +22,7 @@
 			d.Zones = append(d.Zones, fmt.Sprintf("zone-%d", i+1))
 		}
 		for _, s := range c.Dep.Services {
-			if c.tenant(s.Name) == tenant {
+			if c.tenantOf(s.Name) == tenant {
 				d.Services = append(d.Services, deploy.Service{Name: s.Name, Targets: s.Targets, Slots: s.Slots, Routes: c.routes(s.Name)})
 			}
 		}
@@ -31,18 +31,18 @@
 	return out
 }
 
-// tenants lists the owners of services.
+// tenants returns the tenants that own services, without duplicates.
 func (c *Case) tenants() []string {
 	var out []string
 	for _, s := range c.Dep.Services {
-		if t := c.tenant(s.Name); !slices.Contains(out, t) {
+		if t := c.tenantOf(s.Name); !slices.Contains(out, t) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// visit calls f for each call of a class's chain, the root first.
+// visit calls f for each call of a call tree, the root first.
 func visit(call *workload.Call, f func(*workload.Call)) {
 	f(call)
 	for _, step := range call.Steps {
@@ -52,8 +52,8 @@
 	}
 }
 
-// at returns what a class's chain does at a service; nil for nothing.
-func at(class *workload.Class, service string) (found *workload.Call) {
+// callAt returns the call that a class makes at a service, or nil if there is none.
+func callAt(class *workload.Class, service string) (found *workload.Call) {
 	visit(&class.Root, func(call *workload.Call) {
 		if call.Service == service {
 			found = call
@@ -62,10 +62,10 @@
 	return found
 }
 
-func path(class *workload.Class) string { return "/" + class.Name }
+func pathOf(class *workload.Class) string { return "/" + class.Name }
 
-// method is that of a class's requests at the entry or below it.
-func method(class *workload.Class, entry bool) string {
+// methodOf returns the HTTP method of a class's requests, at the entry or below it.
+func methodOf(class *workload.Class, entry bool) string {
 	switch {
 	case class.AtMostOnce && entry:
 		return "POST"
@@ -76,19 +76,19 @@
 	}
 }
 
-// routes returns what the targets of a service do for each class.
+// routes returns the routes of a service's targets, one per class.
 func (c *Case) routes(service string) []target.Route {
 	var out []target.Route
 	for i := range c.Dep.Classes {
 		class := &c.Dep.Classes[i]
-		call := at(class, service)
+		call := callAt(class, service)
 		if call == nil {
 			continue
 		}
-		r := target.Route{Prefix: path(class), ServiceTime: call.Work, Parallel: true}
+		r := target.Route{Prefix: pathOf(class), ServiceTime: call.Work, Parallel: true}
 		for _, step := range call.Steps {
 			for _, sub := range step {
-				one := target.Call{Service: c.full(sub.Service), Method: method(class, false), Path: path(class), Required: true}
+				one := target.Call{Service: c.fullName(sub.Service), Method: methodOf(class, false), Path: pathOf(class), Required: true}
 				if sub.Chance < 1 {
 					one.Chance = sub.Chance
 				}
@@ -100,35 +100,35 @@
 	return out
 }
 
-// spread gives lognormal service times the replay's coefficient of variation,
-// one half.
-var spread = math.Sqrt(math.Log(1.25))
+// serviceTimeSigma is the sigma that gives lognormal service times a coefficient of
+// variation of one half, as in the replay.
+var serviceTimeSigma = math.Sqrt(math.Log(1.25))
 
-// set writes a tenant's configuration set.
-func (c *Case) set(tenant string) string {
+// configSet returns a tenant's configuration set as YAML.
+func (c *Case) configSet(tenant string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "tenant: %s\nshare: %g\nservices:\n", tenant, 1/float64(len(c.tenants())))
 	for _, s := range c.Dep.Services {
-		if c.tenant(s.Name) == tenant {
-			c.declare(&b, s)
+		if c.tenantOf(s.Name) == tenant {
+			c.declareService(&b, s)
 		}
 	}
 	return b.String()
 }
 
-func (c *Case) declare(b *strings.Builder, s workload.Service) {
+func (c *Case) declareService(b *strings.Builder, s workload.Service) {
 	fmt.Fprintf(b, "  - name: %s\n    slots: %d\n    connections: %d\n", s.Name, s.Slots, s.Connections)
 	if calls := c.callees(s.Name); len(calls) > 0 {
 		fmt.Fprintf(b, "    calls: [%s]\n", strings.Join(calls, ", "))
 	}
-	others := slices.DeleteFunc(c.tenants(), func(t string) bool { return t == c.tenant(s.Name) })
+	others := slices.DeleteFunc(c.tenants(), func(t string) bool { return t == c.tenantOf(s.Name) })
 	if len(others) > 0 {
 		fmt.Fprintf(b, "    allow: [%s]\n", strings.Join(others, ", "))
 	}
 	fmt.Fprintf(b, "    classes:\n")
 	for i := range c.Dep.Classes {
 		class := &c.Dep.Classes[i]
-		if at(class, s.Name) == nil {
+		if callAt(class, s.Name) == nil {
 			continue
 		}
 		entry, once := class.Root.Service == s.Name, ""
@@ -136,24 +136,25 @@
 			once = ", atMostOnce: true, remember: 1h"
 		}
 		fmt.Fprintf(b, "      - {name: %s, method: %s, path: %s, importance: %d, deadline: %v, attempts: %d%s}\n",
-			class.Name, method(class, entry), path(class), class.Importance, c.deadline(), retry.DefaultConfig().Attempts, once)
+			class.Name, methodOf(class, entry), pathOf(class), class.Importance, c.deadline(), retry.DefaultConfig().Attempts, once)
 	}
 }
 
-// deadline is that of whole requests: the answer must travel to the client.
+// deadline returns the deadline of whole requests: the client timeout less the network
+// delay in both directions.
 func (c *Case) deadline() time.Duration { return c.Dep.Timeout - 2*c.Dep.ClientDelay }
 
-// callees lists the services that a service calls.
+// callees returns the services that a service calls.
 func (c *Case) callees(service string) []string {
 	var out []string
 	for i := range c.Dep.Classes {
-		call := at(&c.Dep.Classes[i], service)
+		call := callAt(&c.Dep.Classes[i], service)
 		if call == nil {
 			continue
 		}
 		for _, step := range call.Steps {
 			for _, sub := range step {
-				if name := c.full(sub.Service); !slices.Contains(out, name) {
+				if name := c.fullName(sub.Service); !slices.Contains(out, name) {
 					out = append(out, name)
 				}
 			}
--- a/bench/overload/play.go
+++ b/bench/overload/play.go
@@ -16,53 +16,53 @@
 	"peardrift/internal/status"
 )
 
-// Clients retry hard, as the replay's: after 60 ms in the mean, ten times at
-// most, through one node after the other.
+// Clients retry aggressively, as in the replay: after 60 ms on average, up to ten
+// attempts, through the nodes in turn.
 const (
-	hardTries = 10
-	hardWait  = 60 * time.Millisecond
-	// lateAnswer is what the harness itself may need for an answer that is sent
-	// at a request's deadline.
-	lateAnswer = 100 * time.Millisecond
-	// stopGrace exceeds a node's own bound of its shutdown.
-	stopGrace = 40 * time.Second
+	maxAttempts  = 10
+	retryBackoff = 60 * time.Millisecond
+	// answerSlack is the time that the harness itself may need for an answer sent at
+	// the request's deadline.
+	answerSlack = 100 * time.Millisecond
+	// stopTimeout exceeds the node's own shutdown timeout.
+	stopTimeout = 40 * time.Second
 )
 
-// played is what a trace came to.
-type played struct {
+// playback records the attempts of a played trace.
+type playback struct {
 	start    time.Time
 	nodes    bool
 	mu       sync.Mutex
 	attempts map[string][]client.Attempt // by mark, in order
-	deep     int64                       // requests that the deep service's targets were sent
+	deep     int64                       // requests sent to the deep service's targets
 	dump     *Dump
 }
 
-func (p *played) observe(a client.Attempt) {
+func (p *playback) observe(a client.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.attempts[a.Mark] = append(p.attempts[a.Mark], a)
 	if p.nodes {
-		p.dump.attempt(p.start, a)
+		p.dump.recordAttempt(p.start, a)
 	}
 }
 
-// play sends the case's trace through nodes, or straight to the targets, plays
-// its faults, and waits until nothing runs.
-func (l *Lab) play(ctx context.Context, nodes bool) (*played, error) {
+// play sends the case's trace through nodes, or directly to the targets, injects its
+// faults, and waits until all processes are idle.
+func (l *Lab) play(ctx context.Context, nodes bool) (*playback, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	before, err := l.arrivals(nodes)
+	before, err := l.deepArrivals(nodes)
 	if err != nil {
 		return nil, err
 	}
-	p := &played{start: time.Now(), nodes: nodes, attempts: make(map[string][]client.Attempt), dump: l.Dump}
+	p := &playback{start: time.Now(), nodes: nodes, attempts: make(map[string][]client.Attempt), dump: l.Dump}
 	faults := make(chan error, 1)
-	go func() { faults <- l.faults(ctx, p) }()
+	go func() { faults <- l.injectFaults(ctx, p) }()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	if nodes {
-		go l.Dump.gates(ctx, p.start, l.Fleet.Hosts)
+		go l.Dump.recordGates(ctx, p.start, l.Fleet.Hosts)
 	}
 	for _, s := range l.Case.Dep.Services {
 		cfg := client.Config{URLs: l.urls(s.Name, nodes), Seed: l.Case.Trace.Header.Seed, Observe: p.observe, Classes: l.classes(s.Name)}
@@ -70,25 +70,25 @@
 			continue
 		}
 		wg.Go(func() {
-			_, failed := client.Run(ctx, cfg)
+			_, runErr := client.Run(ctx, cfg)
 			mu.Lock()
 			defer mu.Unlock()
-			err = errors.Join(err, failed)
+			err = errors.Join(err, runErr)
 		})
 	}
 	wg.Wait()
-	if err := errors.Join(err, <-faults, l.quiet(ctx, nodes)); err != nil {
+	if err := errors.Join(err, <-faults, l.awaitIdle(ctx, nodes)); err != nil {
 		return nil, err
 	}
-	after, err := l.arrivals(nodes)
+	after, err := l.deepArrivals(nodes)
 	p.deep = after - before
 	return p, err
 }
 
-// urls are where the requests to a service go: to any node, or to its targets.
+// urls returns the URLs for requests to a service: those of all nodes, or of its targets.
 func (l *Lab) urls(service string, nodes bool) []string {
 	if !nodes {
-		return l.Fleet.DirectURLs(l.Case.full(service))
+		return l.Fleet.DirectURLs(l.Case.fullName(service))
 	}
 	var out []string
 	for _, h := range l.Fleet.Hosts {
@@ -97,7 +97,7 @@
 	return out
 }
 
-// classes are the trace's requests that enter at a service.
+// classes returns the client classes for the trace's requests that enter at a service.
 func (l *Lab) classes(service string) []client.Class {
 	c := l.Case
 	var out []client.Class
@@ -107,8 +107,8 @@
 			continue
 		}
 		cl := client.Class{
-			Name: class.Name, Method: method(class, true), Host: c.full(service), Path: path(class), Key: class.AtMostOnce,
-			Timeout: c.Dep.Timeout + lateAnswer, Attempts: hardTries, Backoff: hardWait, MaxBackoff: 2 * hardWait, Patience: c.Dep.Patience,
+			Name: class.Name, Method: methodOf(class, true), Host: c.fullName(service), Path: pathOf(class), Key: class.AtMostOnce,
+			Timeout: c.Dep.Timeout + answerSlack, Attempts: maxAttempts, Backoff: retryBackoff, MaxBackoff: 2 * retryBackoff, Patience: c.Dep.Patience,
 		}
 		for _, e := range c.Trace.Events {
 			if e.Class == class.Name {
@@ -122,9 +122,9 @@
 	return out
 }
 
-// faults plays the trace's faults when they are due. Without nodes there is
-// nothing to restart or to stop.
-func (l *Lab) faults(ctx context.Context, p *played) error {
+// injectFaults injects the trace's faults when they are due. Without nodes there is nothing
+// to restart or stop, so only slowdowns are injected.
+func (l *Lab) injectFaults(ctx context.Context, p *playback) error {
 	for _, e := range l.Case.Trace.Events {
 		if e.Fault == "" || !p.nodes && e.Fault != workload.Slow {
 			continue
@@ -134,20 +134,20 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := l.fault(ctx, &e, p.nodes); err != nil {
+		if err := l.injectFault(ctx, &e, p.nodes); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *Lab) fault(ctx context.Context, e *workload.Event, nodes bool) error {
+func (l *Lab) injectFault(ctx context.Context, e *workload.Event, nodes bool) error {
 	hosts := l.hosts(e.Service, nodes)
 	h := hosts[e.Target%len(hosts)]
 	switch e.Fault {
 	case workload.Slow:
 		for _, h := range hosts {
-			if err := slow(ctx, h, e.Factor); err != nil {
+			if err := setSlowdown(ctx, h, e.Factor); err != nil {
 				return err
 			}
 		}
@@ -162,21 +162,22 @@
 	return nil
 }
 
-// stopInOrder stops a node and then its target as an operator would.
+// stopInOrder stops processes one after the other, as an operator stops a node and
+// then its target.
 func stopInOrder(ps ...*harness.Process) error {
 	for _, p := range ps {
-		if !p.Stop(stopGrace) || p.Exited() != 0 {
-			return status.New(CodeBroken, "%s ended with code %d within %v", p.Name, p.Exited(), stopGrace)
+		if !p.Stop(stopTimeout) || p.Exited() != 0 {
+			return status.New(CodeBroken, "%s did not exit cleanly: code %d, limit %v", p.Name, p.Exited(), stopTimeout)
 		}
 	}
 	return nil
 }
 
-// controlTime bounds a call to a target's control.
-const controlTime = 5 * time.Second
+// controlTimeout is the timeout of a call to a target's control endpoint.
+const controlTimeout = 5 * time.Second
 
-func control(ctx context.Context, method, url string, body []byte, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, controlTime)
+func callControl(ctx context.Context, method, url string, body []byte, answer any) error {
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -189,34 +190,34 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return status.New(CodeOverload, "%s answered %s", url, resp.Status)
+		return status.New(CodeOverload, "%s responded %s", url, resp.Status)
 	}
 	if answer == nil {
 		return nil
 	}
 	if err := json.NewDecoder(resp.Body).Decode(answer); err != nil {
-		return status.Wrap(CodeOverload, err, "answer of %s", url)
+		return status.Wrap(CodeOverload, err, "decode the response of %s", url)
 	}
 	return nil
 }
 
-func slow(ctx context.Context, h *harness.Host, factor float64) error {
+func setSlowdown(ctx context.Context, h *harness.Host, factor float64) error {
 	b, err := json.Marshal(map[string]float64{"factor": factor})
 	if err != nil {
 		return status.Wrap(CodeOverload, err, "encode")
 	}
-	return control(ctx, http.MethodPost, "http://"+h.Addr.Target+"/control/slow", b, nil)
+	return callControl(ctx, http.MethodPost, "http://"+h.Addr.Target+"/control/slow", b, nil)
 }
 
-func counters(ctx context.Context, h *harness.Host) (c target.Counters, err error) {
-	return c, control(ctx, http.MethodGet, "http://"+h.Addr.Target+"/control/counters", nil, &c)
+func fetchCounters(ctx context.Context, h *harness.Host) (c target.Counters, err error) {
+	return c, callControl(ctx, http.MethodGet, "http://"+h.Addr.Target+"/control/counters", nil, &c)
 }
 
-// arrivals counts what the deep service's targets were sent so far. A target
-// that was restarted counts from its start.
-func (l *Lab) arrivals(nodes bool) (n int64, err error) {
+// deepArrivals counts the requests sent to the deep service's targets so far. A restarted
+// target counts from its restart.
+func (l *Lab) deepArrivals(nodes bool) (n int64, err error) {
 	for _, h := range l.hosts(l.Case.Dep.Deep, nodes) {
-		c, err := counters(context.Background(), h)
+		c, err := fetchCounters(context.Background(), h)
 		if err != nil {
 			return 0, err
 		}
@@ -225,16 +226,16 @@
 	return n, nil
 }
 
-// quiet waits until no target and no node runs anything.
-func (l *Lab) quiet(ctx context.Context, nodes bool) error {
-	ctx, cancel := context.WithTimeout(ctx, stopGrace)
+// awaitIdle waits until all targets and nodes are idle.
+func (l *Lab) awaitIdle(ctx context.Context, nodes bool) error {
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	for _, s := range l.Case.Dep.Services {
 		for _, h := range l.hosts(s.Name, nodes) {
 			for !idle(ctx, h) {
 				select {
 				case <-ctx.Done():
-					return status.New(CodeBroken, "%s still runs something %v after the load's end", h.Name, stopGrace)
+					return status.New(CodeBroken, "%s is still busy %v after the end of the load", h.Name, stopTimeout)
 				case <-time.After(20 * time.Millisecond):
 				}
 			}
@@ -244,7 +245,7 @@
 }
 
 func idle(ctx context.Context, h *harness.Host) bool {
-	c, err := counters(ctx, h)
+	c, err := fetchCounters(ctx, h)
 	if err != nil || c.InFlight+c.Queued > 0 {
 		return false
 	}
--- a/bench/overload/runs.go
+++ b/bench/overload/runs.go
@@ -13,17 +13,17 @@
 	"peardrift/internal/status"
 )
 
-// run is one run of a target that has ended.
+// run is one finished run at a target.
 type run struct {
 	service string
 	began   time.Time
 	held    time.Duration // how long it held its slot
 }
 
-// work reads the ended runs of this fleet's targets by mark, in order of begin.
-func (l *Lab) work(nodes bool) (map[string][]run, error) {
+// finishedRuns returns the finished runs at all targets by mark, in order of their start.
+func (l *Lab) finishedRuns(nodes bool) (map[string][]run, error) {
 	out := make(map[string][]run)
-	err := l.lines(nodes, workSuffix, func(v []string) {
+	err := l.readLines(nodes, workSuffix, func(v []string) {
 		if len(v) != 5 {
 			return
 		}
@@ -39,11 +39,11 @@
 	return out, err
 }
 
-// begun counts the runs that began, by service and mark, also of targets that
-// were stopped since.
-func (l *Lab) begun(nodes bool) (map[[2]string]int, error) {
+// startedRuns counts the started runs by service and mark, including those of targets that
+// have since stopped.
+func (l *Lab) startedRuns(nodes bool) (map[[2]string]int, error) {
 	out := make(map[[2]string]int)
-	err := l.lines(nodes, runsSuffix, func(v []string) {
+	err := l.readLines(nodes, runsSuffix, func(v []string) {
 		if len(v) == 4 {
 			out[[2]string{v[0], v[3]}]++
 		}
@@ -51,8 +51,8 @@
 	return out, err
 }
 
-// lines calls f with the fields of each line that the targets wrote.
-func (l *Lab) lines(nodes bool, suffix string, f func([]string)) error {
+// readLines calls f with the fields of each line of the targets' log files with a suffix.
+func (l *Lab) readLines(nodes bool, suffix string, f func([]string)) error {
 	hosts := l.Fleet.Direct
 	if nodes {
 		hosts = l.Fleet.Hosts
@@ -60,7 +60,7 @@
 	for _, h := range hosts {
 		file, err := os.Open(filepath.Join(l.Fleet.Dir, h.Name+suffix))
 		if err != nil {
-			return status.Wrap(CodeOverload, err, "what %s ran", h.Name)
+			return status.Wrap(CodeOverload, err, "open the run log of %s", h.Name)
 		}
 		for sc := bufio.NewScanner(file); sc.Scan(); {
 			f(strings.Split(sc.Text(), "\t"))
--- a/bench/overload/size.go
+++ b/bench/overload/size.go
@@ -9,40 +9,40 @@
 	"peardrift/internal/status"
 )
 
-// CodeOverload is the code of failures of this package's own.
+// CodeOverload is the code of errors of this package itself.
 const CodeOverload status.Code = "overload-bench"
 
-// Size makes a deployment of the replay small enough for one machine.
+// Size scales a deployment of the replay down to fit one machine.
 type Size struct {
-	Targets int // a service has 1/Targets of its targets, rounded up, at least two
-	Slots   int // a target has 1/Slots of its slots and connections
-	Stretch int // service times, time-outs and patience are this many times as long
+	Targets int // divisor of a service's number of targets; rounded up, at least two
+	Slots   int // divisor of a target's slots and connections
+	Stretch int // factor of service times, timeouts and client patience
 }
 
-// leastTargets leaves a call somewhere else to go.
-const leastTargets = 2
+// minTargets leaves a retry another target.
+const minTargets = 2
 
-// Of returns the deployment in this size.
+// Of returns the deployment scaled to this size.
 func (z Size) Of(d *workload.Deployment) *workload.Deployment {
 	out := d.Scaled(max(1, z.Slots))
 	stretch := time.Duration(max(1, z.Stretch))
 	out.Timeout, out.Patience = d.Timeout*stretch, d.Patience*stretch
 	for i, s := range out.Services {
-		out.Services[i].Targets = max(leastTargets, (s.Targets+z.Targets-1)/max(1, z.Targets))
+		out.Services[i].Targets = max(minTargets, (s.Targets+z.Targets-1)/max(1, z.Targets))
 	}
 	out.Classes = slices.Clone(d.Classes)
 	for i := range out.Classes {
-		out.Classes[i].Root = stretched(out.Classes[i].Root, stretch)
+		out.Classes[i].Root = stretchCall(out.Classes[i].Root, stretch)
 	}
 	return out
 }
 
-func stretched(c workload.Call, by time.Duration) workload.Call {
+func stretchCall(c workload.Call, by time.Duration) workload.Call {
 	c.Work *= by
 	steps := make([][]workload.Sub, len(c.Steps))
 	for i, step := range c.Steps {
 		for _, sub := range step {
-			sub.Call = stretched(sub.Call, by)
+			sub.Call = stretchCall(sub.Call, by)
 			steps[i] = append(steps[i], sub)
 		}
 	}
@@ -50,27 +50,28 @@
 	return c
 }
 
-// Case is one deployment with one scenario.
+// Case is a deployment with a scenario.
 type Case struct {
 	Dep   *workload.Deployment
 	Trace *workload.Trace
-	// Owner names the tenant of each service that isn't Dep.Name's.
+	// Owner maps a service to its tenant if that isn't Dep.Name.
 	Owner map[string]string
 }
 
-// Stop is a scenario of this package: a node of the deep service is told to stop
-// in the worst case, then its target, and both come back. Flood is the replay's,
+// Stop is a scenario of this package: during the worst case, a node of the deep service
+// and then its target stop, and both restart. Flood is the scenario of the replay, run
 // on services of two tenants.
 const (
 	Stop  = "stop"
 	Flood = "flood"
 )
 
-// NewCase makes the case of a scenario of the replay, or of Stop.
+// NewCase returns the case of a scenario of the replay, or of Stop. It fails for an
+// unknown deployment or scenario.
 func NewCase(deployment, scenario string, z Size, l workload.Lengths, seed uint64) (*Case, error) {
 	base, c := workload.Deployments()[deployment], &Case{}
 	if scenario == Flood {
-		base, c.Owner = flooded()
+		base, c.Owner = floodDeployment()
 	}
 	if base == nil {
 		return nil, status.New(CodeOverload, "there is no deployment %q", deployment)
@@ -87,49 +88,50 @@
 		return nil, status.New(CodeOverload, "there is no scenario %q", scenario)
 	}
 	c.Trace = workload.Generate(c.Dep, sc, seed)
-	return c, c.check()
+	return c, c.checkFaults()
 }
 
-// check refuses faults that are not played on processes.
-func (c *Case) check() error {
+// checkFaults returns an error if the trace has a fault that is not supported on processes.
+func (c *Case) checkFaults() error {
 	for _, e := range c.Trace.Events {
 		switch e.Fault {
 		case "", workload.Slow, workload.Restart, workload.Drain, workload.Start:
 		default:
-			return status.New(CodeOverload, "the fault %q is not played on processes", e.Fault)
+			return status.New(CodeOverload, "the fault %q is not supported on processes", e.Fault)
 		}
 	}
 	return nil
 }
 
-// flooded is both tenants with a service each, above one that they share. A
-// request's tenant is that of the service at which it enters.
-func flooded() (*workload.Deployment, map[string]string) {
+// floodDeployment returns a deployment in which two tenants have an entry service each,
+// above a shared service, and the owners of the services. A request's tenant is that of
+// the service at which it enters.
+func floodDeployment() (*workload.Deployment, map[string]string) {
 	d := workload.Shared()
-	desk := d.Services[1]
+	entry := d.Services[1]
 	d.Services = d.Services[:1]
 	owner := map[string]string{d.Services[0].Name: "khaosan"}
 	for i := range d.Classes {
 		c := &d.Classes[i]
-		s := desk
-		s.Name = fmt.Sprintf("%s-%s", c.Tenant, desk.Name)
-		// Wide enough for a flood: the shared service is to be the narrow place.
-		s.Slots, s.Connections = floodSlots*s.Slots, floodSlots*s.Connections
+		s := entry
+		s.Name = fmt.Sprintf("%s-%s", c.Tenant, entry.Name)
+		// Large enough for the flood: the shared service must be the bottleneck.
+		s.Slots, s.Connections = floodFactor*s.Slots, floodFactor*s.Connections
 		d.Services = append(d.Services, s)
 		owner[s.Name], c.Root.Service = c.Tenant, s.Name
 	}
 	return d, owner
 }
 
-const floodSlots = 10
+const floodFactor = 10
 
-// tenant returns the owner of a service.
-func (c *Case) tenant(service string) string {
+// tenantOf returns the owner of a service.
+func (c *Case) tenantOf(service string) string {
 	if t, ok := c.Owner[service]; ok {
 		return t
 	}
 	return c.Dep.Name
 }
 
-// full returns a service's name as callers address it.
-func (c *Case) full(service string) string { return service + "." + c.tenant(service) }
+// fullName returns the full name of a service, as callers address it.
+func (c *Case) fullName(service string) string { return service + "." + c.tenantOf(service) }
--- a/bench/overload/table.go
+++ b/bench/overload/table.go
@@ -12,8 +12,8 @@
 	"peardrift/bench/standin/client"
 )
 
-// Print writes an outcome as tables: the whole, the classes in the trigger, and
-// goodput over time.
+// Print writes an outcome as tables: totals, classes during the trigger, and goodput
+// over time.
 func (o *Outcome) Print(w io.Writer) error {
 	h, d := o.Case.Trace.Header, o.Case.Dep
 	fmt.Fprintf(w, "\n%s, %s, seed %d: %v before, %v of the trigger, %v after; ", h.Deployment, h.Scenario, h.Seed,
@@ -22,47 +22,47 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "\tgoodput/s\tof highest\timportant served\tfirst try\trecovery\tuseless work\timportant refused\twith lesser done\tsent per need\ttries a request\t")
 	if o.Nodes != nil {
-		o.whole(tw, "nodes", o.Nodes)
+		o.printMeasured(tw, "nodes", o.Nodes)
 	}
-	o.replayed(tw, "replay", o.Replayed)
+	o.printReplayed(tw, "replay", o.Replayed)
 	if o.Straight != nil {
-		o.whole(tw, "straight", o.Straight)
+		o.printMeasured(tw, "straight", o.Straight)
 	}
-	o.replayed(tw, "replay, no control", o.Uncontrolled)
+	o.printReplayed(tw, "replay, no control", o.Uncontrolled)
 	if err := tw.Flush(); err != nil || o.Nodes == nil {
 		return err
 	}
-	o.verdicts(w)
-	if err := o.classes(w); err != nil {
+	o.printResults(w)
+	if err := o.printClasses(w); err != nil {
 		return err
 	}
-	return o.goodput(w)
+	return o.printGoodput(w)
 }
 
-func (o *Outcome) replayed(w io.Writer, name string, r *replay.Result) {
+func (o *Outcome) printReplayed(w io.Writer, name string, r *replay.Result) {
 	fmt.Fprintf(w, "%s\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%s\t%.1f%%\t%d\t%d\t", name, r.Surge, percent(r.OfBest()), percent(r.Important()),
-		percent(r.ImportantFirst()), recovery(r), percent(r.Useless), r.Refused, r.Inverted)
+		percent(r.ImportantFirst()), formatRecovery(r), percent(r.Useless), r.Refused, r.Inverted)
 	fmt.Fprint(w, "\t\t\n")
 }
 
-func (o *Outcome) whole(w io.Writer, name string, m *Measured) {
+func (o *Outcome) printMeasured(w io.Writer, name string, m *Measured) {
 	r := &m.Result
 	fmt.Fprintf(w, "%s\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%s\t%.1f%%\t%d\t%d\t%.2f\t%.2f\t\n", name, r.Surge, percent(r.OfBest()), percent(r.Important()),
-		percent(r.ImportantFirst()), recovery(r), percent(r.Useless), r.Refused, r.Inverted, m.PerDone, float64(m.Tries)/float64(max(1, m.Requests)))
+		percent(r.ImportantFirst()), formatRecovery(r), percent(r.Useless), r.Refused, r.Inverted, m.PerDone, float64(m.Tries)/float64(max(1, m.Requests)))
 }
 
 func percent(part float64) float64 { return 100 * part }
 
-func recovery(r *replay.Result) string {
+func formatRecovery(r *replay.Result) string {
 	if !r.Recovered {
 		return "not in " + r.Recovery.String()
 	}
 	return fmt.Sprintf("%.1fs", r.Recovery.Seconds())
 }
 
-// verdicts prints what callers were told in the end, what was broken, and why
-// tries didn't complete.
-func (o *Outcome) verdicts(w io.Writer) {
+// printResults prints the final results of requests, the violated guarantees, and the
+// codes of attempts that did not complete.
+func (o *Outcome) printResults(w io.Writer) {
 	for _, m := range []struct {
 		name string
 		of   *Measured
@@ -83,8 +83,8 @@
 	}
 }
 
-// classes prints what became of each class in the trigger.
-func (o *Outcome) classes(w io.Writer) error {
+// printClasses prints the results of each class during the trigger.
+func (o *Outcome) printClasses(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "class\timportance\tdemand/s\thighest\tnodes\treplay\tstraight\tserved: nodes\treplay\tstraight\tfirst try: nodes\treplay\t")
 	for _, c := range o.Case.Dep.Classes {
@@ -98,8 +98,8 @@
 	return tw.Flush()
 }
 
-// goodput prints goodput of each second.
-func (o *Outcome) goodput(w io.Writer) error {
+// printGoodput prints the goodput of each second.
+func (o *Outcome) printGoodput(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "second\tnodes\treplay\tstraight\t")
 	step := int(time.Second / replay.Bin)
