--- a/bench/mainjob/check_trace.go
+++ b/bench/mainjob/check_trace.go
@@ -5,7 +5,7 @@
 	"peardrift/internal/status"
 )
 
-// Hops as they stand in spans.
+// Values of the hop and outcome attributes of spans.
 const (
 	hopEntry   = "entry"
 	hopEgress  = "egress"
@@ -15,43 +15,44 @@
 	outcomeCompleted = "completed"
 )
 
-// lacks says which hop of a completed request its trace has no span for; nil if
-// it has them all. What the request did is known from its answer, which tells
-// all calls that were made for it.
-func lacks(spans []*span, a target.Answer) error {
-	roots := tree(spans)
+// checkTrace returns an error that names the first hop of a completed request without a
+// span in its trace, or nil if the trace is complete. The expected hops come from the
+// answer, which lists all calls made for the request.
+func checkTrace(spans []*span, a target.Answer) error {
+	roots := linkSpans(spans)
 	if len(roots) != 1 || roots[0].hop != hopEntry || roots[0].service != a.Service {
-		return status.New(CodeTrace, "the trace has %d roots, not the entry of %s alone", len(roots), a.Service)
+		return status.New(CodeTrace, "the trace has %d roots; expected a single entry span of %s", len(roots), a.Service)
 	}
-	return lacksBelow(roots[0], a)
+	return checkSpansBelow(roots[0], a)
 }
 
-// lacksBelow follows an entry or egress down to the target that answered.
-func lacksBelow(call *span, a target.Answer) error {
-	attempt := completed(call.children, hopAttempt, a.Service)
+// checkSpansBelow checks the spans below an entry or egress span, down to the target that
+// answered.
+func checkSpansBelow(call *span, a target.Answer) error {
+	attempt := findCompleted(call.children, hopAttempt, a.Service)
 	if attempt == nil {
-		return status.New(CodeTrace, "no completed attempt at %s below the %s", a.Service, call.hop)
+		return status.New(CodeTrace, "no completed attempt span for %s below the %s span", a.Service, call.hop)
 	}
-	serve := completed(attempt.children, hopServe, a.Service)
+	serve := findCompleted(attempt.children, hopServe, a.Service)
 	if serve == nil {
-		return status.New(CodeTrace, "no span of %s serving its call", a.Service)
+		return status.New(CodeTrace, "no completed serve span of %s", a.Service)
 	}
-	left := serve.children
+	unmatched := serve.children
 	for _, r := range a.Calls {
-		egress := completed(left, hopEgress, r.Service)
+		egress := findCompleted(unmatched, hopEgress, r.Service)
 		if egress == nil || r.Answer == nil {
-			return status.New(CodeTrace, "no completed call from %s to %s", a.Service, r.Service)
+			return status.New(CodeTrace, "no completed egress span from %s to %s", a.Service, r.Service)
 		}
-		if err := lacksBelow(egress, *r.Answer); err != nil {
+		if err := checkSpansBelow(egress, *r.Answer); err != nil {
 			return err
 		}
-		left = without(left, egress)
+		unmatched = removeSpan(unmatched, egress)
 	}
 	return nil
 }
 
-// completed returns the first completed span of a hop to a service.
-func completed(spans []*span, hop, service string) *span {
+// findCompleted returns the first completed span of a hop and service, or nil.
+func findCompleted(spans []*span, hop, service string) *span {
 	for _, s := range spans {
 		if s.hop == hop && s.service == service && s.outcome == outcomeCompleted {
 			return s
@@ -60,7 +61,7 @@
 	return nil
 }
 
-func without(spans []*span, s *span) []*span {
+func removeSpan(spans []*span, s *span) []*span {
 	var out []*span
 	for _, x := range spans {
 		if x != s {
--- a/bench/mainjob/config.go
+++ b/bench/mainjob/config.go
@@ -9,35 +9,35 @@
 	"peardrift/internal/status"
 )
 
-// Codes of what a run may find wrong.
+// Status codes of failed runs.
 const (
-	// CodeAnswer: a caller got a wrong or partial answer, or none that it knows
-	// the outcome of.
+	// CodeAnswer means that a caller got a wrong or partial answer, or an unknown
+	// outcome.
 	CodeAnswer status.Code = "main-job-answer"
-	// CodeTrace: a trace lacks a hop of its request.
+	// CodeTrace means that a trace lacks a hop of its request.
 	CodeTrace status.Code = "main-job-trace"
 )
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
-	// Root is the workspace's folder, for the examples.
+	// Root is the root directory of the workspace, which contains the examples.
 	Root string
 	Bins harness.Bins
-	// Small runs two targets of each service, at half the load.
+	// Small runs two targets per service at half the load.
 	Small bool
-	// Load is the length of the mixed load.
+	// Load is the duration of the mixed load.
 	Load time.Duration
-	// Out takes the text.
+	// Out receives the report.
 	Out io.Writer
-	// Keep leaves the fleet's folder (settings, logs, traces) behind.
+	// Keep retains the fleet's directory (settings, logs, traces) after the run.
 	Keep bool
 }
 
-// smallTargets is the number of targets of each service in a small run: the
-// least that leaves a retry somewhere else to go.
+// smallTargets is the number of targets per service in a small run: the minimum that
+// leaves a retry another target.
 const smallTargets = 2
 
-// deployments returns the fleets of a run, their load included.
+// deployments returns the deployments of a run with their load.
 func (c Config) deployments() []deploy.Deployment {
 	ds := deploy.All()
 	for _, d := range ds {
@@ -47,7 +47,7 @@
 			}
 		}
 		for i := range d.Load {
-			patient(&d.Load[i])
+			retryKeyed(&d.Load[i])
 			for k := range d.Load[i].Phases {
 				p := &d.Load[i].Phases[k]
 				p.For = c.Load
--- a/bench/mainjob/doc.go
+++ b/bench/mainjob/doc.go
@@ -1,10 +1,10 @@
-// Package mainjob runs the project's main job on real processes: the platform's
-// stand-in and the hosts of the brief's two deployments, both configuration
-// sets submitted as an operator would, one morning feed and one payout approval
-// shown with their answers and traces, a mixed load beside the same calls made
-// directly, and a graceful stop of everything.
+// Package mainjob runs the project's end-to-end job on real processes. It starts the
+// platform stand-in and the hosts of the two example deployments, submits both
+// configuration sets like an operator, prints the answer and trace of one morning feed
+// and one payout approval, runs a mixed load through nodes beside the same load sent
+// directly, and stops everything gracefully.
 //
-// Run judges what it saw: a false or partial answer, an outcome left unknown, a
-// trace that lacks a hop, or a process that doesn't end as it should is a typed
-// failure. Speeds are printed, never judged.
+// Run returns a typed error for a wrong or partial answer, an unknown outcome, a trace
+// that lacks a hop, or a process that does not exit cleanly. Latencies are printed but
+// not checked.
 package mainjob
--- a/bench/mainjob/load.go
+++ b/bench/mainjob/load.go
@@ -13,47 +13,47 @@
 	"peardrift/internal/status"
 )
 
-// row is what became of one class, through nodes and directly.
+// row holds the statistics of one class, through nodes and directly.
 type row struct {
 	tenant, class string
 	nodes, direct *client.Stats
 }
 
-// load sends the mix of both deployments through the nodes and, at the same
-// time and with the same arrivals, to the targets without nodes.
-func (j *job) load(ctx context.Context) ([]row, error) {
+// runLoad sends the request mix of both deployments through the nodes and, concurrently
+// with the same arrivals, to the targets without nodes.
+func (j *job) runLoad(ctx context.Context) ([]row, error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var failed error
+	var loadErr error
 	rows := make(map[string]*row)
 	run := func(d deploy.Deployment, cfg client.Config, direct bool) {
 		rep, err := client.Run(ctx, cfg)
 		mu.Lock()
 		defer mu.Unlock()
-		failed = errors.Join(failed, err)
+		loadErr = errors.Join(loadErr, err)
 		for class, s := range rep {
-			put(rows, d.Tenant, class, s, direct)
+			setStats(rows, d.Tenant, class, s, direct)
 		}
 	}
 	seed := uint64(0)
-	for _, d := range j.deps {
+	for _, d := range j.deployments {
 		for _, s := range d.Services {
 			seed++
 			host := d.FullName(s)
-			through := client.Config{Seed: seed, Classes: calling(d.Load, host), URLs: j.fleet.Entries(d)}
-			wg.Go(func() { run(d, through, false) })
-			straight := through
-			straight.URLs = j.fleet.DirectURLs(host)
-			wg.Go(func() { run(d, straight, true) })
+			viaNodes := client.Config{Seed: seed, Classes: classesOf(d.Load, host), URLs: j.fleet.Entries(d)}
+			wg.Go(func() { run(d, viaNodes, false) })
+			direct := viaNodes
+			direct.URLs = j.fleet.DirectURLs(host)
+			wg.Go(func() { run(d, direct, true) })
 		}
 	}
 	wg.Wait()
-	return j.ordered(rows), failed
+	return j.inLoadOrder(rows), loadErr
 }
 
-// calling returns the classes of one service: a caller without nodes has to
-// know where the service's targets are.
-func calling(classes []client.Class, host string) []client.Class {
+// classesOf returns the classes that call one service. Load runs per service because a
+// caller without nodes has to address the service's targets.
+func classesOf(classes []client.Class, host string) []client.Class {
 	var out []client.Class
 	for _, c := range classes {
 		if c.Host == host {
@@ -63,7 +63,7 @@
 	return out
 }
 
-func put(rows map[string]*row, tenant, class string, s *client.Stats, direct bool) {
+func setStats(rows map[string]*row, tenant, class string, s *client.Stats, direct bool) {
 	key := tenant + "/" + class
 	if rows[key] == nil {
 		rows[key] = &row{tenant: tenant, class: class}
@@ -75,10 +75,10 @@
 	}
 }
 
-// ordered returns the rows in the order of the deployments' load.
-func (j *job) ordered(rows map[string]*row) []row {
+// inLoadOrder returns the rows in the order of the load in the deployments.
+func (j *job) inLoadOrder(rows map[string]*row) []row {
 	var out []row
-	for _, d := range j.deps {
+	for _, d := range j.deployments {
 		for _, c := range d.Load {
 			if r := rows[d.Tenant+"/"+c.Name]; r != nil {
 				out = append(out, *r)
@@ -92,11 +92,11 @@
 	client.Completed, client.Refused, client.Failed, client.Unknown, client.Wrong, client.Partial,
 }
 
-// printTable prints counts of the requests through nodes, and latencies of
-// both ways.
+// printTable prints the result counts of requests through nodes, and the latencies
+// through nodes and directly.
 func (j *job) printTable(rows []row) {
-	j.say("\nMixed load of both deployments for %v, each request through nodes and directly at the same time.\n", j.cfg.Load)
-	j.say("Counts are those through nodes; latencies are of whole completed requests in ms, all hops traced.\n")
+	j.printf("\nMixed load of both deployments for %v, each request through nodes and directly at the same time.\n", j.cfg.Load)
+	j.printf("Counts are those through nodes; latencies are of whole completed requests in ms, all hops traced.\n")
 	w := tabwriter.NewWriter(j.cfg.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tsent\tcompleted\trefused\tfailed\tunknown\twrong\tpartial\tp50 direct\tnodes\tadded\tp99 direct\tnodes\tadded\t")
 	for _, r := range rows {
@@ -106,17 +106,17 @@
 		}
 		for _, q := range []float64{50, 99} {
 			direct, nodes := r.direct.Quantile(q), r.nodes.Quantile(q)
-			fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t", ms(direct), ms(nodes), ms(nodes-direct))
+			fmt.Fprintf(w, "%.1f\t%.1f\t%.1f\t", milliseconds(direct), milliseconds(nodes), milliseconds(nodes-direct))
 		}
 		fmt.Fprintln(w)
 	}
 	_ = w.Flush()
-	sent, done := total(rows)
-	j.say("Direct: %d of %d requests completed.\n", done, sent)
+	sent, done := directTotals(rows)
+	j.printf("Direct: %d of %d requests completed.\n", done, sent)
 }
 
-// total counts the direct requests.
-func total(rows []row) (sent, completed int64) {
+// directTotals returns the numbers of sent and completed direct requests.
+func directTotals(rows []row) (sent, completed int64) {
 	for _, r := range rows {
 		sent += r.direct.Sent
 		completed += r.direct.ByResult[client.Completed]
@@ -124,19 +124,19 @@
 	return sent, completed
 }
 
-// judge names the classes whose callers were left with a false answer, or with
-// none whose outcome they know; at this load there must be none.
-func judge(rows []row) error {
-	var faults []error
+// checkResults returns an error for each class with a wrong or partial answer, an unknown
+// outcome, or no completed request. At this load there must be none.
+func checkResults(rows []row) error {
+	var errs []error
 	for _, r := range rows {
-		bad := func(res client.Result) bool { return r.nodes.ByResult[res] > 0 }
-		if slices.ContainsFunc([]client.Result{client.Unknown, client.Wrong, client.Partial}, bad) {
-			faults = append(faults, status.New(CodeAnswer, "%s: %d unknown, %d wrong, %d partial; the first: %v", r.class,
+		has := func(res client.Result) bool { return r.nodes.ByResult[res] > 0 }
+		if slices.ContainsFunc([]client.Result{client.Unknown, client.Wrong, client.Partial}, has) {
+			errs = append(errs, status.New(CodeAnswer, "%s: %d unknown, %d wrong, %d partial; first failure: %v", r.class,
 				r.nodes.ByResult[client.Unknown], r.nodes.ByResult[client.Wrong], r.nodes.ByResult[client.Partial], r.nodes.FirstFail))
 		}
-		if r.nodes.Sent > 0 && !bad(client.Completed) {
-			faults = append(faults, status.New(CodeAnswer, "%s: none of %d requests completed", r.class, r.nodes.Sent))
+		if r.nodes.Sent > 0 && !has(client.Completed) {
+			errs = append(errs, status.New(CodeAnswer, "%s: none of %d requests completed", r.class, r.nodes.Sent))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/bench/mainjob/mainjob_test.go
+++ b/bench/mainjob/mainjob_test.go
@@ -31,37 +31,35 @@
 	}
 }
 
-// Symptom: after Ctrl-C in the main job, processes or folders stay behind.
-// Events: the context ends while the hosts are being started.
-// Cause: a start that went on after the fleet was closed, or a wait that did
-// not see it.
-func TestInterruptedMainJobLeavesNothing(t *testing.T) {
+// Guards against processes or directories left behind by Ctrl-C while hosts start: a
+// start continues after the fleet is closed, or a wait ignores the cancellation.
+func TestInterruptedRunCleansUp(t *testing.T) {
 	is := is.New(t)
 	root, bins := harnesstest.Programs(t)
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
 	ctx, cancel := context.WithCancel(t.Context())
-	err := Run(ctx, Config{Root: root, Bins: bins, Small: true, Load: time.Second, Out: cancelAt{"accepted", cancel}})
+	err := Run(ctx, Config{Root: root, Bins: bins, Small: true, Load: time.Second, Out: cancelWriter{"accepted", cancel}})
 	is.True(errors.Is(err, &status.Error{Code: status.CodeCanceled}))
-	left, err := filepath.Glob(filepath.Join(tmp, "*"))
+	remaining, err := filepath.Glob(filepath.Join(tmp, "*"))
 	is.NoErr(err)
-	is.Equal(len(left), 0) // Close removes the folder after the last process has ended
+	is.Equal(len(remaining), 0) // Close removes the directory after the last process has exited
 }
 
-// cancelAt is a writer that cancels when a word is written.
-type cancelAt struct {
+// cancelWriter is a writer that calls cancel when the written text contains word.
+type cancelWriter struct {
 	word   string
 	cancel context.CancelFunc
 }
 
-func (c cancelAt) Write(b []byte) (int, error) {
+func (c cancelWriter) Write(b []byte) (int, error) {
 	if strings.Contains(string(b), c.word) {
 		c.cancel()
 	}
 	return len(b), nil
 }
 
-// chainSpans is the trace of a call to a whose target calls b.
+// chainSpans returns the trace of a call to service a, whose target calls service b.
 func chainSpans() []*span {
 	s := func(id, parent, hop, service string) *span {
 		return &span{id: id, parent: parent, hop: hop, service: service, outcome: outcomeCompleted}
@@ -72,27 +70,27 @@
 	}
 }
 
-func TestTraceThatLacksAHopIsFound(t *testing.T) {
+func TestCheckTraceFindsMissingSpan(t *testing.T) {
 	is := is.New(t)
 	a := target.Answer{Service: "a", Calls: []target.Result{{Service: "b", Answer: &target.Answer{Service: "b"}}}}
-	is.NoErr(lacks(chainSpans(), a))
+	is.NoErr(checkTrace(chainSpans(), a))
 	for i := range chainSpans() {
 		spans := chainSpans()
 		spans = append(spans[:i], spans[i+1:]...)
-		is.True(errors.Is(lacks(spans, a), &status.Error{Code: CodeTrace})) // any one span missing
+		is.True(errors.Is(checkTrace(spans, a), &status.Error{Code: CodeTrace})) // span i is missing
 	}
-	twice := a
-	twice.Calls = append(twice.Calls, twice.Calls[0])
-	is.True(lacks(chainSpans(), twice) != nil) // one span can't stand for two calls
+	twoCalls := a
+	twoCalls.Calls = append(twoCalls.Calls, twoCalls.Calls[0])
+	is.True(checkTrace(chainSpans(), twoCalls) != nil) // one span can't account for two calls
 }
 
-// Symptom: the main job passes though a payout ran twice, or never. Events: a
-// request is sent again under its key. Cause: only the callers' word was looked at.
-func TestRunsAreHeldAgainstAnswers(t *testing.T) {
+// Guards against a run that passes although a payout ran twice, or never, when a request
+// is retried under its key: the results of callers alone don't show it.
+func TestCheckClassRuns(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(judgeRuns("payout", map[string]int{"a": 1, "b": 1}, 2))
-	is.NoErr(judgeRuns("payout", map[string]int{"a": 1, "b": 1}, 1)) // one ran and was left in doubt
+	is.NoErr(checkClassRuns("payout", map[string]int{"a": 1, "b": 1}, 2))
+	is.NoErr(checkClassRuns("payout", map[string]int{"a": 1, "b": 1}, 1)) // one ran with an unknown outcome
 	for _, runs := range []map[string]int{{"a": 2, "b": 1}, {"a": 1}, nil} {
-		is.True(errors.Is(judgeRuns("payout", runs, 2), &status.Error{Code: CodeAnswer}))
+		is.True(errors.Is(checkClassRuns("payout", runs, 2), &status.Error{Code: CodeAnswer}))
 	}
 }
--- a/bench/mainjob/run.go
+++ b/bench/mainjob/run.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// readyTime is more than a fleet that starts at one moment takes on a busy
+	// readyTimeout exceeds the time that a fleet started all at once needs on a busy
 	// machine.
-	readyTime = 90 * time.Second
-	// stopTime exceeds a node's own bound of its shutdown.
-	stopTime = 30 * time.Second
+	readyTimeout = 90 * time.Second
+	// stopTimeout exceeds the node's own shutdown timeout.
+	stopTimeout = 30 * time.Second
 )
 
-// job is one run under way.
+// job is a run in progress.
 type job struct {
-	cfg   Config
-	fleet *harness.Fleet
-	deps  []deploy.Deployment
+	cfg         Config
+	fleet       *harness.Fleet
+	deployments []deploy.Deployment
 }
 
-// Run does the main job and returns the first thing that it found wrong. The
-// processes that it started have ended when it returns, also when ctx ends
-// early.
+// Run runs the main job and returns the first failure. All processes that it started
+// have exited when it returns, also if ctx ends early; the error then has the code
+// status.CodeCanceled.
 func Run(ctx context.Context, cfg Config) error {
 	f, err := harness.New(cfg.Bins)
 	if err != nil {
@@ -38,9 +38,9 @@
 	f.Keep = cfg.Keep
 	defer f.Close()
 	defer context.AfterFunc(ctx, f.Close)()
-	f.Tune = traceAll
-	f.TuneTarget = steady
-	j := &job{cfg: cfg, fleet: f, deps: cfg.deployments()}
+	f.Tune = traceAllRequests
+	f.TuneTarget = fixServiceTimes
+	j := &job{cfg: cfg, fleet: f, deployments: cfg.deployments()}
 	if err := j.run(ctx); err != nil {
 		if ctx.Err() != nil {
 			return status.Wrap(status.CodeCanceled, ctx.Err(), "the main job was interrupted")
@@ -50,46 +50,46 @@
 	return nil
 }
 
-// traceAll makes a node record all its hops, so that any request can be shown.
-func traceAll(h *harness.Host, s *settings.Settings) {
+// traceAllRequests makes a node record the spans of all requests, so that any can be printed.
+func traceAllRequests(h *harness.Host, s *settings.Settings) {
 	s.Traces.File, s.Traces.SampleRatio = traceFile(h), 1
 }
 
-// steady gives targets fixed service times: what differs between the calls
-// through nodes and the direct ones is then the nodes' doing.
-func steady(_ *harness.Host, c *target.Config) { c.Dist = target.DistFixed }
+// fixServiceTimes gives targets fixed service times, so that nodes cause the difference
+// between calls through nodes and direct calls.
+func fixServiceTimes(_ *harness.Host, c *target.Config) { c.Dist = target.DistFixed }
 
 func (j *job) run(ctx context.Context) error {
 	if err := j.start(ctx); err != nil {
 		return err
 	}
-	for _, d := range j.deps {
+	for _, d := range j.deployments {
 		if err := j.show(ctx, d); err != nil {
 			return err
 		}
 	}
-	rows, err := j.load(ctx)
+	rows, err := j.runLoad(ctx)
 	if err != nil {
 		return err
 	}
 	j.printTable(rows)
-	if err := judge(rows); err != nil {
+	if err := checkResults(rows); err != nil {
 		return err
 	}
-	if err := j.ranOnce(rows); err != nil {
+	if err := j.checkRuns(rows); err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := j.fleet.Stop(stopTime); err != nil {
+	if err := j.fleet.Stop(stopTimeout); err != nil {
 		return err
 	}
-	j.say("\nAll processes ended by themselves within %v of SIGTERM, each with exit code 0.\n", since(began))
+	j.printf("\nAll processes ended by themselves within %v of SIGTERM, each with exit code 0.\n", elapsed(began))
 	return nil
 }
 
-// start brings the fleet up and puts both sets in force.
+// start starts the fleet, applies both sets and waits until all nodes are ready.
 func (j *job) start(ctx context.Context) error {
-	for _, d := range j.deps {
+	for _, d := range j.deployments {
 		if err := j.fleet.Add(d); err != nil {
 			return err
 		}
@@ -102,26 +102,26 @@
 		return err
 	}
 	if j.cfg.Keep {
-		j.say("Settings, logs and traces are in %s.\n", j.fleet.Dir)
+		j.printf("Settings, logs and traces are in %s.\n", j.fleet.Dir)
 	}
-	j.say("%d targets with a node each run beside the platform's stand-in, and as many targets without nodes, for comparison.\n", len(j.fleet.Hosts))
-	for _, d := range j.deps {
+	j.printf("%d targets with a node each run beside the platform's stand-in, and as many targets without nodes, for comparison.\n", len(j.fleet.Hosts))
+	for _, d := range j.deployments {
 		if err := j.fleet.Apply(ctx, j.cfg.Root, d.Tenant, 0); err != nil {
 			return err
 		}
-		j.say("peardrift apply examples/%s: accepted as version 1\n", d.Tenant)
+		j.printf("peardrift apply examples/%s: accepted as version 1\n", d.Tenant)
 	}
-	if err := j.fleet.Ready(readyTime); err != nil {
+	if err := j.fleet.Ready(readyTimeout); err != nil {
 		return err
 	}
-	j.say("All nodes were ready %v after the first was started", since(began))
-	if err := j.fleet.Converged(readyTime); err != nil {
+	j.printf("All nodes were ready %v after the first was started", elapsed(began))
+	if err := j.fleet.Converged(readyTimeout); err != nil {
 		return err
 	}
-	j.say(" and knew one another after %v.\n", since(began))
+	j.printf(" and knew one another after %v.\n", elapsed(began))
 	return nil
 }
 
-func (j *job) say(format string, args ...any) { fmt.Fprintf(j.cfg.Out, format, args...) }
+func (j *job) printf(format string, args ...any) { fmt.Fprintf(j.cfg.Out, format, args...) }
 
-func since(t time.Time) time.Duration { return time.Since(t).Round(10 * time.Millisecond) }
+func elapsed(t time.Time) time.Duration { return time.Since(t).Round(10 * time.Millisecond) }
--- a/bench/mainjob/runs.go
+++ b/bench/mainjob/runs.go
@@ -13,72 +13,71 @@
 )
 
 const (
-	// keyedAttempts and keyedBackoff are those of a caller that has a key: it may
-	// send again whatever it was left in doubt of, and is then told the outcome.
+	// keyedAttempts and keyedBackoff apply to callers with an idempotency key: they may
+	// retry requests with an unknown outcome and then get the outcome.
 	keyedAttempts = 4
 	keyedBackoff  = 300 * time.Millisecond
-	// countersTime is more than a target takes to tell its counters.
-	countersTime = 5 * time.Second
+	// countersTimeout exceeds the time a target takes to return its counters.
+	countersTimeout = 5 * time.Second
 )
 
-// patient makes the callers of at-most-once requests send again, under the same
-// key, what did not complete.
+// retryKeyed makes callers of at-most-once requests retry, under the same key, requests
+// that did not complete.
 //
-// On a machine without a free processor a claim now and then waits for the
-// platform's stand-in for longer than a node lets it, and the truthful answer is
-// "unknown". A caller doesn't stop there; what counts is that it gets to know in
-// the end, and that its request ran once, which ranOnce checks.
-func patient(c *client.Class) {
+// On a fully loaded machine a claim sometimes waits for the platform stand-in beyond the
+// node's timeout, and the correct outcome is "unknown". The caller then retries; it
+// must learn the outcome in the end, and the request must run once (see checkRuns).
+func retryKeyed(c *client.Class) {
 	if c.Key {
 		c.Attempts, c.Backoff, c.HonourRetryAfter = keyedAttempts, keyedBackoff, true
 	}
 }
 
-// ranOnce holds what the targets ran against what the callers of at-most-once
-// requests were told.
-func (j *job) ranOnce(rows []row) error {
+// checkRuns compares the runs at targets with the results that callers of at-most-once
+// requests saw.
+func (j *job) checkRuns(rows []row) error {
 	completed := make(map[string]int64, len(rows))
 	for _, r := range rows {
 		completed[r.tenant+"/"+r.class] = r.nodes.ByResult[client.Completed]
 	}
-	var faults []error
-	for _, d := range j.deps {
+	var errs []error
+	for _, d := range j.deployments {
 		for _, c := range d.Load {
 			if !c.Key {
 				continue
 			}
-			runs, err := j.runs(c)
+			runs, err := j.countRuns(c)
 			if err != nil {
 				return err
 			}
-			faults = append(faults, judgeRuns(c.Name, runs, completed[d.Tenant+"/"+c.Name]))
+			errs = append(errs, checkClassRuns(c.Name, runs, completed[d.Tenant+"/"+c.Name]))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// judgeRuns names a class whose requests ran twice, or did not run though their
-// callers were told so.
-func judgeRuns(class string, runs map[string]int, completed int64) error {
+// checkClassRuns returns an error if a request of a class ran more than once, or fewer
+// requests ran than callers saw completed.
+func checkClassRuns(class string, runs map[string]int, completed int64) error {
 	for key, n := range runs {
 		if n > 1 {
 			return status.New(CodeAnswer, "%s: %s ran %d times", class, key, n)
 		}
 	}
 	if int64(len(runs)) < completed {
-		return status.New(CodeAnswer, "%s: %d were told to have completed, %d ran", class, completed, len(runs))
+		return status.New(CodeAnswer, "%s: %d requests were reported as completed, but %d ran", class, completed, len(runs))
 	}
 	return nil
 }
 
-// runs counts the runs of a class by key, over all targets of its service.
-func (j *job) runs(c client.Class) (map[string]int, error) {
+// countRuns counts the runs of a class by idempotency key, over all targets of its service.
+func (j *job) countRuns(c client.Class) (map[string]int, error) {
 	out := make(map[string]int)
 	for _, h := range j.fleet.Hosts {
 		if h.Service != c.Host {
 			continue
 		}
-		counters, err := countersOf(h)
+		counters, err := fetchCounters(h)
 		if err != nil {
 			return nil, err
 		}
@@ -89,9 +88,9 @@
 	return out, nil
 }
 
-func countersOf(h *harness.Host) (target.Counters, error) {
+func fetchCounters(h *harness.Host) (target.Counters, error) {
 	var out target.Counters
-	c := http.Client{Timeout: countersTime}
+	c := http.Client{Timeout: countersTimeout}
 	resp, err := c.Get("http://" + h.Addr.Target + "/control/counters")
 	if err != nil {
 		return out, status.Wrap(harness.CodeHarness, err, "counters of %s", h.Name)
--- a/bench/mainjob/trace.go
+++ b/bench/mainjob/trace.go
@@ -16,7 +16,7 @@
 	"peardrift/internal/status"
 )
 
-// span is one hop as a node's trace file tells it.
+// span is one hop, read from a node's trace file.
 type span struct {
 	node             string
 	id, parent       string
@@ -28,12 +28,12 @@
 	children         []*span
 }
 
-// traceFile is where a host's node appends its spans.
+// traceFile returns the path of the file to which a host's node appends its spans.
 func traceFile(h *harness.Host) string {
 	return filepath.Join(filepath.Dir(h.NodeFile()), h.Name+"-trace.jsonl")
 }
 
-// spanLine is a line of a trace file, as far as it is used here.
+// spanLine is one line of a trace file, with the fields that are used here.
 type spanLine struct {
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// readTrace gathers the spans of one trace from all nodes' files.
+// readTrace collects the spans of one trace from the files of all nodes.
 func (j *job) readTrace(id string) ([]*span, error) {
 	var spans []*span
 	for _, h := range j.fleet.Hosts {
@@ -70,8 +70,8 @@
 	return spans, nil
 }
 
-// maxLine bounds a line of a trace file.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line of a trace file in bytes.
+const maxLineBytes = 1 << 20
 
 func readSpans(file, id string) ([]*span, error) {
 	f, err := os.Open(file)
@@ -84,17 +84,17 @@
 	defer f.Close()
 	var spans []*span
 	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if !bytes.Contains(lines.Bytes(), []byte(id)) {
 			continue
 		}
 		var l spanLine
 		if json.Unmarshal(lines.Bytes(), &l) != nil {
-			continue // a line still being written; the next look reads it whole
+			continue // the line is still being written; the next read gets it complete
 		}
 		if l.SpanContext.TraceID == id {
-			spans = append(spans, spanOf(&l))
+			spans = append(spans, newSpan(&l))
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -103,7 +103,7 @@
 	return spans, nil
 }
 
-func spanOf(l *spanLine) *span {
+func newSpan(l *spanLine) *span {
 	attr := func(name string) string { return l.Attributes.get("peardrift." + name) }
 	return &span{
 		node: l.Resource.get("service.instance.id"),
@@ -114,9 +114,9 @@
 	}
 }
 
-// tree links spans to their parents and returns those that have none among
-// them: one, if the trace is whole.
-func tree(spans []*span) []*span {
+// linkSpans links spans to their parents and returns the spans without a parent among
+// them: one if the trace is complete.
+func linkSpans(spans []*span) []*span {
 	byID := make(map[string]*span, len(spans))
 	for _, s := range spans {
 		byID[s.id], s.children = s, nil
@@ -129,10 +129,10 @@
 			roots = append(roots, s)
 		}
 	}
-	early := func(a, b *span) int { return a.start.Compare(b.start) }
+	byStart := func(a, b *span) int { return a.start.Compare(b.start) }
 	for _, s := range spans {
-		slices.SortFunc(s.children, early)
+		slices.SortFunc(s.children, byStart)
 	}
-	slices.SortFunc(roots, early)
+	slices.SortFunc(roots, byStart)
 	return roots
 }
