--- a/bench/latency/bench_test.go
+++ b/bench/latency/bench_test.go
@@ -9,9 +9,9 @@
 	"peardrift/internal/status"
 )
 
-// The benchmarks make whole requests, several at a time, with caller, nodes and
-// targets in this process. cpu-ns/op is the processor time of all of them; what
-// the nodes cost is the difference to the direct way.
+// BenchmarkRequest sends concurrent requests with the caller, nodes and targets in this
+// process. cpu-ns/op is the CPU time of all of them; the cost of the nodes is the
+// difference between the nodes and direct variants.
 func BenchmarkRequest(b *testing.B) {
 	s, err := NewStack()
 	if err != nil {
@@ -22,38 +22,38 @@
 		name, path string
 		bytes      int64
 	}{{"hop", PathHop, 0}, {"chain5", PathChain, 0}, {"upload", PathUpload, UploadBytes}} {
-		for _, way := range []struct {
+		for _, variant := range []struct {
 			name string
 			send func(string) status.Code
 		}{{"direct", s.Direct}, {"nodes", s.Through}} {
-			b.Run(kind.name+"/"+way.name, func(b *testing.B) {
+			b.Run(kind.name+"/"+variant.name, func(b *testing.B) {
 				b.SetBytes(kind.bytes)
-				measure(b, way.send, kind.path)
+				runBenchmark(b, variant.send, kind.path)
 			})
 		}
 	}
 }
 
-func measure(b *testing.B, send func(string) status.Code, path string) {
+func runBenchmark(b *testing.B, send func(string) status.Code, path string) {
 	b.ReportAllocs()
 	var refused atomic.Int64
-	before := ownTime()
+	before := processCPU()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			switch code := send(path); code {
 			case "":
 			case status.CodeOverloaded, status.CodeOverShare:
-				refused.Add(1) // which a node may do on a machine that is busy
+				refused.Add(1) // expected of a node on a busy machine
 			default:
 				b.Errorf("a request did not complete: %s", code)
 			}
 		}
 	})
 	b.ReportMetric(float64(refused.Load()), "refused")
-	b.ReportMetric(float64(ownTime()-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(processCPU()-before)/float64(b.N), "cpu-ns/op")
 }
 
-func TestStackAnswersBothWays(t *testing.T) {
+func TestStackAnswersDirectAndThroughNodes(t *testing.T) {
 	is := is.New(t)
 	s, err := NewStack()
 	is.NoErr(err)
--- a/bench/latency/compare.go
+++ b/bench/latency/compare.go
@@ -17,43 +17,44 @@
 	"peardrift/internal/status"
 )
 
-// CodeRegression is the code of a version that costs more than the bound.
+// CodeRegression means that this version costs more than the bounds allow.
 const CodeRegression status.Code = "regression"
 
-// Comparison compares this version's benchmarks with those of another one.
+// Comparison configures a comparison of this version's benchmarks with another version's.
 type Comparison struct {
-	Root string // of the workspace
-	// Against is a revision of git: the other version.
+	Root string // root directory of the workspace
+	// Against is the git revision of the other version.
 	Against string
-	// Rounds is how often each version's benchmarks run, in turn.
+	// Rounds is the number of times that each version's benchmarks run, alternating.
 	Rounds int
-	// Requests are made in each run of a benchmark.
+	// Requests is the number of requests per run of a benchmark.
 	Requests int
-	// MaxCPU and MaxAllocs bound the ratio, this version to the other, of the
-	// processor time and of the allocations of a request through nodes.
-	// Allocations hardly vary; processor time does with the machine's load, so
-	// the least of the rounds is compared.
+	// MaxCPU and MaxAllocs are the maximum ratios, this version to the other, of the
+	// CPU time and the allocations of a request through nodes. Allocations hardly
+	// vary, but CPU time varies with the machine's load, so the minimum over the
+	// rounds is compared.
 	MaxCPU, MaxAllocs float64
-	// MaxBytes is the same for the bytes allocated. A node that held the bodies
-	// which it is to pass on as they come would show here.
+	// MaxBytes is the same for allocated bytes. It detects a node that buffers bodies
+	// instead of streaming them.
 	MaxBytes float64
 }
 
-// Units of the benchmarks that are compared, with a bound each.
+// Benchmark units that are compared, each with its own bound.
 const (
-	unitCPU    = "cpu-sec/op" // as benchfmt writes cpu-ns/op
+	unitCPU    = "cpu-sec/op" // benchfmt's name for cpu-ns/op
 	unitAllocs = "allocs/op"
 	unitBytes  = "B/op"
 )
 
-// samples are the values of a unit of a benchmark, by both.
+// samples holds the measured values by benchmark name and unit.
 type samples map[string]map[string][]float64
 
-// Compare runs both versions in turn, prints the ratios and fails over a bound.
+// Compare runs the benchmarks of both versions alternately, prints the ratios, and
+// returns an error with CodeRegression if a ratio exceeds its bound.
 func Compare(ctx context.Context, c Comparison, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "peardrift-against-")
 	if err != nil {
-		return status.Wrap(status.CodeInternal, err, "folder of the other version")
+		return status.Wrap(status.CodeInternal, err, "create the directory of the other version")
 	}
 	defer os.RemoveAll(dir)
 	if err := export(ctx, c.Root, c.Against, dir); err != nil {
@@ -62,28 +63,28 @@
 	var bins [2]string
 	for i, root := range []string{dir, c.Root} {
 		bins[i] = filepath.Join(dir, fmt.Sprintf("version%d.test", i))
-		if err := run(ctx, root, nil, "go", "test", "-c", "-o", bins[i], "./bench/latency"); err != nil {
+		if err := runCommand(ctx, root, nil, "go", "test", "-c", "-o", bins[i], "./bench/latency"); err != nil {
 			return err
 		}
 	}
-	var found [2]samples
+	var measured [2]samples
 	for i := range bins {
-		found[i] = make(samples)
+		measured[i] = make(samples)
 	}
 	for range c.Rounds {
 		for i, bin := range bins {
-			if err := found[i].add(ctx, bin, c.Requests); err != nil {
+			if err := measured[i].add(ctx, bin, c.Requests); err != nil {
 				return err
 			}
 		}
 	}
-	return c.judge(found[0], found[1], out)
+	return c.report(measured[0], measured[1], out)
 }
 
 // export writes the tree of a revision to dir.
 func export(ctx context.Context, root, revision, dir string) error {
 	var tree bytes.Buffer
-	if err := run(ctx, root, &tree, "git", "archive", "--format=tar", revision); err != nil {
+	if err := runCommand(ctx, root, &tree, "git", "archive", "--format=tar", revision); err != nil {
 		return err
 	}
 	cmd := exec.CommandContext(ctx, "tar", "-x", "-C", dir)
@@ -94,20 +95,20 @@
 	return nil
 }
 
-func run(ctx context.Context, dir string, out io.Writer, name string, args ...string) error {
+func runCommand(ctx context.Context, dir string, out io.Writer, name string, args ...string) error {
 	cmd := exec.CommandContext(ctx, name, args...)
-	var fault bytes.Buffer
-	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, &fault
+	var stderr bytes.Buffer
+	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, &stderr
 	if err := cmd.Run(); err != nil {
-		return status.Wrap(status.CodeInternal, err, "%s %v: %s", name, args, fault.String())
+		return status.Wrap(status.CodeInternal, err, "%s %v: %s", name, args, stderr.String())
 	}
 	return nil
 }
 
-// add runs the benchmarks once.
+// add runs the benchmarks once and adds their values.
 func (s samples) add(ctx context.Context, bin string, requests int) error {
 	var out bytes.Buffer
-	if err := run(ctx, filepath.Dir(bin), &out, bin, "-test.run", "^$", "-test.bench", "Request",
+	if err := runCommand(ctx, filepath.Dir(bin), &out, bin, "-test.run", "^$", "-test.bench", "Request",
 		"-test.benchtime", fmt.Sprintf("%dx", requests)); err != nil {
 		return status.Wrap(status.CodeInternal, err, "benchmarks failed: %s", out.String())
 	}
@@ -131,16 +132,17 @@
 	return nil
 }
 
-// throughNodes marks the benchmarks that are bounded. The direct ones show how
-// far the machine, or the stand-ins, differ between the two.
-const throughNodes = "/nodes"
+// nodesVariant is part of the names of the benchmarks that are bounded. The direct ones
+// show how much the machine or the stand-ins differ between the versions.
+const nodesVariant = "/nodes"
 
-// judge prints a line for each benchmark and unit, and names what is over its
-// bound. Benchmarks that the other version lacks are not compared.
-func (c Comparison) judge(other, this samples, out io.Writer) error {
+// report prints a line per benchmark and unit, and returns an error that lists the ratios
+// over their bounds. Benchmarks that the other version lacks are not compared; an error
+// is returned if none can be.
+func (c Comparison) report(other, this samples, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "benchmark\tunit\t%s\tthis version\tratio\tbound\t\n", c.Against)
-	var over []string
+	var exceeded []string
 	compared := 0
 	for _, name := range sortedKeys(this) {
 		for _, u := range []struct {
@@ -154,22 +156,22 @@
 			compared++
 			before, after := slices.Min(a), slices.Min(b)
 			ratio := after / before
-			bound := fmt.Sprintf("%.2f", u.bound)
-			if !strings.Contains(name, throughNodes) {
-				bound = "-"
+			boundText := fmt.Sprintf("%.2f", u.bound)
+			if !strings.Contains(name, nodesVariant) {
+				boundText = "-"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.3f\t%s\t\n", name, u.unit, before, after, ratio, bound)
-			if ratio > u.bound && bound != "-" {
-				over = append(over, fmt.Sprintf("%s %s: %.3f times that of %s", name, u.unit, ratio, c.Against))
+			fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.3f\t%s\t\n", name, u.unit, before, after, ratio, boundText)
+			if ratio > u.bound && boundText != "-" {
+				exceeded = append(exceeded, fmt.Sprintf("%s %s: %.3f times that of %s", name, u.unit, ratio, c.Against))
 			}
 		}
 	}
 	_ = w.Flush()
 	if compared == 0 {
-		return status.New(CodeRegression, "%s has none of these benchmarks", c.Against)
+		return status.New(CodeRegression, "%s has none of the benchmarks of this version", c.Against)
 	}
-	if len(over) > 0 {
-		return status.New(CodeRegression, "over the bound: %v", over)
+	if len(exceeded) > 0 {
+		return status.New(CodeRegression, "bounds exceeded: %v", exceeded)
 	}
 	return nil
 }
--- a/bench/latency/cpu.go
+++ b/bench/latency/cpu.go
@@ -8,50 +8,50 @@
 	"time"
 )
 
-// usage takes the machine's and the generator's use of the processors from now
-// until the function that it returns is called.
-func (s *Sample) usage() (end func()) {
-	busy, all := machineTime()
-	own := ownTime()
+// measureCPU starts measuring the CPU use of the machine and the generator. The returned
+// function ends the measurement and stores it in s.
+func (s *Sample) measureCPU() (end func()) {
+	busy, all := machineCPU()
+	own := processCPU()
 	return func() {
-		b, a := machineTime()
+		b, a := machineCPU()
 		s.Busy = (b - busy) / max(1, a-all)
-		s.Caller = (ownTime() - own) / time.Duration(max(1, s.Sent))
+		s.Caller = (processCPU() - own) / time.Duration(max(1, s.Sent))
 	}
 }
 
-// Positions in the first line of /proc/stat of the time without work.
+// Positions of the idle times in the first line of /proc/stat.
 const (
-	fieldIdle = 4
-	fieldWait = 5
-	// fieldsOfStat are all of the line's but the guests' time, which is part of
-	// the others.
-	fieldsOfStat = 9
+	fieldIdle   = 4
+	fieldIOWait = 5
+	// statFields excludes the guest times at the end of the line, which the other
+	// fields already include.
+	statFields = 9
 )
 
-// machineTime returns the time that all processors worked, and their whole time,
-// in ticks; nothing where the system doesn't tell.
-func machineTime() (busy, all float64) {
+// machineCPU returns the busy and the total time of all processors in ticks, or zeros
+// if the system doesn't provide them.
+func machineCPU() (busy, all float64) {
 	b, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0
 	}
 	line, _, _ := strings.Cut(string(b), "\n")
 	for i, f := range strings.Fields(line) {
-		if i == 0 || i >= fieldsOfStat {
+		if i == 0 || i >= statFields {
 			continue
 		}
 		n, _ := strconv.ParseFloat(f, 64)
 		all += n
-		if i != fieldIdle && i != fieldWait {
+		if i != fieldIdle && i != fieldIOWait {
 			busy += n
 		}
 	}
 	return busy, all
 }
 
-// ownTime returns the processor time of this process.
-func ownTime() time.Duration {
+// processCPU returns the CPU time of this process.
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/bench/latency/deployment.go
+++ b/bench/latency/deployment.go
@@ -12,40 +12,40 @@
 	"peardrift/internal/status"
 )
 
-// Depth is the length of the chain measured beside the single hop.
+// Depth is the number of services in the call chain.
 const Depth = 5
 
-// Paths of the kinds of request.
+// Request paths, one per kind of request.
 const (
-	PathHop   = "/hop"   // answered by the service that it is sent to
-	PathChain = "/chain" // sent to the first, which calls on to the last service
+	PathHop   = "/hop"   // answered by the service that receives it
+	PathChain = "/chain" // sent to the first service and called through to the last
 
-	// PathUpload is for the benchmarks: a request with a body of UploadBytes, which
-	// nodes pass on as it comes, to the first service.
+	// PathUpload is for the benchmarks: a request to the first service with a body of
+	// UploadBytes, which nodes stream.
 	PathUpload = "/upload"
 
 	UploadBytes = 1 << 20
 )
 
 const (
-	tenant = "lat"
-	slots  = 400
-	body   = 500 // bytes of an answer
+	tenant      = "lat"
+	slots       = 400
+	answerBytes = 500 // response size in bytes
 )
 
-// chain returns the deployment: hop1 calls hop2, and so on to the last one.
+// chain returns a deployment of Depth services in which hop1 calls hop2 and so on.
 func chain(targets int, service time.Duration) deploy.Deployment {
 	d := deploy.Deployment{Tenant: tenant, Region: "r", Zones: []string{"a", "b"}}
 	for i := 1; i <= Depth; i++ {
-		on := target.Route{Prefix: PathChain, ServiceTime: service, Size: body}
+		chainRoute := target.Route{Prefix: PathChain, ServiceTime: service, Size: answerBytes}
 		if i < Depth {
-			on.Calls = []target.Call{{Service: serviceName(i + 1), Path: PathChain, Required: true}}
+			chainRoute.Calls = []target.Call{{Service: serviceName(i + 1), Path: PathChain, Required: true}}
 		}
 		d.Services = append(d.Services, deploy.Service{
 			Name: fmt.Sprintf("hop%d", i), Targets: targets, Slots: slots,
 			Routes: []target.Route{
-				on, {Prefix: PathHop, ServiceTime: service, Size: body},
-				{Prefix: PathUpload, ServiceTime: service, Size: body},
+				chainRoute, {Prefix: PathHop, ServiceTime: service, Size: answerBytes},
+				{Prefix: PathUpload, ServiceTime: service, Size: answerBytes},
 			},
 		})
 	}
@@ -54,14 +54,14 @@
 
 func serviceName(i int) string { return fmt.Sprintf("hop%d.%s", i, tenant) }
 
-// first is the service that requests are sent to.
-func first() string { return serviceName(1) }
+// firstService returns the name of the first service of the chain.
+func firstService() string { return serviceName(1) }
 
-// writeSet writes the deployment's configuration set below root, as an example.
+// writeSet writes the deployment's configuration set to the examples directory of root.
 func writeSet(root string) error {
 	dir := filepath.Join(root, "examples", tenant)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return status.Wrap(status.CodeInternal, err, "folder of the set")
+		return status.Wrap(status.CodeInternal, err, "create the directory of the set")
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "tenant: %s\nshare: 1\nservices:\n", tenant)
--- a/bench/latency/doc.go
+++ b/bench/latency/doc.go
@@ -1,11 +1,11 @@
-// Package latency measures what the nodes add to a call: the same call made
-// directly between targets and through their nodes, in turn, in one run.
+// Package latency measures the overhead that nodes add to a call. It makes the same
+// calls directly between targets and through their nodes, alternating within one run.
 //
-// Two ways: Measure runs real processes at given rates and reports quantiles;
-// the benchmarks run nodes in one process and report processor time and
-// allocations for each request. Compare runs the benchmarks of two versions of
-// the project in turn and bounds their ratio.
+// Measure runs real processes at given rates and reports latency quantiles. The
+// benchmarks run nodes in one process and report CPU time and allocations per request.
+// Compare runs the benchmarks of two versions of the project alternately and bounds
+// their ratios.
 //
-// The targets are lean ones (LeanTarget), so that the difference is not lost in
-// the time that a target takes. Figures are in docs/LATENCY.md.
+// The targets are minimal (LeanTarget), so that their own processing time doesn't mask
+// the difference. Results are in docs/LATENCY.md.
 package latency
--- a/bench/latency/lean.go
+++ b/bench/latency/lean.go
@@ -18,9 +18,8 @@
 	"peardrift/internal/status"
 )
 
-// LeanTarget serves what a stand-in target's settings say, without anything
-// that costs time of its own: no slots, no counters, no check of answers. It
-// passes on traceparent.
+// LeanTarget serves the routes of a stand-in target with minimal overhead: no slots, no
+// counters, no verification of answers. It propagates the traceparent header.
 type LeanTarget struct {
 	cfg    target.Config
 	client *hertzhttp.Client
@@ -28,20 +27,20 @@
 	next   atomic.Uint64
 }
 
-// StartLean opens the target's port and serves until Close.
+// StartLean listens on cfg.Listen and serves until Close.
 func StartLean(cfg target.Config) (*LeanTarget, error) {
 	cc := hertzhttp.DefaultClientConfig()
-	cc.WatchAfter = watchAfter
+	cc.WatchAfter = idleCheckAfter
 	t := &LeanTarget{cfg: cfg, client: hertzhttp.NewClient(cc)}
 	var err error
 	t.http, err = httpd.Start(httpd.Config{Listen: cfg.Listen}, t.serve)
 	return t, err
 }
 
-// Addr returns the address in use.
+// Addr returns the listen address.
 func (t *LeanTarget) Addr() string { return t.http.Addr() }
 
-// Close ends the target.
+// Close stops the target.
 func (t *LeanTarget) Close() error {
 	t.client.Close()
 	return t.http.Close()
@@ -68,7 +67,7 @@
 		c.Data(http.StatusOK, "text/plain", bytes.Repeat([]byte{'a'}, r.Size))
 		return
 	}
-	c.String(http.StatusOK, "ok") // health and load
+	c.String(http.StatusOK, "ok") // health and load endpoints
 }
 
 func (t *LeanTarget) call(ctx context.Context, c *app.RequestContext, call target.Call) error {
@@ -81,7 +80,7 @@
 	if tp := c.GetHeader("traceparent"); len(tp) > 0 {
 		req.Header.Set("Traceparent", string(tp))
 	}
-	res, err := t.client.Do(ctx, t.to(call.Service), req, resp)
+	res, err := t.client.Do(ctx, t.addrFor(call.Service), req, resp)
 	if err != nil {
 		return err
 	}
@@ -89,13 +88,14 @@
 		_ = res.Stream.Close()
 	}
 	if resp.StatusCode() != http.StatusOK {
-		return status.New(status.CodeTargetFailed, "%s answered %d: %s", call.Service, resp.StatusCode(), resp.Body())
+		return status.New(status.CodeTargetFailed, "%s responded %d: %s", call.Service, resp.StatusCode(), resp.Body())
 	}
 	return nil
 }
 
-// to returns the address for a call to a service.
-func (t *LeanTarget) to(service string) string {
+// addrFor returns the address for a call to a service: one of its targets in turn if they
+// are configured, else the node.
+func (t *LeanTarget) addrFor(service string) string {
 	base := t.cfg.Node
 	if direct := t.cfg.Direct[service]; len(direct) > 0 {
 		base = direct[t.next.Add(1)%uint64(len(direct))]
--- a/bench/latency/load.go
+++ b/bench/latency/load.go
@@ -17,78 +17,81 @@
 )
 
 const (
-	lowest  = 1          // µs
-	highest = 60_000_000 // µs: a minute
-	digits  = 3
-	// pacers share the rate: one alone would fall behind at high rates, as a
-	// sleep ends late by some tens of µs.
-	pacers = 16
-	// maxOpen bounds requests in flight; arrivals beyond it are overrun.
-	maxOpen = 8192
-	timeout = 10 * time.Second
-	// watchAfter keeps the clients here from looking after idle connections
-	// between two calls, which would count as the nodes' cost or the targets'.
-	watchAfter = time.Minute
+	minLatencyMicros  = 1          // µs
+	maxLatencyMicros  = 60_000_000 // µs: a minute
+	significantDigits = 3
+	// pacerCount is the number of goroutines that share the rate. One alone falls behind
+	// at high rates because a sleep overruns by tens of µs.
+	pacerCount = 16
+	// maxInFlight is the maximum number of requests in flight; arrivals beyond it are not
+	// sent and count as overrun.
+	maxInFlight    = 8192
+	requestTimeout = 10 * time.Second
+	// idleCheckAfter is long enough that clients don't check idle connections between two
+	// calls, which would count as cost of the nodes or targets.
+	idleCheckAfter = time.Minute
 )
 
-// Sample is what one slice of load gave.
+// Sample holds the measurements of one load.
 type Sample struct {
-	// Latency is that of completed requests in µs, from when each was sent.
+	// Latency is the latency of completed requests in µs, from when each was sent.
 	Latency *hdrhistogram.Histogram
-	// FromDue is the same from when each was due to be sent.
+	// FromDue is the same, from the scheduled send time.
 	FromDue *hdrhistogram.Histogram
-	// Late is by how much requests were sent after they were due, in µs: where
-	// it is large, the machine or the generator is saturated.
+	// Late is the delay of requests in µs past their scheduled send time. If it is
+	// large, the machine or the generator is saturated.
 	Late *hdrhistogram.Histogram
-	// Busy is the share of the machine's processors that was in use meanwhile,
-	// by whatever runs on it. Caller is the processor time that the generator
-	// took for each request.
+	// Busy is the CPU utilization of the machine during the load, 0 to 1, by all its
+	// processes. Caller is the generator's CPU time per request.
 	Busy      float64
 	Caller    time.Duration
 	Sent      int
 	Completed int
 	Overrun   int
-	// Failed counts the others by the code that they were answered with.
+	// Failed counts the requests that did not complete, by code.
 	Failed map[status.Code]int
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
+}
 
-// generator sends GET requests at a mean rate, however long answers take.
+// generator is an open-loop load generator: it sends requests at a mean rate,
+// independent of response times.
 type generator struct {
-	client *hertzhttp.Client
-	open   atomic.Int64
-	next   atomic.Uint64
+	client   *hertzhttp.Client
+	inFlight atomic.Int64
+	next     atomic.Uint64
 }
 
 func newGenerator() *generator {
 	cfg := hertzhttp.DefaultClientConfig()
-	cfg.MaxConns, cfg.MaxIdle, cfg.WatchAfter = maxOpen, maxOpen, watchAfter
+	cfg.MaxConns, cfg.MaxIdle, cfg.WatchAfter = maxInFlight, maxInFlight, idleCheckAfter
 	return &generator{client: hertzhttp.NewClient(cfg)}
 }
 
-// way is where and what to send.
-type way struct {
-	doors []door
-	path  string
+// route is a request path with the endpoints that it is sent to.
+type route struct {
+	endpoints []endpoint
+	path      string
 }
 
-// door is an address that takes requests for a service.
-type door struct{ addr, service string }
+// endpoint is an address that accepts requests for a service.
+type endpoint struct{ addr, service string }
 
-// run sends Poisson arrivals for a time and waits for all answers.
-func (g *generator) run(ctx context.Context, w way, rate float64, length time.Duration, seed uint64) *Sample {
+// run sends requests with Poisson arrivals for a time and waits for all responses.
+func (g *generator) run(ctx context.Context, w route, rate float64, length time.Duration, seed uint64) *Sample {
 	s := &Sample{Latency: newHistogram(), FromDue: newHistogram(), Late: newHistogram(), Failed: make(map[status.Code]int)}
-	defer s.usage()()
+	defer s.measureCPU()()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
-	for p := range pacers {
+	for p := range pacerCount {
 		rng := rand.New(rand.NewPCG(seed, uint64(p)))
 		wg.Go(func() {
 			var at time.Duration
 			for ctx.Err() == nil {
-				at += time.Duration(rng.ExpFloat64() / rate * pacers * float64(time.Second))
+				at += time.Duration(rng.ExpFloat64() / rate * pacerCount * float64(time.Second))
 				if at >= length {
 					return
 				}
@@ -102,58 +105,61 @@
 	return s
 }
 
-func (g *generator) request(ctx context.Context, w way, s *Sample, mu *sync.Mutex, late time.Duration) {
-	if g.open.Add(1) > maxOpen {
-		g.open.Add(-1)
+func (g *generator) request(ctx context.Context, w route, s *Sample, mu *sync.Mutex, late time.Duration) {
+	if g.inFlight.Add(1) > maxInFlight {
+		g.inFlight.Add(-1)
 		mu.Lock()
 		s.Overrun++
 		mu.Unlock()
 		return
 	}
-	defer g.open.Add(-1)
+	defer g.inFlight.Add(-1)
 	began := time.Now()
-	code := g.send(ctx, w.doors[g.next.Add(1)%uint64(len(w.doors))], w.path)
+	code := g.send(ctx, w.endpoints[g.next.Add(1)%uint64(len(w.endpoints))], w.path)
 	took := time.Since(began)
 	mu.Lock()
 	defer mu.Unlock()
 	s.Sent++
-	_ = s.Late.RecordValue(bounded(late))
+	_ = s.Late.RecordValue(clampMicros(late))
 	if code != "" {
 		s.Failed[code]++
 		return
 	}
 	s.Completed++
-	_ = s.Latency.RecordValue(bounded(took))
-	_ = s.FromDue.RecordValue(bounded(late + took))
+	_ = s.Latency.RecordValue(clampMicros(took))
+	_ = s.FromDue.RecordValue(clampMicros(late + took))
 }
 
-func bounded(d time.Duration) int64 { return min(max(d.Microseconds(), lowest), highest) }
+func clampMicros(d time.Duration) int64 {
+	return min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)
+}
 
-// fill makes the request that is sent to a path.
-func fill(req *protocol.Request, to door, path string) {
+// fillRequest sets up a request for a path.
+func fillRequest(req *protocol.Request, to endpoint, path string) {
 	req.Header.SetMethod(http.MethodGet)
 	req.Header.SetRequestURI(path)
 	req.Header.SetHost(to.service)
 	if path == PathUpload {
 		req.Header.SetMethod(http.MethodPost)
-		req.SetBodyRaw(upload)
+		req.SetBodyRaw(uploadBody)
 	}
 }
 
-// upload is the body of a request to PathUpload.
-var upload = make([]byte, UploadBytes)
+// uploadBody is the body of a request to PathUpload.
+var uploadBody = make([]byte, UploadBytes)
 
-// noCode stands for an answer other than 200 that names no code.
+// noCode is the code of a streamed response and of a status other than 200 without a code.
 const noCode status.Code = "none"
 
-// send makes one request. It returns no code if it was answered 200, whole.
-func (g *generator) send(ctx context.Context, to door, path string) status.Code {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// send sends one request. It returns an empty code for a complete response with status
+// 200.
+func (g *generator) send(ctx context.Context, to endpoint, path string) status.Code {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
-	fill(req, to, path)
+	fillRequest(req, to, path)
 	res, err := g.client.Do(ctx, to.addr, req, resp)
 	if res.Stream != nil {
 		_ = res.Stream.Close()
--- a/bench/latency/measure.go
+++ b/bench/latency/measure.go
@@ -12,55 +12,57 @@
 	"peardrift/internal/status"
 )
 
-// Config is one measurement with real processes.
+// Config configures a measurement with real processes.
 type Config struct {
-	Bins harness.Bins // with the lean target in the place of the target
-	// Rates are in calls a second: a request down the chain is Depth of them.
+	Bins harness.Bins // with the lean target in place of the stand-in target
+	// Rates are in calls/s. A request through the chain makes Depth calls.
 	Rates []float64
-	// Rounds is how often each way is measured, in turn with the other.
+	// Rounds is the number of direct loads and of loads through nodes, alternating.
 	Rounds int
-	// Slice is the length of one load.
+	// Slice is the duration of one load.
 	Slice time.Duration
-	// Warm is the length of the load before a cell, which isn't counted.
+	// Warm is the duration of the warm-up load before a cell, which isn't measured.
 	Warm time.Duration
-	// Targets of each service.
+	// Targets is the number of targets per service.
 	Targets int
-	// Service is the time that each target takes for a call.
+	// Service is the service time of a target per call.
 	Service time.Duration
 	// Tune, if set, changes the nodes' settings.
 	Tune func(*harness.Host, *settings.Settings)
 }
 
-// Cell is what was measured of one kind of request at one rate.
+// Cell holds the measurements of one kind of request at one rate.
 type Cell struct {
 	Kind   string
-	Rate   float64 // calls a second
+	Rate   float64 // calls/s
 	Rounds []Round
 }
 
-// Round is one slice of either way.
+// Round holds one direct load and one load through nodes.
 type Round struct {
 	Direct, Nodes *Sample
-	// NodeCPU is the processor time that all nodes took for each call.
+	// NodeCPU is the CPU time of all nodes per call.
 	NodeCPU time.Duration
 }
 
-// Result is a whole measurement.
+// Result holds the results of a measurement.
 type Result struct {
 	Cells []Cell
-	// Idle and Loaded are the resident bytes of each node, before and after.
+	// Idle and Loaded are the resident memory of each node in bytes, before and after
+	// the load.
 	Idle, Loaded []int64
-	// IdleCPU is the share of a core that a node takes without any calls.
+	// IdleCPU is the mean CPU use of a node without calls, as a fraction of a core.
 	IdleCPU float64
 }
 
 const (
-	readyTime = 90 * time.Second
-	// settle lets a fleet that has just started come to rest.
-	settle = 3 * time.Second
+	readyTimeout = 90 * time.Second
+	// settleTime lets a fleet that has just started become idle.
+	settleTime = 3 * time.Second
 )
 
-// Measure starts a fleet, measures all cells and ends it.
+// Measure starts a fleet, measures all cells and stops the fleet. It calls progress
+// after each cell.
 func Measure(ctx context.Context, cfg Config, progress func(Cell)) (*Result, error) {
 	f, err := harness.New(cfg.Bins)
 	if err != nil {
@@ -70,13 +72,13 @@
 	defer context.AfterFunc(ctx, f.Close)()
 	f.Tune = cfg.Tune
 	f.TuneTarget = func(_ *harness.Host, c *target.Config) { c.Dist = target.DistFixed }
-	if err := start(ctx, f, cfg); err != nil {
+	if err := startFleet(ctx, f, cfg); err != nil {
 		return nil, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	before := nodesCPU(f)
-	time.Sleep(settle)
-	res := &Result{Idle: resident(f), IdleCPU: float64(nodesCPU(f)-before) / float64(settle) / float64(len(f.Hosts))}
+	time.Sleep(settleTime)
+	res := &Result{Idle: residentMemory(f), IdleCPU: float64(nodesCPU(f)-before) / float64(settleTime) / float64(len(f.Hosts))}
 	g := newGenerator()
 	defer g.client.Close()
 	for _, path := range []string{PathHop, PathChain} {
@@ -89,21 +91,21 @@
 			res.Cells = append(res.Cells, c)
 		}
 	}
-	res.Loaded = resident(f)
+	res.Loaded = residentMemory(f)
 	return res, nil
 }
 
-func start(ctx context.Context, f *harness.Fleet, cfg Config) error {
+func startFleet(ctx context.Context, f *harness.Fleet, cfg Config) error {
 	d := chain(cfg.Targets, cfg.Service)
 	if err := f.AddDirect(d); err != nil {
 		return err
 	}
-	return bringUp(ctx, f, d)
+	return startHosts(ctx, f, d)
 }
 
-// bringUp starts the hosts of a deployment, applies the set and waits until
-// all nodes know all.
-func bringUp(ctx context.Context, f *harness.Fleet, d deploy.Deployment) error {
+// startHosts starts the hosts of a deployment, applies the set and waits until all nodes
+// are ready and know each other.
+func startHosts(ctx context.Context, f *harness.Fleet, d deploy.Deployment) error {
 	if err := f.Add(d); err != nil {
 		return err
 	}
@@ -112,7 +114,7 @@
 	}
 	root, err := os.MkdirTemp("", "peardrift-set-")
 	if err != nil {
-		return status.Wrap(status.CodeInternal, err, "folder of the set")
+		return status.Wrap(status.CodeInternal, err, "create the directory of the set")
 	}
 	defer os.RemoveAll(root)
 	if err := writeSet(root); err != nil {
@@ -121,14 +123,14 @@
 	if err := f.Apply(ctx, root, tenant, 0); err != nil {
 		return err
 	}
-	if err := f.Ready(readyTime); err != nil {
+	if err := f.Ready(readyTimeout); err != nil {
 		return err
 	}
-	return f.Converged(readyTime)
+	return f.Converged(readyTimeout)
 }
 
-// measureCell loads both ways in turn. Which goes first changes with each
-// round, so that a drift of the machine doesn't count for one of them.
+// measureCell alternates direct load and load through nodes. The order changes with each
+// round, so that drift of the machine doesn't favor one of them.
 func measureCell(ctx context.Context, f *harness.Fleet, g *generator, cfg Config, path string, rate float64) (Cell, error) {
 	c := Cell{Kind: path, Rate: rate}
 	calls := 1.0
@@ -136,22 +138,22 @@
 		calls = Depth
 	}
 	requests := rate / calls
-	nodes, direct := ways(f, path)
+	nodes, direct := routesFor(f, path)
 	g.run(ctx, direct, requests, cfg.Warm, 0)
 	g.run(ctx, nodes, requests, cfg.Warm, 0)
 	for i := range cfg.Rounds {
 		var r Round
-		through := func() {
+		loadNodes := func() {
 			before := nodesCPU(f)
 			r.Nodes = g.run(ctx, nodes, requests, cfg.Slice, uint64(i+1))
 			r.NodeCPU = (nodesCPU(f) - before) / time.Duration(max(1, int(calls)*r.Nodes.Completed))
 		}
 		if i%2 == 1 {
-			through()
+			loadNodes()
 		}
 		r.Direct = g.run(ctx, direct, requests, cfg.Slice, uint64(i+1))
 		if i%2 == 0 {
-			through()
+			loadNodes()
 		}
 		if ctx.Err() != nil {
 			return c, status.Wrap(status.CodeCanceled, ctx.Err(), "the measurement was interrupted")
--- a/bench/latency/memory.go
+++ b/bench/latency/memory.go
@@ -14,23 +14,23 @@
 
 // Memory is the resident memory of one node process.
 type Memory struct {
-	Known    int // members that it knows, itself included
+	Known    int // members that the node knows, including itself
 	Resident int64
 }
 
 const (
-	// targetServices is the number of services at the target size.
+	// targetServices is the number of services of a fleet at the size the project aims for.
 	targetServices = 760
-	// perMessage is the number of records in one message.
-	perMessage = 50
-	// incarnation is that of the members made up here.
+	// recordsPerMessage is the number of records in one message.
+	recordsPerMessage = 50
+	// incarnation is the incarnation of the synthetic members.
 	incarnation = 1
-	// rest lets the node collect what the messages left behind.
-	rest = 20 * time.Second
+	// gcTime lets the node garbage-collect the memory of the messages.
+	gcTime = 20 * time.Second
 )
 
-// MeasureMemory starts one node and tells it of more and more members that
-// don't exist, as a peer would, over its control listener.
+// MeasureMemory starts one node, sends it a growing number of synthetic members over its
+// control listener, as a peer does, and measures its memory at each number in members.
 func MeasureMemory(ctx context.Context, cfg Config, members []int) ([]Memory, error) {
 	f, err := harness.New(cfg.Bins)
 	if err != nil {
@@ -39,8 +39,8 @@
 	defer f.Close()
 	defer context.AfterFunc(ctx, f.Close)()
 	d := chain(1, cfg.Service)
-	d.Services = d.Services[Depth-1:] // it calls nobody
-	if err := bringUp(ctx, f, d); err != nil {
+	d.Services = d.Services[Depth-1:] // the last service makes no calls
+	if err := startHosts(ctx, f, d); err != nil {
 		return nil, err
 	}
 	pool := rpc.NewPool(rpc.DefaultConfig(), &rpc.Meter{})
@@ -48,11 +48,11 @@
 	var out []Memory
 	known := 1
 	for _, n := range members {
-		if err := tell(ctx, pool, f.Hosts[0].Addr.Control, known, n); err != nil {
+		if err := sendMembers(ctx, pool, f.Hosts[0].Addr.Control, known, n); err != nil {
 			return nil, err
 		}
 		known = max(known, n)
-		time.Sleep(rest)
+		time.Sleep(gcTime)
 		st, err := f.Hosts[0].Status()
 		if err != nil {
 			return nil, err
@@ -61,28 +61,29 @@
 		for _, c := range st.Members {
 			sum += c
 		}
-		out = append(out, Memory{Known: sum, Resident: resident(f)[0]})
+		out = append(out, Memory{Known: sum, Resident: residentMemory(f)[0]})
 	}
 	return out, nil
 }
 
-// tell sends the records of members from..to-1 to a node.
-func tell(ctx context.Context, pool *rpc.Pool, addr string, from, to int) error {
-	for i := from; i < to; i += perMessage {
-		m := &member.Message{Kind: member.Join, From: madeUp(1).ID, Incarnation: incarnation, Partial: true}
-		for k := i; k < min(i+perMessage, to); k++ {
-			m.Records = append(m.Records, madeUp(k))
+// sendMembers sends a node the records of the synthetic members k with from <= k < to.
+func sendMembers(ctx context.Context, pool *rpc.Pool, addr string, from, to int) error {
+	for i := from; i < to; i += recordsPerMessage {
+		m := &member.Message{Kind: member.Join, From: syntheticMember(1).ID, Incarnation: incarnation, Partial: true}
+		for k := i; k < min(i+recordsPerMessage, to); k++ {
+			m.Records = append(m.Records, syntheticMember(k))
 		}
 		var reply member.Message
 		if err := pool.Call(ctx, addr, rpc.GossipName+".Exchange", m, &reply); err != nil {
-			return status.Wrap(status.CodeInternal, err, "tell of members")
+			return status.Wrap(status.CodeInternal, err, "send member records")
 		}
 	}
 	return nil
 }
 
-// madeUp is the k-th member, on an address of its own where nobody listens.
-func madeUp(k int) *member.Record {
+// syntheticMember returns the k-th synthetic member, with a unique address where nothing
+// listens.
+func syntheticMember(k int) *member.Record {
 	name := fmt.Sprintf("tenant%d-service%03d-%05d", k%2, k%targetServices, k)
 	host := fmt.Sprintf("127.%d.%d.%d", 1+k>>16, k>>8&0xff, k&0xff)
 	return &member.Record{
--- a/bench/latency/ports.go
+++ b/bench/latency/ports.go
@@ -6,14 +6,14 @@
 	"peardrift/internal/status"
 )
 
-// portsOfNode is the number of a node's listeners.
-const portsOfNode = 5
+// portsPerNode is the number of listeners of a node.
+const portsPerNode = 5
 
-// freePorts returns distinct free addresses.
+// freePorts returns n distinct loopback addresses with free ports.
 func freePorts(n int) ([]string, error) {
-	var held []net.Listener
+	var listeners []net.Listener
 	defer func() {
-		for _, ln := range held {
+		for _, ln := range listeners {
 			_ = ln.Close()
 		}
 	}()
@@ -23,7 +23,7 @@
 		if err != nil {
 			return nil, status.Wrap(status.CodeListen, err, "no free port")
 		}
-		held = append(held, ln)
+		listeners = append(listeners, ln)
 		out = append(out, ln.Addr().String())
 	}
 	return out, nil
--- a/bench/latency/stack.go
+++ b/bench/latency/stack.go
@@ -16,8 +16,8 @@
 	"peardrift/internal/status"
 )
 
-// Stack is a chain of nodes with lean targets in this process, and the same
-// targets once more without nodes.
+// Stack is a chain of nodes with lean targets in this process, plus the same chain of
+// targets without nodes.
 type Stack struct {
 	dir      string
 	platform *platform.Server
@@ -26,19 +26,19 @@
 	kill     context.CancelFunc
 	nodes    sync.WaitGroup
 	gen      *generator
-	through  door
-	direct   door
+	through  endpoint
+	direct   endpoint
 }
 
-// stackTime bounds the start of a stack.
-const stackTime = time.Minute
+// startTimeout is the timeout for the start of a stack.
+const startTimeout = time.Minute
 
-// NewStack starts a stack of one target for each service of the chain.
+// NewStack starts a stack with one target per service of the chain.
 func NewStack() (*Stack, error) {
 	s := &Stack{platform: platform.New(), gen: newGenerator()}
 	ctx, stop := context.WithCancel(context.Background())
-	kill, end := context.WithCancel(context.Background())
-	s.stop, s.kill = stop, end
+	kill, cancelKill := context.WithCancel(context.Background())
+	s.stop, s.kill = stop, cancelKill
 	if err := s.start(ctx, kill); err != nil {
 		s.Close()
 		return nil, err
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-// Close ends all that the stack runs.
+// Close stops all parts of the stack.
 func (s *Stack) Close() {
 	s.stop()
 	s.kill()
@@ -62,7 +62,7 @@
 func (s *Stack) start(ctx, kill context.Context) error {
 	var err error
 	if s.dir, err = os.MkdirTemp("", "peardrift-stack-"); err != nil {
-		return status.Wrap(status.CodeInternal, err, "folder of the stack")
+		return status.Wrap(status.CodeInternal, err, "create the directory of the stack")
 	}
 	if err := s.platform.Start("127.0.0.1:0"); err != nil {
 		return err
@@ -77,16 +77,16 @@
 			return err
 		}
 		ops = append(ops, set.Listen.Ops)
-		// Requests enter at the last node, so that none is its own callee.
-		s.through = door{set.Listen.Callers, first()}
+		// Requests enter at the node of the last service, so that no node calls itself.
+		s.through = endpoint{set.Listen.Callers, firstService()}
 	}
-	if err := s.apply(); err != nil {
+	if err := s.applySet(); err != nil {
 		return err
 	}
-	return s.await(ops)
+	return s.awaitReady(ops)
 }
 
-// startDirect starts the targets without nodes, the last of the chain first.
+// startDirect starts the targets without nodes, from the last to the first.
 func (s *Stack) startDirect() error {
 	urls := make(map[string][]string)
 	for i := Depth - 1; i >= 0; i-- {
@@ -98,7 +98,7 @@
 		}
 		s.targets = append(s.targets, t)
 		urls[cfg.Service] = []string{"http://" + t.Addr()}
-		s.direct = door{t.Addr(), first()}
+		s.direct = endpoint{t.Addr(), firstService()}
 	}
 	return nil
 }
@@ -110,13 +110,13 @@
 	return cfg
 }
 
-// portTries bounds the tries to start a host. Its ports are free when they are
-// chosen; another process may take one before the node listens.
-const portTries = 5
+// maxStartAttempts is the maximum number of attempts to start a host: another process may
+// take one of its free ports before the node listens on it.
+const maxStartAttempts = 5
 
 func (s *Stack) startHost(ctx, kill context.Context, i int) (set settings.Settings, err error) {
-	for range portTries {
-		set, err = s.tryHost(ctx, kill, i)
+	for range maxStartAttempts {
+		set, err = s.tryStartHost(ctx, kill, i)
 		if err == nil || status.CodeOf(err) != status.CodeListen {
 			return set, err
 		}
@@ -124,9 +124,9 @@
 	return set, err
 }
 
-func (s *Stack) tryHost(ctx, kill context.Context, i int) (settings.Settings, error) {
+func (s *Stack) tryStartHost(ctx, kill context.Context, i int) (settings.Settings, error) {
 	set := settings.Default()
-	ports, err := freePorts(portsOfNode)
+	ports, err := freePorts(portsPerNode)
 	if err != nil {
 		return set, err
 	}
@@ -152,8 +152,8 @@
 	return set, nil
 }
 
-// apply submits the chain's set by the operators' tool.
-func (s *Stack) apply() error {
+// applySet submits the chain's configuration set with the command-line tool.
+func (s *Stack) applySet() error {
 	if err := writeSet(s.dir); err != nil {
 		return err
 	}
@@ -173,34 +173,35 @@
 	code := cli.Run(context.Background(), []string{"apply", "--platform", file, "--base", "0", filepath.Join(s.dir, "examples", tenant)},
 		cli.Env{Stdout: os.Stderr, Stderr: os.Stderr, Open: cli.OpenPlatform, Nodes: nodes})
 	if code != cli.ExitOK {
-		return status.New(status.CodeInternal, "peardrift apply ended with %d", code)
+		return status.New(status.CodeInternal, "peardrift apply exited with code %d", code)
 	}
 	return nil
 }
 
-// await waits until all nodes are ready and both ways answer.
-func (s *Stack) await(ops []string) error {
-	end := time.Now().Add(stackTime)
+// awaitReady waits until all nodes are ready and requests complete both directly and
+// through nodes.
+func (s *Stack) awaitReady(ops []string) error {
+	deadline := time.Now().Add(startTimeout)
 	for _, addr := range ops {
-		for !ready(addr) {
-			if time.Now().After(end) {
+		for !isReady(addr) {
+			if time.Now().After(deadline) {
 				return status.New(status.CodeNotReady, "the node at %s is not ready", addr)
 			}
-			time.Sleep(stackPoll)
+			time.Sleep(pollInterval)
 		}
 	}
 	for s.Through(PathChain) != "" || s.Direct(PathChain) != "" {
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return status.New(status.CodeNotReady, "the chain does not answer")
 		}
-		time.Sleep(stackPoll)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-const stackPoll = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
-func ready(addr string) bool {
+func isReady(addr string) bool {
 	resp, err := http.Get("http://" + addr + "/ready")
 	if err != nil {
 		return false
@@ -209,8 +210,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Through sends a request through the nodes and returns the code of what kept
-// it from completing, empty if nothing did.
+// Through sends a request through the nodes. It returns an empty code if the request
+// completed, else the code of the failure.
 func (s *Stack) Through(path string) status.Code {
 	return s.gen.send(context.Background(), s.through, path)
 }
--- a/bench/latency/table.go
+++ b/bench/latency/table.go
@@ -12,14 +12,14 @@
 	"peardrift/internal/status"
 )
 
-// quantiles that are shown.
+// quantiles are the printed quantiles, in percent.
 var quantiles = []float64{50, 99, 99.9}
 
-// Print writes a table of the cells: the median over the rounds of each
-// quantile, and of what the nodes add to it the least and the greatest as well.
-// "from due" is what they add counted from when each request was due, which
-// holds the generator's delay too; "busy" how much of the machine was in use,
-// direct and through nodes: near 100 it is the machine that is measured.
+// Print writes a table of the cells: the median over the rounds of each quantile, and
+// of the latency added by nodes also the minimum and maximum. "from due" is the added
+// latency from the scheduled send times, which includes the generator's delay. "busy" is
+// the CPU utilization of the machine, direct and through nodes; near 100 the figures
+// show the limit of the machine.
 func Print(out io.Writer, cells []Cell) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "request\tcalls/s\tquantile\tdirect ms\tnodes ms\tadded ms\t(least to greatest)\tadded a call ms\tratio\tfrom due ms\tcompleted\tlate p99 ms\tbusy %\tcaller us\tnode CPU us/call\t")
@@ -34,23 +34,23 @@
 	}
 }
 
-// printFailed says what the requests that did not complete were answered.
+// printFailed prints the numbers of requests that did not complete, by code.
 func (c *Cell) printFailed(out io.Writer) {
 	direct, nodes := make(map[status.Code]int), make(map[status.Code]int)
 	for _, r := range c.Rounds {
-		sum(direct, r.Direct)
-		sum(nodes, r.Nodes)
+		addFailures(direct, r.Direct)
+		addFailures(nodes, r.Nodes)
 	}
 	if len(direct)+len(nodes) > 0 {
 		fmt.Fprintf(out, "%s at %.0f calls/s, not completed: direct %v, nodes %v\n", c.Kind, c.Rate, direct, nodes)
 	}
 }
 
-// notSent stands for arrivals that the generator did not send, as too many
+// notSent is the code of arrivals that the generator did not send because too many
 // requests were in flight.
 const notSent status.Code = "not-sent"
 
-func sum(into map[status.Code]int, s *Sample) {
+func addFailures(into map[status.Code]int, s *Sample) {
 	for code, n := range s.Failed {
 		into[code] += n
 	}
@@ -59,23 +59,23 @@
 	}
 }
 
-func (c *Cell) printLine(w io.Writer, q float64, head bool) {
+func (c *Cell) printLine(w io.Writer, q float64, firstLine bool) {
 	direct, nodes, added := c.quantile(q, (*Sample).fromSent)
-	_, _, due := c.quantile(q, (*Sample).fromDue)
+	_, _, addedFromDue := c.quantile(q, (*Sample).fromDue)
 	calls := 1.0
 	if c.Kind == PathChain {
 		calls = Depth
 	}
-	mid := median(added)
+	medianAdded := median(added)
 	fmt.Fprintf(w, "%s\t%.0f\tp%g\t%.2f\t%.2f\t%.2f\t(%.2f to %.2f)\t%.2f\t%.1f\t%.2f\t", c.Kind, c.Rate, q, median(direct), median(nodes),
-		mid, slices.Min(added), slices.Max(added), mid/calls, median(nodes)/median(direct), median(due))
-	if !head {
+		medianAdded, slices.Min(added), slices.Max(added), medianAdded/calls, median(nodes)/median(direct), median(addedFromDue))
+	if !firstLine {
 		fmt.Fprintln(w, "\t\t\t\t\t")
 		return
 	}
 	sent, completed := c.counts()
-	fmt.Fprintf(w, "%d of %d\t%.2f\t%.0f, %.0f\t%.0f\t%.0f\t\n", completed, sent, c.late(),
-		100*c.busy((*Round).direct), 100*c.busy((*Round).nodes), c.caller(), c.cpu())
+	fmt.Fprintf(w, "%d of %d\t%.2f\t%.0f, %.0f\t%.0f\t%.0f\t\n", completed, sent, c.worstSendDelay(),
+		100*c.utilization((*Round).direct), 100*c.utilization((*Round).nodes), c.callerCPU(), c.nodeCPU())
 }
 
 func (s *Sample) fromSent() *hdrhistogram.Histogram { return s.Latency }
@@ -84,7 +84,8 @@
 func (r *Round) direct() *Sample { return r.Direct }
 func (r *Round) nodes() *Sample  { return r.Nodes }
 
-// quantile returns the quantile in ms of each round, and what the nodes added.
+// quantile returns a quantile of each round in ms, direct and through nodes, and the
+// difference.
 func (c *Cell) quantile(q float64, of func(*Sample) *hdrhistogram.Histogram) (direct, nodes, added []float64) {
 	for _, r := range c.Rounds {
 		d, n := float64(of(r.Direct).ValueAtQuantile(q))/1e3, float64(of(r.Nodes).ValueAtQuantile(q))/1e3
@@ -93,7 +94,8 @@
 	return direct, nodes, added
 }
 
-// counts sums both ways: requests, overruns included, and those completed.
+// counts returns the total numbers of requests, including overruns, and of completed
+// requests, direct and through nodes.
 func (c *Cell) counts() (sent, completed int) {
 	for _, r := range c.Rounds {
 		for _, s := range []*Sample{r.Direct, r.Nodes} {
@@ -104,9 +106,9 @@
 	return sent, completed
 }
 
-// late returns the p99 in ms by which requests were sent late, of the way and
-// round where it was worst.
-func (c *Cell) late() float64 {
+// worstSendDelay returns the worst p99 in ms of the send delay over all rounds, direct
+// and through nodes.
+func (c *Cell) worstSendDelay() float64 {
 	worst := 0.0
 	for _, r := range c.Rounds {
 		worst = max(worst, float64(r.Direct.Late.ValueAtQuantile(99))/1e3, float64(r.Nodes.Late.ValueAtQuantile(99))/1e3)
@@ -114,7 +116,7 @@
 	return worst
 }
 
-func (c *Cell) cpu() float64 {
+func (c *Cell) nodeCPU() float64 {
 	var us []float64
 	for _, r := range c.Rounds {
 		us = append(us, float64(r.NodeCPU)/float64(time.Microsecond))
@@ -122,8 +124,9 @@
 	return median(us)
 }
 
-// busy returns the median over the rounds of the machine's load in one way.
-func (c *Cell) busy(of func(*Round) *Sample) float64 {
+// utilization returns the median over the rounds of the machine's CPU utilization, for
+// the samples that of selects.
+func (c *Cell) utilization(of func(*Round) *Sample) float64 {
 	var shares []float64
 	for i := range c.Rounds {
 		shares = append(shares, of(&c.Rounds[i]).Busy)
@@ -131,9 +134,10 @@
 	return median(shares)
 }
 
-// caller returns the generator's processor time for each request in µs, of the
-// way and round where it was least: the others hold more of the machine's work.
-func (c *Cell) caller() float64 {
+// callerCPU returns the generator's CPU time per request in µs: the minimum over all
+// rounds, direct and through nodes, because higher values include more interference
+// from other work on the machine.
+func (c *Cell) callerCPU() float64 {
 	var us []float64
 	for _, r := range c.Rounds {
 		us = append(us, float64(r.Direct.Caller)/float64(time.Microsecond), float64(r.Nodes.Caller)/float64(time.Microsecond))
@@ -149,8 +153,7 @@
 	return s[len(s)/2]
 }
 
-// PrintNodes writes what the nodes take beside the calls: memory, and
-// processor time while there are none.
+// PrintNodes writes the resident memory of the nodes and their CPU time when idle.
 func PrintNodes(out io.Writer, r *Result) {
 	fmt.Fprintf(out, "Processor time of an idle node: %.2f%% of a core (mean)\n", 100*r.IdleCPU)
 	for _, m := range []struct {
