--- a/bench/faults/stop.go
+++ b/bench/faults/stop.go
@@ -108,7 +108,7 @@
 
 // targetStopsFirst guards against the same failure when the target stops first: it
 // drains, and its node stops after it has exited. Requests that the target itself
-// rejects in between count as failed, which is a known limit.
+// rejects in between may fail, which is a known outcome; unknown ones are not allowed.
 func targetStopsFirst(ctx context.Context, l *Lab) (Row, error) {
 	return l.playStop(ctx, func(h *harness.Host) []*harness.Process { return []*harness.Process{h.Target, h.Node} })
 }
