--- a/bench/replay/call.go
+++ b/bench/replay/call.go
@@ -11,218 +11,219 @@
 	"peardrift/internal/status"
 )
 
-// tree is one whole request as peardrift sees it: one try of a client.
-type tree struct {
-	user     *user
-	class    *workload.Class
-	id       request.ID
-	paths    []uint64 // the calls that were made, by their place in the chain
-	extra    int      // attempts beyond one for each of them
-	services uint64   // bit set of the services that completed a call for it
+// rootRequest is one attempt of a client, with all the calls made for it.
+type rootRequest struct {
+	user              *user
+	class             *workload.Class
+	id                request.ID
+	callPaths         []uint64 // calls made so far, by position in the call tree
+	extraAttempts     int      // attempts beyond the first of each call
+	completedServices uint64   // bit set of services that completed a call
 }
 
-// again reports whether the attempt that is about to be sent comes on top of an
-// earlier one of the same call, made by this or by an earlier execution.
-func (t *tree) again(c *call) bool {
-	if c.tries > 1 || c.repeat && slices.Contains(t.paths, c.path) {
+// addAttempt records an attempt that is about to be sent. It reports whether an
+// earlier attempt of the same call was sent, by this execution or an earlier one.
+func (t *rootRequest) addAttempt(c *call) bool {
+	if c.attempts > 1 || c.inRepeat && slices.Contains(t.callPaths, c.path) {
 		return true
 	}
-	t.paths = append(t.paths, c.path)
+	t.callPaths = append(t.callPaths, c.path)
 	return false
 }
 
-// call is one call that a node makes for a request, with all its attempts.
+// call is one call that a node makes for a request, across all its attempts.
 type call struct {
-	n         *node
-	spec      *workload.Call
-	tree      *tree
-	parent    *attempt // nil at the entry node
-	allowance *retry.RequestAllowance
-	depth     int
-	deadline  time.Duration
-	made      retry.Call
-	tries     int
-	ran       bool   // an attempt got past a refusal
-	path      uint64 // place in the chain
-	repeat    bool   // made by an execution that repeats an earlier one
-	cur       *attempt
-	timer     *event
-	tried     route.Tried
-	avoid     []*node // refused or failed an earlier attempt
-	done      func(result)
-	entered   uint64 // key among the entries of its node
-	over      bool
+	caller     *node
+	spec       *workload.Call
+	root       *rootRequest
+	parent     *attempt // nil for the call of an entry node
+	allowance  *retry.RequestAllowance
+	depth      int
+	deadline   time.Duration
+	retryState retry.Call
+	attempts   int
+	anyRan     bool   // some attempt ended other than refused
+	path       uint64 // position in the call tree
+	inRepeat   bool   // the calling execution may repeat an earlier one
+	current    *attempt
+	timer      *event
+	tried      route.Tried
+	avoided    []*node // nodes that refused or failed an earlier attempt
+	onDone     func(result)
+	entryID    uint64 // key in the caller's entryCalls
+	finished   bool
 }
 
-// attempt is one try of a call at one target, with its state at the callee.
+// attempt is one attempt of a call at one target, with its state at the callee.
 type attempt struct {
-	seq   uint64
-	call  *call
-	out   *outbound // of the caller
-	to    *node
-	index int // of the target in the caller's table
-	grant retry.Grant
-	sent  time.Duration
-	delay time.Duration
-	gone  bool // the caller doesn't wait any more
-
-	allowance retry.RequestAllowance // at the callee
-	arrived   time.Duration
-	began     time.Duration
-	running   bool
-	gated     bool // admitted by the gate
-	over      bool
-	timer     *event
-	subs      []*call
-	again     bool          // another execution of the call may have come before
-	used      uint64        // bit set of the services called
-	useful    time.Duration // slot time of completed calls below
-	below     time.Duration // for how long it did nothing but wait for calls below
+	seq         uint64
+	call        *call
+	outbound    *outbound // state of the caller for the service
+	callee      *node
+	targetIndex int // of the target in the caller's routing table
+	grant       retry.Grant
+	sentAt      time.Duration
+	delay       time.Duration
+	abandoned   bool // the caller no longer waits
+
+	allowance      retry.RequestAllowance // at the callee
+	arrivedAt      time.Duration
+	startedAt      time.Duration
+	running        bool
+	admitted       bool // by the callee's gate
+	finished       bool
+	timer          *event
+	children       []*call
+	mayRepeat      bool          // the call may have executed before
+	calledServices uint64        // bit set of services
+	completedTime  time.Duration // slot time of completed child calls
+	downstreamWait time.Duration // time spent only waiting for child calls
 }
 
-// result is an ended attempt or call.
+// result is the outcome of an attempt or a call.
 type result struct {
-	outcome    request.Outcome
-	code       status.Code
-	retryAfter time.Duration
-	answer     answer // what the callee's node says about itself
-	unspent    int
-	made       int
-	work       time.Duration // slot time that the result is made of
-	answered   bool          // an answer came; else the caller gave up
-	below      bool          // a call below is the cause
+	outcome          request.Outcome
+	code             status.Code
+	retryAfter       time.Duration
+	feedback         calleeFeedback // load state that the callee reports
+	unspentAllowance int
+	callsMade        int
+	slotTime         time.Duration // slot time that produced the result
+	hasResponse      bool          // false if the caller gave up waiting
+	fromDownstream   bool          // caused by a child call
 }
 
-// try makes the next attempt, or ends the call.
-func (c *call) try() {
-	w, o := c.n.w, c.n.outbound(c.spec.Service)
+// startAttempt sends the next attempt, or ends the call.
+func (c *call) startAttempt() {
+	sim, o := c.caller.sim, c.caller.outbound(c.spec.Service)
 	c.timer = nil
-	if c.over {
+	if c.finished {
 		return
 	}
-	if r, ok := o.early(c); !ok {
-		w.m.decide(decidedEarly)
+	if r, ok := o.checkEarly(c); !ok {
+		sim.recorder.countDecision(decisionEarly)
 		c.finish(r)
 		return
 	}
 	to, index := o.pick(c)
 	if to == nil {
-		c.finish(result{outcome: c.claim(request.Refused), code: status.CodeNoTarget})
+		c.finish(result{outcome: c.reportableOutcome(request.Refused), code: status.CodeNoTarget})
 		return
 	}
-	a := &attempt{call: c, out: o, to: to, index: index, sent: w.now, delay: w.delay(c.n, to)}
-	if w.pol.CoreRetry && !o.start(a) {
-		c.finish(result{outcome: c.claim(request.Refused), code: status.CodeRetriesExhausted})
+	a := &attempt{call: c, outbound: o, callee: to, targetIndex: index, sentAt: sim.now, delay: sim.networkDelay(c.caller, to)}
+	if sim.policy.CoreRetry && !o.spendAllowance(a) {
+		c.finish(result{outcome: c.reportableOutcome(request.Refused), code: status.CodeRetriesExhausted})
 		return
 	}
-	w.seq++
-	a.seq = w.seq
-	c.tries++
-	a.again = c.ran || c.repeat
-	c.cur = a
-	o.sent(a)
-	w.m.sent(c, to.svc)
-	w.after(a.delay, func() { to.receive(a) })
+	sim.seq++
+	a.seq = sim.seq
+	c.attempts++
+	a.mayRepeat = c.anyRan || c.inRepeat
+	c.current = a
+	o.onSent(a)
+	sim.recorder.recordAttempt(c, to.service)
+	sim.after(a.delay, func() { to.receive(a) })
 	if c.deadline > 0 {
-		c.timer = w.at(c.deadline, c.timeout)
+		c.timer = sim.at(c.deadline, c.onDeadline)
 	}
 }
 
-// timeout gives up at the deadline.
-func (c *call) timeout() {
+// onDeadline abandons the current attempt when the deadline expires.
+func (c *call) onDeadline() {
 	c.timer = nil
-	c.n.w.m.decide(decidedTimeout)
-	a := c.cur
-	c.drop(a)
-	c.ended(a, result{outcome: request.Unknown, code: status.CodeDeadlineExceeded})
+	c.caller.sim.recorder.countDecision(decisionTimeout)
+	a := c.current
+	c.abandon(a)
+	c.onAttemptEnd(a, result{outcome: request.Unknown, code: status.CodeDeadlineExceeded})
 }
 
-// drop stops waiting for an attempt; with cancellation its work is stopped too. If
-// that is lost, the callee's node ends the work at its deadline by itself.
-func (c *call) drop(a *attempt) {
-	if a == nil || a.gone {
+// abandon stops waiting for an attempt. With cancellation, the callee stops the work
+// when the signal arrives; without it, the callee stops at a propagated deadline.
+func (c *call) abandon(a *attempt) {
+	if a == nil || a.abandoned {
 		return
 	}
-	a.gone = true
-	w := c.n.w
+	a.abandoned = true
+	sim := c.caller.sim
 	switch {
-	case w.pol.Cancel:
-		w.after(a.delay, func() { a.to.cancel(a) })
-	case w.pol.Deadlines && c.deadline > 0:
-		w.at(c.deadline, func() { a.to.cancel(a) })
+	case sim.policy.Cancel:
+		sim.after(a.delay, func() { a.callee.cancel(a) })
+	case sim.policy.Deadlines && c.deadline > 0:
+		sim.at(c.deadline, func() { a.callee.cancel(a) })
 	}
 }
 
-// cancel ends the call from above: its caller has failed or gone.
+// cancel ends the call because its caller has failed or disconnected.
 func (c *call) cancel() {
-	if c.over {
+	if c.finished {
 		return
 	}
-	c.over = true
+	c.finished = true
 	c.timer.cancel()
-	if a := c.cur; a != nil {
-		c.drop(a)
-		a.out.ended(a, result{outcome: request.Unknown, code: status.CodeCanceled})
+	if a := c.current; a != nil {
+		c.abandon(a)
+		a.outbound.onAttemptEnd(a, result{outcome: request.Unknown, code: status.CodeCanceled})
 	}
 }
 
-// answer receives an attempt's result from the network.
-func (c *call) receive(a *attempt, r result) {
-	if c.over || a.gone || a != c.cur {
-		c.n.w.m.useless += r.work
+// onResponse handles the response to an attempt.
+func (c *call) onResponse(a *attempt, r result) {
+	if c.finished || a.abandoned || a != c.current {
+		c.caller.sim.recorder.wastedTime += r.slotTime
 		return
 	}
 	c.timer.cancel()
-	r.answered = true
-	c.ended(a, r)
+	r.hasResponse = true
+	c.onAttemptEnd(a, r)
 }
 
-// ended learns from an attempt's end and decides about the next.
-func (c *call) ended(a *attempt, r result) {
-	w, o := c.n.w, a.out
-	c.cur = nil
-	c.ran = c.ran || r.outcome != request.Refused
-	o.ended(a, r)
+// onAttemptEnd records the result of an attempt and decides whether to retry.
+func (c *call) onAttemptEnd(a *attempt, r result) {
+	sim, o := c.caller.sim, a.outbound
+	c.current = nil
+	c.anyRan = c.anyRan || r.outcome != request.Refused
+	o.onAttemptEnd(a, r)
 	if r.outcome == request.Completed {
 		c.finish(r)
 		return
 	}
-	w.m.useless += r.work
-	r.work = 0
-	c.avoid = append(c.avoid, a.to)
-	wait, again := o.again(c, r)
-	if !again {
-		r.outcome = c.claim(r.outcome)
+	sim.recorder.wastedTime += r.slotTime
+	r.slotTime = 0
+	c.avoided = append(c.avoided, a.callee)
+	wait, retry := o.shouldRetry(c, r)
+	if !retry {
+		r.outcome = c.reportableOutcome(r.outcome)
 		c.finish(r)
 		return
 	}
-	w.m.decide(decidedRetry)
-	c.timer = w.after(wait, c.try)
+	sim.recorder.countDecision(decisionRetry)
+	c.timer = sim.after(wait, c.startAttempt)
 }
 
-// claim is what may be said of the call: "refused" only if no attempt ran.
-func (c *call) claim(o request.Outcome) request.Outcome {
-	if o == request.Refused && c.made.MayHaveRun() {
+// reportableOutcome is the outcome to report to the caller. A call may be reported
+// as refused only if none of its attempts may have run.
+func (c *call) reportableOutcome(o request.Outcome) request.Outcome {
+	if o == request.Refused && c.retryState.MayHaveRun() {
 		return request.Failed
 	}
 	return o
 }
 
 func (c *call) finish(r result) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	c.over = true
+	c.finished = true
 	c.timer.cancel()
 	switch r.outcome {
 	case request.Refused:
-		c.n.w.m.refused(c)
+		c.caller.sim.recorder.recordRefusal(c)
 	case request.Completed:
-		c.tree.services |= c.n.w.service(c.spec.Service).bit()
+		c.root.completedServices |= c.caller.sim.service(c.spec.Service).bit()
 	}
-	if c.parent != nil && c.parent.over {
-		c.n.w.m.useless += r.work
+	if c.parent != nil && c.parent.finished {
+		c.caller.sim.recorder.wastedTime += r.slotTime
 		return
 	}
-	c.done(r)
+	c.onDone(r)
 }
--- a/bench/replay/client.go
+++ b/bench/replay/client.go
@@ -9,41 +9,42 @@
 	"peardrift/internal/core/retry"
 )
 
-// Clients that retry hard come back within hardWait after a refusal or failure,
-// clientTries times at most, while their user's patience lasts. The others wait
-// for Retry-After, and politeWait if there is none.
+// Aggressive clients retry within aggressiveBackoffMax after a refusal or failure, with
+// at most aggressiveAttempts attempts in all. Compliant clients wait for Retry-After, or
+// about compliantBackoff without it. Both stop when the deployment's Patience is over.
 const (
-	clientTries = 10
-	hardWaitMin = 20 * time.Millisecond
-	hardWait    = 100 * time.Millisecond
-	politeWait  = time.Second
-	politeTries = 3
+	aggressiveAttempts   = 10
+	aggressiveBackoffMin = 20 * time.Millisecond
+	aggressiveBackoffMax = 100 * time.Millisecond
+	compliantBackoff     = time.Second
+	compliantAttempts    = 3
 )
 
-// user is a person who wants one answer.
+// user is a client's request with all its attempts.
 type user struct {
-	w      *world
-	class  *workload.Class
-	client int
-	zone   int
-	born   time.Duration
-	tries  int
-	hard   bool
-	cur    *call
-	timer  *event
+	sim        *simulation
+	class      *workload.Class
+	client     int
+	zone       int
+	arrivedAt  time.Duration
+	attempts   int
+	aggressive bool
+	current    *call
+	timer      *event
 }
 
-// arrive begins the first try of a user.
-func (w *world) arrive(e *workload.Event) {
-	u := &user{w: w, class: w.dep.Class(e.Class), client: e.Client, zone: e.Zone, born: w.now,
-		hard: w.rng.Float64() < w.hard}
-	w.m.arrived(u)
-	u.try()
+// startUser sends the first attempt of a user.
+func (sim *simulation) startUser(e *workload.Event) {
+	u := &user{sim: sim, class: sim.deployment.Class(e.Class), client: e.Client, zone: e.Zone, arrivedAt: sim.now,
+		aggressive: sim.rng.Float64() < sim.aggressiveFraction}
+	sim.recorder.recordArrival(u)
+	u.sendRequest()
 }
 
-// entry picks the node that a client uses: any of its zone, the same each time.
-func (u *user) entry() *node {
-	zone := u.w.zones[u.zone]
+// entryNode returns the node of the client's zone that the client index selects,
+// skipping draining nodes. A client uses the same node each time.
+func (u *user) entryNode() *node {
+	zone := u.sim.zones[u.zone]
 	for i := range zone {
 		if n := zone[(u.client+i)%len(zone)]; !n.draining {
 			return n
@@ -52,73 +53,74 @@
 	return zone[0]
 }
 
-// try sends the request to the entry node and waits for the client's time-out.
-func (u *user) try() {
-	w := u.w
-	u.tries++
-	n := u.entry()
-	w.seq++
-	seq := w.seq
-	t := &tree{user: u, class: u.class}
-	binary.BigEndian.PutUint64(t.id[:8], w.rng.Uint64())
+// sendRequest sends the request to the entry node and starts the client's timeout.
+func (u *user) sendRequest() {
+	sim := u.sim
+	u.attempts++
+	n := u.entryNode()
+	sim.seq++
+	seq := sim.seq
+	t := &rootRequest{user: u, class: u.class}
+	binary.BigEndian.PutUint64(t.id[:8], sim.rng.Uint64())
 	binary.BigEndian.PutUint64(t.id[8:], seq)
-	allowance := retry.NewRequestAllowance(w.retryCfg.Attempts, false)
-	c := &call{n: n, spec: &u.class.Root, tree: t, allowance: &allowance, entered: seq}
-	u.cur = c
-	c.done = func(r result) {
-		delete(n.entries, seq)
-		w.after(w.dep.ClientDelay, func() { u.receive(c, r) })
+	allowance := retry.NewRequestAllowance(sim.retryCfg.Attempts, false)
+	c := &call{caller: n, spec: &u.class.Root, root: t, allowance: &allowance, entryID: seq}
+	u.current = c
+	c.onDone = func(r result) {
+		delete(n.entryCalls, seq)
+		sim.after(sim.deployment.ClientDelay, func() { u.onResponse(c, r) })
 	}
-	w.after(w.dep.ClientDelay, func() {
-		n.entries[seq] = c
-		c.deadline = w.now + w.timeout - 2*w.dep.ClientDelay
-		c.try()
+	sim.after(sim.deployment.ClientDelay, func() {
+		n.entryCalls[seq] = c
+		c.deadline = sim.now + sim.clientTimeout - 2*sim.deployment.ClientDelay
+		c.startAttempt()
 	})
-	u.timer = w.after(w.timeout, func() { u.timeout(c) })
+	u.timer = sim.after(sim.clientTimeout, func() { u.onTimeout(c) })
 }
 
-// timeout gives the try up; the entry node sees the connection close.
-func (u *user) timeout(c *call) {
-	u.cur = nil
-	u.w.m.failed(u)
-	if u.w.pol.Cancel {
-		u.w.after(u.w.dep.ClientDelay, c.cancel)
+// onTimeout abandons the attempt. With cancellation, the entry node sees the
+// connection close and cancels the call.
+func (u *user) onTimeout(c *call) {
+	u.current = nil
+	u.sim.recorder.recordFailure(u)
+	if u.sim.policy.Cancel {
+		u.sim.after(u.sim.deployment.ClientDelay, c.cancel)
 	}
-	u.again(0)
+	u.retryOrGiveUp(0)
 }
 
-// receive takes the answer of a try.
-func (u *user) receive(c *call, r result) {
-	if c != u.cur {
-		u.w.m.useless += r.work
+// onResponse handles the response to an attempt.
+func (u *user) onResponse(c *call, r result) {
+	if c != u.current {
+		u.sim.recorder.wastedTime += r.slotTime
 		return
 	}
-	u.cur = nil
+	u.current = nil
 	u.timer.cancel()
 	if r.outcome == request.Completed {
-		u.w.m.completed(u, c.tree, r.work)
+		u.sim.recorder.recordCompletion(u, c.root, r.slotTime)
 		return
 	}
-	u.w.m.useless += r.work
+	u.sim.recorder.wastedTime += r.slotTime
 	if r.outcome != request.Refused {
-		u.w.m.failed(u)
+		u.sim.recorder.recordFailure(u)
 	}
-	u.again(r.retryAfter)
+	u.retryOrGiveUp(r.retryAfter)
 }
 
-// again waits and sends the request once more, or gives up.
-func (u *user) again(advice time.Duration) {
-	wait := hardWaitMin + time.Duration(u.w.rng.Int64N(int64(hardWait-hardWaitMin)))
-	tries := clientTries
-	if !u.hard {
-		tries = politeTries
-		wait = politeWait/2 + time.Duration(u.w.rng.Int64N(int64(politeWait)))
-		if advice > 0 {
-			wait = advice
+// retryOrGiveUp resends the request after a backoff, or gives up.
+func (u *user) retryOrGiveUp(retryAfter time.Duration) {
+	wait := aggressiveBackoffMin + time.Duration(u.sim.rng.Int64N(int64(aggressiveBackoffMax-aggressiveBackoffMin)))
+	maxAttempts := aggressiveAttempts
+	if !u.aggressive {
+		maxAttempts = compliantAttempts
+		wait = compliantBackoff/2 + time.Duration(u.sim.rng.Int64N(int64(compliantBackoff)))
+		if retryAfter > 0 {
+			wait = retryAfter
 		}
 	}
-	if u.tries >= tries || u.w.now+wait-u.born >= u.w.dep.Patience {
+	if u.attempts >= maxAttempts || u.sim.now+wait-u.arrivedAt >= u.sim.deployment.Patience {
 		return
 	}
-	u.w.after(wait, u.try)
+	u.sim.after(wait, u.sendRequest)
 }
--- a/bench/replay/core.go
+++ b/bench/replay/core.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/status"
 )
 
-// Settings of nodes on the users' platform, as in package node.
+// Settings of nodes on the users' platform; package node has the same values.
 const (
 	platformHeadroom    = 0.06
 	platformFloor       = 1
@@ -21,85 +21,86 @@
 	platformRetryWindow = 10 * time.Second
 )
 
-// coreGate drives the admission core as a node does.
+// coreGate calls the admission core in the way a real node does.
 type coreGate struct {
-	n       *node
-	core    *admission.Gate
-	actions []admission.Action
-	tick    *event
-	due     time.Duration
+	node      *node
+	core      *admission.Gate
+	actions   []admission.Action
+	tickEvent *event
+	tickAt    time.Duration
 }
 
 func newCoreGate(n *node) *coreGate {
 	cfg := admission.DefaultConfig()
 	cfg.Slots = n.target.slots
-	if n.w.pol.Platform {
+	if n.sim.policy.Platform {
 		cfg.Limit.InitialFraction, cfg.Limit.Headroom = 1, platformHeadroom
 	}
-	if !n.w.pol.Queue {
+	if !n.sim.policy.Queue {
 		cfg.MaxWait = time.Nanosecond
 	}
-	if !n.w.pol.Level {
-		cfg.StandFor = math.MaxInt64 // no queue ever stands for as long
+	if !n.sim.policy.Level {
+		cfg.StandFor = math.MaxInt64 // a standing queue is never detected
 	}
-	g := &coreGate{n: n, core: admission.New(cfg, n.w.rng), due: math.MaxInt64}
+	g := &coreGate{node: n, core: admission.New(cfg, n.sim.rng), tickAt: math.MaxInt64}
 	return g
 }
 
 func (g *coreGate) arrive(a *attempt) {
-	d, actions := g.core.Arrive(g.n.w.now, admission.Arrival{
+	d, actions := g.core.Arrive(g.node.sim.now, admission.Arrival{
 		Ticket:   admission.Ticket(a.seq),
 		Priority: g.priority(a),
-		Tenant:   g.n.w.tenant(a.call.tree.class.Tenant),
+		Tenant:   g.node.sim.tenantIndex(a.call.root.class.Tenant),
 		Deadline: a.call.deadline,
-		Deep:     g.n.w.pol.DeepFirst && g.n.w.pol.Order && a.call.depth > 0,
+		Deep:     g.node.sim.policy.DeepFirst && g.node.sim.policy.Order && a.call.depth > 0,
 	}, g.actions[:0])
-	g.settle(a, d)
-	g.act(actions)
+	g.apply(a, d)
+	g.applyActions(actions)
 }
 
-// priority is a call's place in the queue; equals run in the order of arrival.
+// priority returns a call's priority in the queue. Calls of equal priority run in
+// order of arrival.
 func (g *coreGate) priority(a *attempt) request.Priority {
-	if !g.n.w.pol.Order {
+	if !g.node.sim.policy.Order {
 		return 0
 	}
-	return g.n.w.priority(a.call.tree, g.n.svc)
+	return g.node.sim.priority(a.call.root, g.node.service)
 }
 
-// settle carries out a decision on a call.
-func (g *coreGate) settle(a *attempt, d admission.Decision) {
+// apply executes an admission decision on a call.
+func (g *coreGate) apply(a *attempt, d admission.Decision) {
 	switch d.Verdict {
 	case admission.Admit:
-		g.n.begin(a)
+		g.node.admit(a)
 	case admission.Refuse:
-		g.n.refuse(a, result{code: d.Reason, retryAfter: d.RetryAfter})
+		g.node.refuse(a, result{code: d.Reason, retryAfter: d.RetryAfter})
 	}
 }
 
-// act carries out actions on queued calls and sets the next tick.
-func (g *coreGate) act(actions []admission.Action) {
-	// Carrying out an action may call the gate again, so it gets its own slice.
+// applyActions executes decisions on queued calls and schedules the next tick.
+func (g *coreGate) applyActions(actions []admission.Action) {
+	// Applying an action may reenter the gate, which must not reuse this slice.
 	g.actions = nil
 	for _, x := range actions {
-		if a := g.n.live[uint64(x.Ticket)]; a != nil {
-			g.settle(a, x.Decision)
+		if a := g.node.inFlight[uint64(x.Ticket)]; a != nil {
+			g.apply(a, x.Decision)
 		}
 	}
 	g.actions = actions[:0]
-	g.schedule()
+	g.scheduleTick()
 }
 
-func (g *coreGate) schedule() {
+func (g *coreGate) scheduleTick() {
 	next := g.core.Next()
-	if next == math.MaxInt64 || g.tick != nil && g.due <= next {
+	if next == math.MaxInt64 || g.tickEvent != nil && g.tickAt <= next {
 		return
 	}
-	g.tick.cancel()
-	g.due = next
-	g.tick = g.n.w.at(next, func() {
-		g.tick = nil
-		if g.n.gate == g {
-			g.act(g.core.Tick(g.n.w.now, g.actions[:0]))
+	g.tickEvent.cancel()
+	g.tickAt = next
+	g.tickEvent = g.node.sim.at(next, func() {
+		g.tickEvent = nil
+		if g.node.gate == g {
+			g.applyActions(g.core.Tick(g.node.sim.now, g.actions[:0]))
 		}
 	})
 }
@@ -112,134 +113,134 @@
 	case r.outcome == request.Refused:
 		res = admission.Overloaded
 	case r.code == status.CodeCanceled:
-		g.act(g.core.Cancel(g.n.w.now, admission.Ticket(a.seq), g.actions[:0]))
+		g.applyActions(g.core.Cancel(g.node.sim.now, admission.Ticket(a.seq), g.actions[:0]))
 		return
 	}
-	g.act(g.core.Finish(g.n.w.now, admission.Ticket(a.seq), res, a.below, g.actions[:0]))
+	g.applyActions(g.core.Finish(g.node.sim.now, admission.Ticket(a.seq), res, a.downstreamWait, g.actions[:0]))
 }
 
 func (g *coreGate) cancel(a *attempt) {
-	g.act(g.core.Cancel(g.n.w.now, admission.Ticket(a.seq), g.actions[:0]))
+	g.applyActions(g.core.Cancel(g.node.sim.now, admission.Ticket(a.seq), g.actions[:0]))
 }
 
-func (g *coreGate) answer(a *attempt) answer {
-	x := answer{
-		own:      g.core.LevelOf(g.n.w.tenant(a.call.tree.class.Tenant)),
-		inFlight: g.n.target.load(),
-		limit:    g.n.target.slots,
+func (g *coreGate) feedback(a *attempt) calleeFeedback {
+	x := calleeFeedback{
+		level:    g.core.LevelOf(g.node.sim.tenantIndex(a.call.root.class.Tenant)),
+		inFlight: g.node.target.load(),
+		limit:    g.node.target.slots,
 	}
-	if g.n.w.pol.ChainLevel {
-		x.chain = g.n.chain.Level(g.n.w.now, workOf(a.call.tree))
+	if g.node.sim.policy.ChainLevel {
+		x.chainLevel = g.node.chain.Level(g.node.sim.now, earlyWork(a.call.root))
 	}
 	return x
 }
 
-// workOf is what a request is to the chain of a node.
-func workOf(t *tree) early.Work {
+// earlyWork identifies a request's class and tenant to a node's early.Chain.
+func earlyWork(t *rootRequest) early.Work {
 	return early.Work{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
 }
 
-// tenant is the small index of a tenant.
-func (w *world) tenant(name string) uint16 {
-	i := slices.Index(w.tenants, name)
+// tenantIndex returns the index of a tenant, as the admission core expects it.
+func (sim *simulation) tenantIndex(name string) uint16 {
+	i := slices.Index(sim.tenants, name)
 	return uint16(i)
 }
 
-// priority is a request's place in the order of importance at a service.
-func (w *world) priority(t *tree, at *service) request.Priority {
+// priority returns a request's priority at a service.
+func (sim *simulation) priority(t *rootRequest, at *service) request.Priority {
 	id := t.id
-	if !w.pol.ChainOrder {
-		id[0] ^= byte(at.index + 1) // each hop draws its own order
+	if !sim.policy.ChainOrder {
+		id[0] ^= byte(at.index + 1) // a different hash order at each hop
 	}
 	return request.PriorityOf(importanceOf(t.class), id)
 }
 
-// router drives the route core for one callee service at one node.
+// router calls the routing core for one callee service at one node.
 type router struct {
-	n     *node
-	svc   *service
-	table *route.Table
-	cfg   route.Config
-	known int // length of svc.members when last updated, by generation
+	node            *node
+	service         *service
+	table           *route.Table
+	cfg             route.Config
+	knownGeneration int // service.generation at the last update
 }
 
 func newRouter(n *node, svc *service) *router {
-	r := &router{n: n, svc: svc, cfg: route.DefaultConfig(), known: -1}
-	if n.w.pol.Platform {
+	r := &router{node: n, service: svc, cfg: route.DefaultConfig(), knownGeneration: -1}
+	if n.sim.policy.Platform {
 		r.cfg.Floor, r.cfg.ZoneGap = platformFloor, platformZoneGap
 	}
-	r.table = route.NewTable(&r.cfg, route.Place{Caller: uint64(n.id), Zone: zoneName(n.zone)}, n.w.rng)
+	r.table = route.NewTable(&r.cfg, route.Place{Caller: uint64(n.id), Zone: zoneName(n.zone)}, n.sim.rng)
 	return r
 }
 
 func zoneName(z int) string { return string(rune('a' + z)) }
 
-// update hands the announced targets to the table when they have changed.
+// update passes the announced targets to the routing table when they have changed.
 func (r *router) update() {
-	if r.known == r.svc.generation {
+	if r.knownGeneration == r.service.generation {
 		return
 	}
-	r.known = r.svc.generation
-	ts := make([]route.Target, 0, len(r.svc.members))
-	for _, m := range r.svc.members {
+	r.knownGeneration = r.service.generation
+	ts := make([]route.Target, 0, len(r.service.members))
+	for _, m := range r.service.members {
 		ts = append(ts, route.Target{ID: m.id, Incarnation: 1, Zone: zoneName(m.zone), Slots: m.target.slots,
 			Conns: m.target.conns, Since: m.target.started})
 	}
-	r.table.Update(r.n.w.now, ts, r.n.w.callers(r.svc))
+	r.table.Update(r.node.sim.now, ts, r.node.sim.callerCount(r.service))
 }
 
-// callers is the number of nodes that call a service: those of the services
-// above it, and all of them if clients' requests begin there.
-func (w *world) callers(svc *service) int {
+// callerCount returns the number of nodes that call a service: the nodes of its
+// upstream services, or all nodes if client requests enter at this service.
+func (sim *simulation) callerCount(svc *service) int {
 	above := map[string]bool{}
-	for i := range w.dep.Classes {
-		root := &w.dep.Classes[i].Root
+	for i := range sim.deployment.Classes {
+		root := &sim.deployment.Classes[i].Root
 		if root.Service == svc.spec.Name {
-			return w.nodes
+			return sim.nodeCount
 		}
 		root.Callers(svc.spec.Name, above)
 	}
 	n := 0
 	for name := range above {
-		n += len(w.service(name).nodes)
+		n += len(sim.service(name).nodes)
 	}
 	return n
 }
 
 func (r *router) pick(c *call, p request.Priority) (*node, int) {
 	r.update()
-	i, ok := r.table.Pick(r.n.w.now, p, &c.tried)
+	i, ok := r.table.Pick(r.node.sim.now, p, &c.tried)
 	if !ok {
 		return nil, 0
 	}
 	id := r.table.Target(i).ID
-	at := slices.IndexFunc(r.svc.nodes, func(n *node) bool { return n.id == id })
-	return r.svc.nodes[at], i
+	at := slices.IndexFunc(r.service.nodes, func(n *node) bool { return n.id == id })
+	return r.service.nodes[at], i
 }
 
-func (r *router) done(a *attempt, res result) {
-	x := route.Result{Kind: kindOf(res), Latency: r.n.w.now - a.sent}
-	if res.answered {
-		x.Level, x.HasLevel = res.answer.own, true
-		x.InFlight, x.Limit = res.answer.inFlight, res.answer.limit
+func (r *router) onResult(a *attempt, res result) {
+	x := route.Result{Kind: resultKind(res), Latency: r.node.sim.now - a.sentAt}
+	if res.hasResponse {
+		x.Level, x.HasLevel = res.feedback.level, true
+		x.InFlight, x.Limit = res.feedback.inFlight, res.feedback.limit
 	}
-	r.table.Done(r.n.w.now, a.index, &x)
-	a.call.tried.Add(a.index)
+	r.table.Done(r.node.sim.now, a.targetIndex, &x)
+	a.call.tried.Add(a.targetIndex)
 }
 
-// kindOf says what a result tells of the target. A failure that a call below
-// caused says nothing of it.
-func kindOf(r result) route.Kind {
+// resultKind maps a result to what it says about the target's health. A failure
+// caused by a child call says nothing about the target.
+func resultKind(r result) route.Kind {
 	switch {
 	case r.outcome == request.Completed:
 		return route.Success
-	case r.code == status.CodeConnectionLost && !r.below:
+	case r.code == status.CodeConnectionLost && !r.fromDownstream:
 		return route.Broken
 	case r.outcome == request.Refused && r.code == status.CodeDraining:
 		return route.Leaves
 	case r.outcome == request.Refused:
 		return route.Shed
-	case r.code == status.CodeTargetFailed && !r.below, r.code == status.CodeDeadlineExceeded && !r.answered:
+	case r.code == status.CodeTargetFailed && !r.fromDownstream, r.code == status.CodeDeadlineExceeded && !r.hasResponse:
 		return route.Failure
 	}
 	return route.Ignored
--- a/bench/replay/doc.go
+++ b/bench/replay/doc.go
@@ -1,14 +1,14 @@
-// Package replay plays a trace through peardrift's decision cores under a
-// virtual clock and measures what the policy is worth.
+// Package replay runs a request trace through peardrift's decision cores under a
+// virtual clock and measures the goodput of a policy.
 //
-// The fleet is a small fake: an event queue, targets with slots, nodes that call
-// the cores in the order in which a node does, and clients that time out and try
-// again. There is no goroutine and no wall clock, so a trace, a policy and a seed
+// It is a discrete event simulation: an event queue, targets with slots, nodes that
+// call the cores in the same order as a real node, and clients that time out and
+// retry. It uses no goroutines and no wall clock, so the same trace, policy and seed
 // always give the same Result.
 //
-// A call passes: learned levels of the callee (early refusal), allowance and
-// budget (for a retry), choice of a target, network, the callee's gate, a slot of
-// the target, the target's own calls, and the answer with level and unspent
-// allowance. Baselines replace these parts by simpler ones, ablations switch one
-// of them off; see Policies.
+// A call passes these stages: admission levels learned from the callee (early
+// refusal), allowance and retry budget, target selection, network delay, the callee's
+// gate, a slot of the target, the target's child calls, and the response with the
+// callee's level and the unspent allowance. Baselines replace stages by simpler ones,
+// and ablations disable one of them; see Policies.
 package replay
--- a/bench/replay/loop.go
+++ b/bench/replay/eventloop.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// event is something that happens at a virtual time. A nil do has been canceled.
+// event is a callback scheduled at a virtual time. A nil action means canceled.
 type event struct {
-	at  time.Duration
-	seq uint64 // keeps events of one instant in the order in which they were set
-	do  func()
+	at     time.Duration
+	seq    uint64 // orders events of the same time by when they were scheduled
+	action func()
 }
 
 func (e *event) cancel() {
 	if e != nil {
-		e.do = nil
+		e.action = nil
 	}
 }
 
@@ -35,29 +35,29 @@
 	return last
 }
 
-// loop is the virtual clock and what is still to happen.
-type loop struct {
+// eventLoop is the virtual clock with its queue of pending events.
+type eventLoop struct {
 	now   time.Duration
 	seq   uint64
 	queue eventQueue
 }
 
-func (l *loop) at(t time.Duration, do func()) *event {
+func (l *eventLoop) at(t time.Duration, do func()) *event {
 	l.seq++
-	e := &event{at: max(t, l.now), seq: l.seq, do: do}
+	e := &event{at: max(t, l.now), seq: l.seq, action: do}
 	heap.Push(&l.queue, e)
 	return e
 }
 
-func (l *loop) after(d time.Duration, do func()) *event { return l.at(l.now+d, do) }
+func (l *eventLoop) after(d time.Duration, do func()) *event { return l.at(l.now+d, do) }
 
-// run plays all events up to the end time.
-func (l *loop) run(end time.Duration) {
+// run executes all events up to the end time, inclusive.
+func (l *eventLoop) run(end time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].at <= end {
 		e := heap.Pop(&l.queue).(*event)
 		l.now = e.at
-		if e.do != nil {
-			e.do()
+		if e.action != nil {
+			e.action()
 		}
 	}
 	l.now = end
--- a/bench/replay/gates.go
+++ b/bench/replay/gates.go
@@ -8,81 +8,81 @@
 )
 
 func newGate(n *node) gate {
-	switch n.w.pol.Gate {
+	switch n.sim.policy.Gate {
 	case GateStatic:
-		return &limitGate{n: n, limit: float64(n.target.slots)}
+		return &limitGate{node: n, limit: float64(n.target.slots)}
 	case GateAdaptive:
-		return &limitGate{n: n, limit: float64(n.target.slots), adapt: true}
+		return &limitGate{node: n, limit: float64(n.target.slots), adaptive: true}
 	case GateCore:
 		return newCoreGate(n)
 	default:
-		return openGate{n: n}
+		return openGate{node: n}
 	}
 }
 
 // openGate is the baseline without admission control.
-type openGate struct{ n *node }
+type openGate struct{ node *node }
 
-func (g openGate) arrive(a *attempt)          { g.n.begin(a) }
-func (openGate) finish(*attempt, result)      {}
-func (openGate) cancel(*attempt)              {}
-func (openGate) answer(a *attempt) (x answer) { return x }
+func (g openGate) arrive(a *attempt)                    { g.node.admit(a) }
+func (openGate) finish(*attempt, result)                {}
+func (openGate) cancel(*attempt)                        {}
+func (openGate) feedback(a *attempt) (x calleeFeedback) { return x }
 
-// The adaptive baseline follows the ratio of the least to the recent latency,
-// as the usual gradient limiters do.
+// Parameters of the adaptive baseline, a gradient limiter that adjusts its limit by the
+// ratio of minimum to recent latency.
 const (
-	adaptiveSamples = 50
-	adaptiveSlack   = 2
-	adaptiveDrift   = 0.01 // of the least latency towards the recent, each time
-	adaptiveSmooth  = 0.2
-	adaptiveHeadway = 4
+	adaptiveSamples   = 50
+	adaptiveTolerance = 2
+	adaptiveMinDrift  = 0.01 // step of the minimum latency towards the recent mean, per update
+	adaptiveSmoothing = 0.2
+	adaptiveHeadroom  = 4
 )
 
-// limitGate is the baseline of a limit of calls in flight, fixed or adaptive.
-// It refuses above the limit whatever the class.
+// limitGate is the baseline with a limit on calls in flight, fixed or adaptive.
+// It refuses calls above the limit regardless of class.
 type limitGate struct {
-	n       *node
-	limit   float64
-	adapt   bool
-	used    int
-	samples int
-	sum     time.Duration
-	least   time.Duration
+	node       *node
+	limit      float64
+	adaptive   bool
+	inFlight   int
+	samples    int
+	latencySum time.Duration
+	minLatency time.Duration
 }
 
 func (g *limitGate) arrive(a *attempt) {
-	if float64(g.used) >= g.limit {
-		g.n.refuse(a, result{code: status.CodeOverloaded})
+	if float64(g.inFlight) >= g.limit {
+		g.node.refuse(a, result{code: status.CodeOverloaded})
 		return
 	}
-	g.used++
-	g.n.begin(a)
+	g.inFlight++
+	g.node.admit(a)
 }
 
 func (g *limitGate) finish(a *attempt, r result) {
-	g.used--
-	if !g.adapt || r.outcome != request.Completed {
+	g.inFlight--
+	if !g.adaptive || r.outcome != request.Completed {
 		return
 	}
-	took := g.n.w.now - a.arrived
+	took := g.node.sim.now - a.arrivedAt
 	g.samples++
-	g.sum += took
+	g.latencySum += took
 	if g.samples < adaptiveSamples {
 		return
 	}
-	mean := g.sum / time.Duration(g.samples)
-	g.samples, g.sum = 0, 0
-	if g.least == 0 || mean < g.least {
-		g.least = mean
+	mean := g.latencySum / time.Duration(g.samples)
+	g.samples, g.latencySum = 0, 0
+	if g.minLatency == 0 || mean < g.minLatency {
+		g.minLatency = mean
 	}
-	g.least += time.Duration(adaptiveDrift * float64(mean-g.least))
-	gradient := min(1, max(0.5, adaptiveSlack*float64(g.least)/float64(mean)))
-	next := g.limit*gradient + adaptiveHeadway
-	if float64(g.used) < g.limit/2 {
+	g.minLatency += time.Duration(adaptiveMinDrift * float64(mean-g.minLatency))
+	gradient := min(1, max(0.5, adaptiveTolerance*float64(g.minLatency)/float64(mean)))
+	next := g.limit*gradient + adaptiveHeadroom
+	if float64(g.inFlight) < g.limit/2 {
 		next = min(next, g.limit)
 	}
-	g.limit = min(float64(g.n.target.conns), g.limit*(1-adaptiveSmooth)+next*adaptiveSmooth)
+	g.limit = min(float64(g.node.target.conns), g.limit*(1-adaptiveSmoothing)+next*adaptiveSmoothing)
 }
 
-func (*limitGate) cancel(*attempt)              {}
-func (*limitGate) answer(a *attempt) (x answer) { return x }
+func (*limitGate) cancel(*attempt)                        {}
+func (*limitGate) feedback(a *attempt) (x calleeFeedback) { return x }
--- a/bench/replay/node.go
+++ b/bench/replay/node.go
@@ -7,43 +7,43 @@
 	"peardrift/internal/status"
 )
 
-// node is a node and its target.
+// node is a peardrift node with its target.
 type node struct {
-	w        *world
-	index    int
-	id       request.TargetID
-	zone     int
-	svc      *service
-	gate     gate
-	target   target
-	out      map[string]*outbound
-	levels   *early.Table
-	chain    *early.Chain
-	live     map[uint64]*attempt // received and not ended
-	entries  map[uint64]*call    // whole requests that entered here
-	draining bool
-	gone     bool
+	sim        *simulation
+	index      int
+	id         request.TargetID
+	zone       int
+	service    *service
+	gate       gate
+	target     target
+	outbounds  map[string]*outbound
+	levels     *early.Table
+	chain      *early.Chain
+	inFlight   map[uint64]*attempt // received calls that have not ended
+	entryCalls map[uint64]*call    // root requests that entered at this node
+	draining   bool
+	crashed    bool
 }
 
-// gate is the admission control of a node. It answers arrive by node.begin or
-// node.refuse, at once or later.
+// gate is the admission control of a node. For each arrive it calls node.admit or
+// node.refuse, immediately or later.
 type gate interface {
 	arrive(a *attempt)
 	// finish ends an admitted call.
 	finish(a *attempt, r result)
-	// cancel ends a call that is not admitted yet.
+	// cancel removes a call that is not admitted yet.
 	cancel(a *attempt)
-	// answer is what the node tells a caller with the call's end.
-	answer(a *attempt) answer
+	// feedback returns the load state that the node reports with the response.
+	feedback(a *attempt) calleeFeedback
 }
 
-// receive takes a call from the network.
+// receive handles a call that arrives from the network.
 func (n *node) receive(a *attempt) {
-	a.arrived = n.w.now
+	a.arrivedAt = n.sim.now
 	a.allowance = retry.NewRequestAllowance(a.grant.Allowance, a.grant.Repeat)
-	n.live[a.seq] = a
-	if n.gone {
-		n.end(a, result{outcome: request.Refused, code: status.CodeConnectionLost})
+	n.inFlight[a.seq] = a
+	if n.crashed {
+		n.finish(a, result{outcome: request.Refused, code: status.CodeConnectionLost})
 		return
 	}
 	if n.draining {
@@ -53,59 +53,59 @@
 	n.gate.arrive(a)
 }
 
-// begin hands an admitted call to the target.
-func (n *node) begin(a *attempt) {
-	a.gated = true
-	n.w.m.decide(decidedAdmit)
-	n.chain.Served(n.w.now, workOf(a.call.tree))
-	n.offer(a)
+// admit passes an admitted call to the target.
+func (n *node) admit(a *attempt) {
+	a.admitted = true
+	n.sim.recorder.countDecision(decisionAdmit)
+	n.chain.Served(n.sim.now, earlyWork(a.call.root))
+	n.submit(a)
 }
 
 // refuse ends a call that never reached the target.
 func (n *node) refuse(a *attempt, r result) {
 	r.outcome = request.Refused
-	n.w.m.decide(decidedRefuse)
-	n.end(a, r)
+	n.sim.recorder.countDecision(decisionRefuse)
+	n.finish(a, r)
 }
 
-// cancel stops a call whose caller has gone.
+// cancel stops a call whose caller no longer waits.
 func (n *node) cancel(a *attempt) {
-	if a.over || n.live[a.seq] != a {
+	if a.finished || n.inFlight[a.seq] != a {
 		return
 	}
-	if !a.gated {
+	if !a.admitted {
 		n.gate.cancel(a)
 	}
-	n.end(a, result{outcome: request.Unknown, code: status.CodeCanceled})
+	n.finish(a, result{outcome: request.Unknown, code: status.CodeCanceled})
 }
 
-// end ends a call at the callee and answers it.
-func (n *node) end(a *attempt, r result) {
-	if a.over {
+// finish ends a call at the callee and sends the response.
+func (n *node) finish(a *attempt, r result) {
+	if a.finished {
 		return
 	}
-	a.over = true
-	delete(n.live, a.seq)
+	a.finished = true
+	delete(n.inFlight, a.seq)
 	a.timer.cancel()
-	r.work = a.useful
+	r.slotTime = a.completedTime
 	if a.running {
-		r.work += n.w.now - a.began
+		r.slotTime += n.sim.now - a.startedAt
 	}
-	if a.gated {
-		n.release(a)
+	if a.admitted {
+		n.releaseSlot(a)
 		n.gate.finish(a, r)
 	}
-	if n.w.pol.Cancel {
-		for _, c := range a.subs {
+	if n.sim.policy.Cancel {
+		for _, c := range a.children {
 			c.cancel()
 		}
 	}
-	r.made = a.allowance.Made()
-	r.unspent = a.allowance.Close()
-	r.answer = n.gate.answer(a)
-	if a.gone {
-		n.w.m.useless += r.work
+	r.callsMade = a.allowance.Made()
+	r.unspentAllowance = a.allowance.Close()
+	r.feedback = n.gate.feedback(a)
+	if a.abandoned {
+		n.sim.recorder.wastedTime += r.slotTime
 		return
 	}
-	n.w.after(a.delay, func() { a.call.receive(a, r) })
+	n.sim.after(a.delay, func() { a.call.onResponse(a, r) })
 }
--- a/bench/replay/outbound.go
+++ b/bench/replay/outbound.go
@@ -10,71 +10,72 @@
 	"peardrift/internal/status"
 )
 
-// answer is what a callee's node says about itself with the end of a call.
-type answer struct {
-	own      request.Level // the target's own
-	chain    request.Level // of the services below it
-	inFlight int
-	limit    int
+// calleeFeedback is the load state that a callee's node reports with its response.
+type calleeFeedback struct {
+	level      request.Level // of the target
+	chainLevel request.Level // of its downstream services
+	inFlight   int
+	limit      int
 }
 
-// outbound is what one node knows of one service that it calls.
+// outbound is a node's state for one service that it calls.
 type outbound struct {
-	n        *node
-	svc      *service
+	node     *node
+	service  *service
 	inFlight map[*node]int
-	router   *router // nil: the baseline's pick
+	router   *router // nil: pickLessLoaded
 	budget   retry.ServiceBudget
 	decider  *retry.Decider
 	costs    map[string]*retry.Cost
 }
 
 func (n *node) outbound(name string) *outbound {
-	if o := n.out[name]; o != nil {
+	if o := n.outbounds[name]; o != nil {
 		return o
 	}
-	o := &outbound{n: n, svc: n.w.service(name), inFlight: map[*node]int{}, costs: map[string]*retry.Cost{}}
-	o.budget = retry.NewServiceBudget(&n.w.retryCfg, n.w.now)
-	o.decider = retry.NewDecider(&n.w.retryCfg, n.w.rng)
-	if n.w.pol.CorePick {
-		o.router = newRouter(n, o.svc)
+	o := &outbound{node: n, service: n.sim.service(name), inFlight: map[*node]int{}, costs: map[string]*retry.Cost{}}
+	o.budget = retry.NewServiceBudget(&n.sim.retryCfg, n.sim.now)
+	o.decider = retry.NewDecider(&n.sim.retryCfg, n.sim.rng)
+	if n.sim.policy.CorePick {
+		o.router = newRouter(n, o.service)
 	}
-	n.out[name] = o
+	n.outbounds[name] = o
 	return o
 }
 
-// early decides by learned levels whether the call is refused before it leaves.
-func (o *outbound) early(c *call) (result, bool) {
-	n := o.n
-	if !n.w.pol.Early || n.w.pol.EarlyEntry && c.depth > 0 {
+// checkEarly applies the learned admission levels before a call is sent. It returns
+// false and the refusal if the callee would refuse the call.
+func (o *outbound) checkEarly(c *call) (result, bool) {
+	n := o.node
+	if !n.sim.policy.Early || n.sim.policy.EarlyEntry && c.depth > 0 {
 		return result{}, true
 	}
-	v := n.levels.Check(n.w.now, o.key(c), n.w.priority(c.tree, o.svc))
+	v := n.levels.Check(n.sim.now, o.key(c), n.sim.priority(c.root, o.service))
 	if !v.Refuse {
 		return result{}, true
 	}
-	return result{outcome: c.claim(request.Refused), code: status.CodeOverloaded, retryAfter: v.RetryAfter}, false
+	return result{outcome: c.reportableOutcome(request.Refused), code: status.CodeOverloaded, retryAfter: v.RetryAfter}, false
 }
 
 func (o *outbound) key(c *call) early.Key {
-	return early.Key{Service: request.Service(o.svc.spec.Name), Class: request.Class(c.tree.class.Name),
-		Tenant: request.Tenant(c.tree.class.Tenant)}
+	return early.Key{Service: request.Service(o.service.spec.Name), Class: request.Class(c.root.class.Name),
+		Tenant: request.Tenant(c.root.class.Tenant)}
 }
 
-// pick chooses a target, with its index in the router's table.
+// pick selects a target and returns it with its index in the routing table.
 func (o *outbound) pick(c *call) (*node, int) {
 	if o.router != nil {
-		return o.router.pick(c, o.n.w.priority(c.tree, o.svc))
+		return o.router.pick(c, o.node.sim.priority(c.root, o.service))
 	}
-	return o.lessLoaded(c), 0
+	return o.pickLessLoaded(c), 0
 }
 
-// lessLoaded is the baseline's pick: the less loaded of two random ones, not one that has
-// just refused or failed if there is another.
-func (o *outbound) lessLoaded(c *call) *node {
-	from := o.svc.members
-	if len(c.avoid) > 0 {
-		rest := slices.DeleteFunc(slices.Clone(from), func(n *node) bool { return slices.Contains(c.avoid, n) })
+// pickLessLoaded is the baseline's selection: the less loaded of two random targets. It
+// avoids targets that refused or failed this call while there are others.
+func (o *outbound) pickLessLoaded(c *call) *node {
+	from := o.service.members
+	if len(c.avoided) > 0 {
+		rest := slices.DeleteFunc(slices.Clone(from), func(n *node) bool { return slices.Contains(c.avoided, n) })
 		if len(rest) > 0 {
 			from = rest
 		}
@@ -82,7 +83,7 @@
 	if len(from) == 0 {
 		return nil
 	}
-	a, b := from[o.n.w.rng.IntN(len(from))], from[o.n.w.rng.IntN(len(from))]
+	a, b := from[o.node.sim.rng.IntN(len(from))], from[o.node.sim.rng.IntN(len(from))]
 	if o.inFlight[b] < o.inFlight[a] {
 		return b
 	}
@@ -90,84 +91,85 @@
 }
 
 func (o *outbound) cost(c *call) *retry.Cost {
-	k := o.costs[c.tree.class.Name]
+	k := o.costs[c.root.class.Name]
 	if k == nil {
 		k = &retry.Cost{}
-		o.costs[c.tree.class.Name] = k
+		o.costs[c.root.class.Name] = k
 	}
 	return k
 }
 
-// start pays for an attempt from the request's allowance.
-func (o *outbound) start(a *attempt) bool {
-	g, ok := a.call.allowance.Start(&a.call.made, o.cost(a.call).Below())
+// spendAllowance takes an attempt from the request's allowance. It reports false if the
+// allowance is exhausted and the policy enforces it.
+func (o *outbound) spendAllowance(a *attempt) bool {
+	g, ok := a.call.allowance.Start(&a.call.retryState, o.cost(a.call).Below())
 	a.grant = g
-	if !ok && !o.n.w.pol.Allowance {
+	if !ok && !o.node.sim.policy.Allowance {
 		return true
 	}
 	return ok
 }
 
-func (o *outbound) sent(a *attempt) {
-	o.inFlight[a.to]++
+func (o *outbound) onSent(a *attempt) {
+	o.inFlight[a.callee]++
 	if o.router != nil {
-		o.router.table.Started(o.n.w.now, a.index)
+		o.router.table.Started(o.node.sim.now, a.targetIndex)
 	}
 }
 
-// ended learns from the end of an attempt.
-func (o *outbound) ended(a *attempt, r result) {
-	o.inFlight[a.to]--
+// onAttemptEnd updates routing, levels, allowance and budget from a result.
+func (o *outbound) onAttemptEnd(a *attempt, r result) {
+	o.inFlight[a.callee]--
 	if o.router != nil {
-		o.router.done(a, r)
+		o.router.onResult(a, r)
 	}
 	c := a.call
-	if r.answered {
-		o.n.levels.Learn(o.n.w.now, o.key(c), early.Report{Target: a.to.id, Own: r.answer.own, Chain: r.answer.chain, Slots: r.answer.limit})
+	if r.hasResponse {
+		o.node.levels.Learn(o.node.sim.now, o.key(c), early.Report{Target: a.callee.id, Own: r.feedback.level, Chain: r.feedback.chainLevel, Slots: r.feedback.limit})
 	}
-	c.allowance.Settle(&c.made, &a.grant, retry.Answer{Outcome: r.outcome, Unspent: r.unspent, Made: r.made})
+	c.allowance.Settle(&c.retryState, &a.grant, retry.Answer{Outcome: r.outcome, Unspent: r.unspentAllowance, Made: r.callsMade})
 	if r.outcome == request.Completed {
-		o.cost(c).Observe(&o.n.w.retryCfg, r.made)
+		o.cost(c).Observe(&o.node.sim.retryCfg, r.callsMade)
 	}
-	o.budget.Observe(o.n.w.now, r.outcome, r.code)
+	o.budget.Observe(o.node.sim.now, r.outcome, r.code)
 }
 
-// Backoff of the baselines between two tries of a hop.
+// Backoff of the baselines between two attempts of a hop: a fixed part and a random one.
 const (
-	hopBackoffMin = 10 * time.Millisecond
-	hopBackoff    = 20 * time.Millisecond
+	hopBackoffMin    = 10 * time.Millisecond
+	hopBackoffJitter = 20 * time.Millisecond
 )
 
-// again decides whether a call that failed is tried once more.
-func (o *outbound) again(c *call, r result) (time.Duration, bool) {
-	if o.n.w.pol.CoreRetry {
-		return o.decide(c, r)
+// shouldRetry decides whether to retry a call that failed, and after which backoff.
+func (o *outbound) shouldRetry(c *call, r result) (time.Duration, bool) {
+	if o.node.sim.policy.CoreRetry {
+		return o.decideRetry(c, r)
 	}
-	if c.tries >= o.n.w.pol.HopTries {
+	if c.attempts >= o.node.sim.policy.HopTries {
 		return 0, false
 	}
-	if c.tree.class.AtMostOnce && r.outcome != request.Refused {
+	if c.root.class.AtMostOnce && r.outcome != request.Refused {
 		return 0, false
 	}
-	return hopBackoffMin + time.Duration(o.n.w.rng.Int64N(int64(hopBackoff))), true
+	return hopBackoffMin + time.Duration(o.node.sim.rng.Int64N(int64(hopBackoffJitter))), true
 }
 
-// decide asks the retry core.
-func (o *outbound) decide(c *call, r result) (time.Duration, bool) {
-	w := o.n.w
+// decideRetry lets the retry core decide.
+func (o *outbound) decideRetry(c *call, r result) (time.Duration, bool) {
+	sim := o.node.sim
 	res := retry.Result{
-		Outcome: r.outcome, Code: r.code, Deadline: c.deadline, Attempts: c.made.Attempts(),
-		Priority: w.priority(c.tree, o.svc), Level: o.n.levels.Level(w.now, o.key(c)), Left: c.allowance.Left(), Below: o.cost(c).Below(),
-		MayHaveRun: c.made.MayHaveRun(), AtMostOnce: c.tree.class.AtMostOnce, Idempotent: !c.tree.class.AtMostOnce,
+		Outcome: r.outcome, Code: r.code, Deadline: c.deadline, Attempts: c.retryState.Attempts(),
+		Priority: sim.priority(c.root, o.service), Level: o.node.levels.Level(sim.now, o.key(c)), Left: c.allowance.Left(), Below: o.cost(c).Below(),
+		MayHaveRun: c.retryState.MayHaveRun(), AtMostOnce: c.root.class.AtMostOnce, Idempotent: !c.root.class.AtMostOnce,
 	}
-	if !w.pol.Allowance {
+	if !sim.policy.Allowance {
 		res.Left = retry.MaxAllowance
 	}
 	budget := &o.budget
-	if !w.pol.ServiceBudget {
-		free := retry.NewServiceBudget(&w.retryCfg, w.now)
+	if !sim.policy.ServiceBudget {
+		free := retry.NewServiceBudget(&sim.retryCfg, sim.now)
 		budget = &free
 	}
-	d := o.decider.Decide(w.now, &res, budget)
+	d := o.decider.Decide(sim.now, &res, budget)
 	return d.Wait, d.Retry()
 }
--- a/bench/replay/policy.go
+++ b/bench/replay/policy.go
@@ -7,37 +7,37 @@
 
 // The kinds of gate. All but GateCore are baselines.
 const (
-	GateNone     GateKind = iota // the target's own queue only
-	GateStatic                   // a fixed limit of requests in flight, refuses above
-	GateAdaptive                 // a limit that follows latency, refuses above, no order
+	GateNone     GateKind = iota // only the target's own queue
+	GateStatic                   // fixed limit on requests in flight
+	GateAdaptive                 // limit that adapts to latency, without priorities
 	GateCore                     // internal/core/admission
 )
 
-// Policy says which parts of peardrift take part in a run.
+// Policy selects the parts of peardrift that are enabled in a run.
 type Policy struct {
 	Name          string
 	About         string
 	Gate          GateKind
-	CorePick      bool // route core; else the less loaded of two random targets
+	CorePick      bool // routing core; else the less loaded of two random targets
 	CoreRetry     bool // allowance per request and budget; else HopTries at each hop
 	HopTries      int  // attempts a hop makes without CoreRetry
-	Early         bool // callers refuse by the levels that they learned
-	EarlyEntry    bool // only at the entry, not in calls of a request that has run
-	ChainLevel    bool // a service answers with the level of the services below it too
-	Allowance     bool // the request's allowance is split and returned
-	ServiceBudget bool // retries draw on a budget that successes fill
-	Deadlines     bool // the whole request's deadline travels with each call
-	Cancel        bool // work for a caller that has gone is stopped
-	ChainOrder    bool // one hashed order for all hops; else each hop draws its own
-	DeepFirst     bool // depth decides within an importance
-	Queue         bool // calls wait for a slot; else they run at once or are refused
-	Level         bool // the gate sets a level, which callers learn
-	Order         bool // the queue is in the order of importance; else of arrival
-	Platform      bool // the settings of nodes on the users' platform
+	Early         bool // callers refuse by the admission levels that they learned
+	EarlyEntry    bool // early refusal only at the entry node, not for child calls
+	ChainLevel    bool // responses also carry the level of downstream services
+	Allowance     bool // the request's attempt allowance is split over its calls, unspent parts return
+	ServiceBudget bool // retries spend a budget that successes refill
+	Deadlines     bool // the root request's deadline is propagated to all calls
+	Cancel        bool // work is stopped when its caller no longer waits
+	ChainOrder    bool // one hash order per request for all hops; else one per hop
+	DeepFirst     bool // calls deep in the chain come first within an importance
+	Queue         bool // calls wait for a slot; else they run immediately or are refused
+	Level         bool // the gate sets an admission level, which callers learn
+	Order         bool // the queue is ordered by importance; else by arrival
+	Platform      bool // use the settings of nodes on the users' platform
 }
 
-// whole is peardrift with all its parts.
-func whole() Policy {
+// fullPolicy enables all parts of peardrift.
+func fullPolicy() Policy {
 	return Policy{
 		Name: "peardrift", About: "all parts", Gate: GateCore, CorePick: true, CoreRetry: true, HopTries: baselineTries,
 		Early: true, ChainLevel: true, Allowance: true, ServiceBudget: true, Deadlines: true, Cancel: true,
@@ -45,7 +45,7 @@
 	}
 }
 
-// baselineTries is the usual default of three attempts at each hop.
+// baselineTries is the number of attempts per hop of the baselines; 3 is a common default.
 const baselineTries = 3
 
 // Baselines are the policies that peardrift is compared with.
@@ -58,10 +58,10 @@
 	}
 }
 
-// Ablations are peardrift with one part switched off.
+// Ablations are the policies with one part of peardrift disabled.
 func Ablations() []Policy {
 	without := func(name string, off func(*Policy)) Policy {
-		p := whole()
+		p := fullPolicy()
 		p.Name, p.About = "no-"+name, "peardrift without "+name
 		off(&p)
 		return p
@@ -69,7 +69,7 @@
 	return []Policy{
 		without("chain-order", func(p *Policy) { p.ChainOrder = false }),
 		without("early", func(p *Policy) { p.Early = false }),
-		earlyAtEntry(),
+		earlyAtEntryPolicy(),
 		without("chain-level", func(p *Policy) { p.ChainLevel = false }),
 		without("allowance", func(p *Policy) { p.Allowance = false }),
 		without("budget", func(p *Policy) { p.ServiceBudget = false }),
@@ -80,32 +80,33 @@
 		without("deep-first", func(p *Policy) { p.DeepFirst = false }),
 		without("queue", func(p *Policy) { p.Queue = false }),
 		without("level", func(p *Policy) { p.Level = false }),
-		// A level cuts the order of importance, so there is none without it.
+		// An admission level is a threshold in the priority order, so it needs Order.
 		without("order", func(p *Policy) { p.Order, p.Level = false, false }),
 		without("route", func(p *Policy) { p.CorePick = false }),
 	}
 }
 
-// earlyAtEntry is a variant: a request that has cost work goes on to the gate.
-func earlyAtEntry() Policy {
-	p := whole()
+// earlyAtEntryPolicy refuses early at the entry node only. Child calls, whose request
+// has already cost work, always go to the callee's gate.
+func earlyAtEntryPolicy() Policy {
+	p := fullPolicy()
 	p.Name, p.About, p.EarlyEntry = "early-at-entry", "peardrift with early refusal at the entry only", true
 	return p
 }
 
-// onPlatform is peardrift as its nodes run on the users' platform.
-func onPlatform() Policy {
-	p := earlyAtEntry()
+// platformPolicy is peardrift with the node settings of the users' platform.
+func platformPolicy() Policy {
+	p := earlyAtEntryPolicy()
 	p.Name, p.About, p.Platform = "platform", "peardrift with the settings of the users' platform", true
 	return p
 }
 
 // Policies lists all policies, peardrift first.
 func Policies() []Policy {
-	return slices.Concat([]Policy{whole(), onPlatform()}, Baselines(), Ablations())
+	return slices.Concat([]Policy{fullPolicy(), platformPolicy()}, Baselines(), Ablations())
 }
 
-// PolicyFor returns the policy of that name.
+// PolicyFor returns the policy with the given name, and false if there is none.
 func PolicyFor(name string) (Policy, bool) {
 	all := Policies()
 	i := slices.IndexFunc(all, func(p Policy) bool { return p.Name == name })
--- a/bench/replay/target.go
+++ b/bench/replay/target.go
@@ -9,146 +9,148 @@
 	"peardrift/internal/status"
 )
 
-// A target that has just started works coldFactor times slower, less and less
-// over coldTime.
+// A target that has just started is coldFactor times slower; the slowdown declines
+// linearly over coldDuration.
 const (
-	coldTime   = time.Second
-	coldFactor = 3
+	coldDuration = time.Second
+	coldFactor   = 3
 )
 
-// target is the fake of one target instance: slots, a queue that its connections
-// bound, cold start, drain, and faults.
+// target simulates one target instance: slots, a queue bounded by its connections,
+// cold start, drain and faults.
 type target struct {
-	slots, conns int
-	real         int // slots that work, slots if all do
-	speed        float64
-	used         int
-	waiting      []*attempt
-	started      time.Duration
-	cold         bool
-	failFast     bool
-	lies         bool
+	slots, conns  int
+	workingSlots  int // slots that work; equals slots without a fault
+	speed         float64
+	inUse         int
+	waiting       []*attempt
+	started       time.Duration
+	cold          bool
+	failFast      bool
+	reportsNoLoad bool
 }
 
-// load is what the target's load endpoint says.
+// load returns what the target's load endpoint reports.
 func (t *target) load() int {
-	if t.lies {
+	if t.reportsNoLoad {
 		return 0
 	}
-	return t.used + len(t.waiting)
+	return t.inUse + len(t.waiting)
 }
 
-// offer hands an admitted call to the target. It runs, waits for a slot, or is
+// submit passes an admitted call to the target. The call runs, waits for a slot, or is
 // shed if no connection is left.
-func (n *node) offer(a *attempt) {
+func (n *node) submit(a *attempt) {
 	t := &n.target
 	switch {
 	case t.failFast:
-		n.end(a, result{outcome: request.Failed, code: status.CodeTargetFailed})
-	case t.used < t.real:
-		n.work(a)
+		n.finish(a, result{outcome: request.Failed, code: status.CodeTargetFailed})
+	case t.inUse < t.workingSlots:
+		n.startWork(a)
 	case len(t.waiting) < t.conns-t.slots:
 		t.waiting = append(t.waiting, a)
 	default:
-		n.end(a, result{outcome: request.Refused, code: status.CodeOverloaded})
+		n.finish(a, result{outcome: request.Refused, code: status.CodeOverloaded})
 	}
 }
 
-// work gives the call a slot and spends the target's own time on it.
-func (n *node) work(a *attempt) {
-	n.target.used++
-	a.running, a.began = true, n.w.now
-	mean := float64(a.call.spec.Work) * n.svc.slow / n.target.speed
-	if age := n.w.now - n.target.started; n.target.cold && age < coldTime {
-		mean *= 1 + (coldFactor-1)*(1-age.Seconds()/coldTime.Seconds())
+// startWork gives the call a slot and schedules the end of the target's own work.
+func (n *node) startWork(a *attempt) {
+	n.target.inUse++
+	a.running, a.startedAt = true, n.sim.now
+	mean := float64(a.call.spec.Work) * n.service.slowdown / n.target.speed
+	if age := n.sim.now - n.target.started; n.target.cold && age < coldDuration {
+		mean *= 1 + (coldFactor-1)*(1-age.Seconds()/coldDuration.Seconds())
 	}
-	a.timer = n.w.after(workload.Draw(n.w.rng, time.Duration(mean)), func() { n.step(a, 0) })
+	a.timer = n.sim.after(workload.Draw(n.sim.rng, time.Duration(mean)), func() { n.runStep(a, 0) })
 }
 
-// step makes the calls of one step side by side, then the next step.
-func (n *node) step(a *attempt, i int) {
+// runStep makes the child calls of step i in parallel, then goes to the next step.
+func (n *node) runStep(a *attempt, i int) {
 	a.timer = nil
 	for ; i < len(a.call.spec.Steps); i++ {
-		a.subs = n.subs(a, i)
-		if len(a.subs) > 0 {
+		a.children = n.drawCalls(a, i)
+		if len(a.children) > 0 {
 			break
 		}
 	}
 	if i == len(a.call.spec.Steps) {
-		n.end(a, result{outcome: request.Completed})
+		n.finish(a, result{outcome: request.Completed})
 		return
 	}
-	n.uses(a)
-	left, since := len(a.subs), n.w.now
+	n.recordServices(a)
+	left, since := len(a.children), n.sim.now
 	done := func(r result) {
 		left--
 		if left == 0 {
-			a.below += n.w.now - since
+			a.downstreamWait += n.sim.now - since
 		}
-		a.useful += r.work
+		a.completedTime += r.slotTime
 		if r.outcome != request.Completed {
-			// The target has run, so its caller may not be told "refused".
-			n.end(a, result{outcome: request.Failed, code: r.code, retryAfter: r.retryAfter, below: true})
+			// The target has run, so the outcome can't be refused.
+			n.finish(a, result{outcome: request.Failed, code: r.code, retryAfter: r.retryAfter, fromDownstream: true})
 		} else if left == 0 {
-			n.step(a, i+1)
+			n.runStep(a, i+1)
 		}
 	}
-	for _, c := range a.subs {
-		c.done = done
+	for _, c := range a.children {
+		c.onDone = done
 	}
-	for _, c := range a.subs {
-		if a.over {
+	for _, c := range a.children {
+		if a.finished {
 			return
 		}
-		c.try()
+		c.startAttempt()
 	}
 }
 
-// uses tells the chain which services the request calls, each once.
-func (n *node) uses(a *attempt) {
-	for _, c := range a.subs {
+// recordServices records the services that a request calls in the node's early.Chain,
+// each once.
+func (n *node) recordServices(a *attempt) {
+	for _, c := range a.children {
 		o := n.outbound(c.spec.Service)
-		if a.used&o.svc.bit() == 0 {
-			a.used |= o.svc.bit()
-			n.chain.Used(n.w.now, workOf(c.tree), o.key(c))
+		if a.calledServices&o.service.bit() == 0 {
+			a.calledServices |= o.service.bit()
+			n.chain.Used(n.sim.now, earlyWork(c.root), o.key(c))
 		}
 	}
 }
 
-// pathBase is above the number of calls in any step.
+// pathBase is greater than the number of steps of a call and of calls in a step.
 const pathBase = 64
 
-// subs draws the calls of one step.
-func (n *node) subs(a *attempt, at int) []*call {
+// drawCalls draws the child calls of one step.
+func (n *node) drawCalls(a *attempt, at int) []*call {
 	var out []*call
 	step := a.call.spec.Steps[at]
 	path := (a.call.path*pathBase + uint64(at)) * pathBase
 	for i := range step {
 		for range step[i].Count {
 			path++
-			if step[i].Chance < 1 && n.w.rng.Float64() >= step[i].Chance {
+			if step[i].Chance < 1 && n.sim.rng.Float64() >= step[i].Chance {
 				continue
 			}
-			out = append(out, &call{n: n, spec: &step[i].Call, tree: a.call.tree, parent: a, allowance: &a.allowance,
-				path: path, repeat: a.again,
-				depth: a.call.depth + 1, deadline: n.w.deadline(a.call.deadline)})
+			out = append(out, &call{caller: n, spec: &step[i].Call, root: a.call.root, parent: a, allowance: &a.allowance,
+				path: path, inRepeat: a.mayRepeat,
+				depth: a.call.depth + 1, deadline: n.sim.childDeadline(a.call.deadline)})
 		}
 	}
 	return out
 }
 
-// release frees the slot of a call that ran and gives it to the next in line.
-func (n *node) release(a *attempt) {
+// releaseSlot frees the slot of a call and gives it to the next waiting call. A call
+// without a slot is removed from the queue.
+func (n *node) releaseSlot(a *attempt) {
 	t := &n.target
 	if !a.running {
 		t.waiting = slices.DeleteFunc(t.waiting, func(x *attempt) bool { return x == a })
 		return
 	}
 	a.running = false
-	t.used--
-	if len(t.waiting) > 0 && t.used < t.real {
+	t.inUse--
+	if len(t.waiting) > 0 && t.inUse < t.workingSlots {
 		next := t.waiting[0]
 		t.waiting = slices.Delete(t.waiting, 0, 1)
-		n.work(next)
+		n.startWork(next)
 	}
 }
