--- a/bench/replay/workload/capacity.go
+++ b/bench/replay/workload/capacity.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// gammaShape gives service times a coefficient of variation of one half.
+// gammaShape 4 gives service times a coefficient of variation of 0.5.
 const gammaShape = 4
 
-// Draw draws a service time with the given mean.
+// Draw returns a gamma distributed service time with the given mean.
 func Draw(rng *rand.Rand, mean time.Duration) time.Duration {
 	sum := 0.0
 	for range gammaShape {
@@ -19,22 +19,22 @@
 	return time.Duration(sum / gammaShape * float64(mean))
 }
 
-// Condition is what a fleet suffers from; the zero value is a healthy one.
+// Condition describes the faults of a deployment. The zero value means healthy.
 type Condition struct {
-	Slow   map[string]float64 // factor on a service's own work; 1 if not listed
-	Part   map[string]float64 // part of a service's slots that work; 1 if not listed
-	Within time.Duration      // a client waits this long for an answer; 0: for good
-	Blind  bool               // nobody knows beforehand which requests end in time: the others hold slots too
+	Slow   map[string]float64 // factor on service time, by service; default 1
+	Part   map[string]float64 // fraction of slots that work, by service; default 1
+	Within time.Duration      // clients' timeout; 0 means none
+	Blind  bool               // count the slot time of requests that time out too
 }
 
-func factor(m map[string]float64, service string) float64 {
+func factorOrOne(m map[string]float64, service string) float64 {
 	if f, ok := m[service]; ok {
 		return f
 	}
 	return 1
 }
 
-// Hold is the mean slot time in seconds that one request takes at each service.
+// Hold is the mean slot time in seconds of one request, by service.
 type Hold map[string]float64
 
 const (
@@ -42,21 +42,21 @@
 	capacitySeed    = 1
 )
 
-// HoldOf computes by sampling what one request of a class takes when nothing
-// queues: the least slot time that completing it needs. Requests that don't end
-// in time are left out, or add the time until they are given up if in is blind.
-// The second result is the part of those that end in time.
-func (d *Deployment) HoldOf(c *Class, in Condition) (Hold, float64) {
+// HoldOf estimates by sampling the slot time per completed request of a class without
+// queueing, which is the minimum. Requests that exceed cond.Within are left out or, if
+// cond.Blind is set, add the slot time until they time out. The second result is the
+// fraction of requests that end in time.
+func (d *Deployment) HoldOf(c *Class, cond Condition) (Hold, float64) {
 	rng := rand.New(rand.NewPCG(capacitySeed, uint64(c.Importance)))
 	hold, ended := Hold{}, 0
 	for range capacitySamples {
 		one := Hold{}
-		took := d.sample(rng, &c.Root, in, one)
+		took := d.sampleCall(rng, &c.Root, cond, one)
 		part := 1.0
-		if in.Within > 0 && took > in.Within {
+		if cond.Within > 0 && took > cond.Within {
 			part = 0
-			if in.Blind {
-				part = in.Within.Seconds() / took.Seconds() // until it is given up
+			if cond.Blind {
+				part = cond.Within.Seconds() / took.Seconds() // until it times out
 			}
 		} else {
 			ended++
@@ -71,9 +71,10 @@
 	return hold, float64(ended) / capacitySamples
 }
 
-// sample runs one call on idle targets and returns how long it takes.
-func (d *Deployment) sample(rng *rand.Rand, c *Call, in Condition, hold Hold) time.Duration {
-	took := time.Duration(float64(Draw(rng, c.Work)) * factor(in.Slow, c.Service))
+// sampleCall simulates one call on idle targets. It adds the slot time to hold and
+// returns the duration of the call.
+func (d *Deployment) sampleCall(rng *rand.Rand, c *Call, cond Condition, hold Hold) time.Duration {
+	took := time.Duration(float64(Draw(rng, c.Work)) * factorOrOne(cond.Slow, c.Service))
 	for _, step := range c.Steps {
 		longest := time.Duration(0)
 		for i := range step {
@@ -81,7 +82,7 @@
 				if step[i].Chance < 1 && rng.Float64() >= step[i].Chance {
 					continue
 				}
-				sub := d.sample(rng, &step[i].Call, in, hold) + 2*d.LocalDelay
+				sub := d.sampleCall(rng, &step[i].Call, cond, hold) + 2*d.LocalDelay
 				longest = max(longest, sub)
 			}
 		}
@@ -91,7 +92,7 @@
 	return took
 }
 
-// Sustainable is the highest rate of the whole mix, in requests a second, at
+// Sustainable returns the highest rate of the request mix, in requests per second, at
 // which no service needs more slots than it has.
 func (d *Deployment) Sustainable() float64 {
 	need := Hold{}
@@ -114,32 +115,33 @@
 	return rate
 }
 
-// Best is the highest goodput per class, in requests a second, that the slots
-// allow for a demand per class when the classes are served in their order of
-// importance, by a policy that knows beforehand which requests end in time. Tenants have equal shares of what one importance gets, and lend
-// what they don't need; one tenant's classes of it share in proportion to demand.
-func (d *Deployment) Best(demand map[string]float64, in Condition) map[string]float64 {
+// Best returns the highest possible goodput by class, in requests per second, for a
+// demand by class. It assumes a policy that serves classes in order of importance and,
+// unless cond.Blind is set, knows in advance which requests end in time. Within one
+// importance, tenants have equal shares and lend what they don't need; the classes of
+// one tenant share in proportion to demand.
+func (d *Deployment) Best(demand map[string]float64, cond Condition) map[string]float64 {
 	left := map[string]float64{}
 	for _, s := range d.Services {
-		left[s.Name] = float64(s.Targets*s.Slots) * factor(in.Part, s.Name)
+		left[s.Name] = float64(s.Targets*s.Slots) * factorOrOne(cond.Part, s.Name)
 	}
 	best := map[string]float64{}
 	for _, group := range d.byImportance() {
 		tenants := byTenant(group, demand)
 		for i, classes := range tenants {
 			share := 1 / float64(len(tenants)-i)
-			d.fill(classes, demand, in, share, left, best)
+			d.allocate(classes, demand, cond, share, left, best)
 		}
 	}
 	return best
 }
 
-// fill gives classes their demand, or as much of it as a share of what is left
-// of the slots allows.
-func (d *Deployment) fill(classes []*Class, demand map[string]float64, in Condition, share float64, left, best map[string]float64) {
+// allocate gives classes their demand, or as much of it as fits in the given share of
+// the remaining slots, and subtracts it from left.
+func (d *Deployment) allocate(classes []*Class, demand map[string]float64, cond Condition, share float64, left, best map[string]float64) {
 	need := Hold{}
 	for _, c := range classes {
-		hold, inTime := d.HoldOf(c, in)
+		hold, inTime := d.HoldOf(c, cond)
 		best[c.Name] = demand[c.Name] * inTime
 		for s, h := range hold {
 			need[s] += h * best[c.Name]
@@ -159,8 +161,8 @@
 	}
 }
 
-// byTenant splits classes by tenant, the one with the least demand first, so
-// that what it leaves of its share is there for the others.
+// byTenant groups classes by tenant, lowest demand first, so that the unused part of
+// its share is available to the others.
 func byTenant(classes []*Class, demand map[string]float64) [][]*Class {
 	var out [][]*Class
 	for _, c := range classes {
@@ -181,7 +183,7 @@
 	return out
 }
 
-// byImportance groups the classes, the most important first.
+// byImportance groups the classes by importance, the most important first.
 func (d *Deployment) byImportance() [][]*Class {
 	sorted := make([]*Class, 0, len(d.Classes))
 	for i := range d.Classes {
--- a/bench/replay/workload/deployment.go
+++ b/bench/replay/workload/deployment.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Deployment is a fleet of services and the mix of requests that it serves.
+// Deployment is a set of services and the mix of requests that they serve.
 type Deployment struct {
 	Name        string
 	Zones       int           // availability zones
-	ZoneDelay   time.Duration // one way between two zones
-	LocalDelay  time.Duration // one way within a zone
-	ClientDelay time.Duration // one way between a client and its entry node
+	ZoneDelay   time.Duration // one-way delay between two zones
+	LocalDelay  time.Duration // one-way delay within a zone
+	ClientDelay time.Duration // one-way delay between a client and its entry node
 	Services    []Service
 	Classes     []Class
-	Deep        string // the service that slows down in the worst case
+	Deep        string // the downstream service that slows down or fails in the scenarios
 	Patience    time.Duration
-	Timeout     time.Duration // a client waits this long for one attempt
+	Timeout     time.Duration // of a client, for one attempt
 }
 
-// Service is a set of like targets, spread evenly over the zones.
+// Service is a set of targets of the same size, spread evenly over the zones.
 type Service struct {
 	Name        string
 	Targets     int
-	Slots       int // requests that one target runs side by side, waiting for calls included
-	Connections int // requests that one target holds, running or waiting for a slot
+	Slots       int // requests that a target runs concurrently, including those that wait for calls
+	Connections int // requests that a target holds, running or waiting for a slot
 
-	// Speeds are how fast the targets work, in turn; all at 1 if there are none.
-	// Their mean must be 1, so that the slots say what the service can do.
+	// Speeds are the relative speeds of the targets, assigned cyclically; all are 1 if
+	// it is empty. The mean must be 1, so that the slots give the service's capacity.
 	Speeds []float64
 }
 
-// Speed is how fast the target of that index works.
+// Speed returns the relative speed of the target with the given index.
 func (s *Service) Speed(i int) float64 {
 	if len(s.Speeds) == 0 {
 		return 1
@@ -39,31 +39,31 @@
 	return s.Speeds[i%len(s.Speeds)]
 }
 
-// Class is one kind of whole request.
+// Class is a class of client requests.
 type Class struct {
 	Name       string
 	Tenant     string
 	Importance uint8
-	Share      float64 // part of the deployment's requests
-	AtMostOnce bool    // must not be sent again once it may have run
+	Share      float64 // fraction of the deployment's requests
+	AtMostOnce bool    // must not be retried once it may have run
 	Root       Call
 }
 
-// Call is work at one service, then calls to further ones, step by step.
+// Call is work at one service, followed by calls to other services in steps.
 type Call struct {
 	Service string
-	Work    time.Duration // mean time that the target itself spends
-	Steps   [][]Sub       // the calls of one step run side by side
+	Work    time.Duration // mean service time of the target, without child calls
+	Steps   [][]Sub       // steps run in sequence, the calls of one step in parallel
 }
 
-// Sub is a call that is made Count times, each with probability Chance.
+// Sub is a child call that is made Count times, each with probability Chance.
 type Sub struct {
 	Call
 	Count  int
 	Chance float64
 }
 
-// Callers adds to out the services that call the named one in this chain.
+// Callers adds to out the services that call the named service in this call tree.
 func (c *Call) Callers(name string, out map[string]bool) {
 	for _, step := range c.Steps {
 		for i := range step {
@@ -81,18 +81,18 @@
 	return Call{Service: service, Work: work, Steps: steps}
 }
 
-func step(subs ...Sub) []Sub { return subs }
+func parallel(subs ...Sub) []Sub { return subs }
 
-func times(n int, c Call) Sub { return Sub{Call: c, Count: n, Chance: 1} }
+func repeated(n int, c Call) Sub { return Sub{Call: c, Count: n, Chance: 1} }
 
-func maybe(p float64, c Call) Sub { return Sub{Call: c, Count: 1, Chance: p} }
+func withProbability(p float64, c Call) Sub { return Sub{Call: c, Count: 1, Chance: p} }
 
-// Khaosan is the news deployment: a feed that fans out to notices and archive.
-// Sizes and zones are the brief's; service times are chosen so that feed and
-// archive are both near their limits when archive slows down.
+// Khaosan is the news deployment: a feed that fans out to notices and archive. Sizes and
+// zones are those of the users' deployment. Service times are chosen so that both feed
+// and archive are near their limits when archive slows down.
 func Khaosan() *Deployment {
 	const tenant = "khaosan"
-	lookup := call("archive", ms(35), step(maybe(0.25, call("media", ms(15)))))
+	lookup := call("archive", ms(35), parallel(withProbability(0.25, call("media", ms(15)))))
 	return &Deployment{
 		Name: tenant, Zones: 4, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(1),
 		Deep: "archive", Patience: 4 * time.Second, Timeout: 2 * time.Second,
@@ -104,19 +104,19 @@
 		},
 		Classes: []Class{
 			{"headline-status", tenant, 20, 0.10, false, call("notices", ms(5))},
-			{"archive-search", tenant, 30, 0.25, false, call("archive", ms(150), step(maybe(0.5, call("media", ms(15)))))},
+			{"archive-search", tenant, 30, 0.25, false, call("archive", ms(150), parallel(withProbability(0.5, call("media", ms(15)))))},
 			{"morning-feed", tenant, 40, 0.50, false, call("feed", ms(8),
-				step(times(1, call("notices", ms(10))), times(6, lookup)))},
-			{"acknowledge", tenant, 70, 0.08, true, call("notices", ms(15), step(times(1, call("archive", ms(20)))))},
-			{"upload", tenant, 80, 0.04, false, call("media", ms(150), step(times(1, call("archive", ms(30)))))},
+				parallel(repeated(1, call("notices", ms(10))), repeated(6, lookup)))},
+			{"acknowledge", tenant, 70, 0.08, true, call("notices", ms(15), parallel(repeated(1, call("archive", ms(20)))))},
+			{"upload", tenant, 80, 0.04, false, call("media", ms(150), parallel(repeated(1, call("archive", ms(30)))))},
 			{"publish", tenant, 90, 0.03, true, call("notices", ms(30),
-				step(times(1, call("archive", ms(20))), maybe(0.5, call("media", ms(20)))))},
+				parallel(repeated(1, call("archive", ms(20))), withProbability(0.5, call("media", ms(20)))))},
 		},
 	}
 }
 
-// Kalahari is the claims deployment: claimtrack above policydesk, settleworks
-// and evidencebox, with clients on phones 8 ms away.
+// Kalahari is the claims deployment: claimtrack calls policydesk, which calls settleworks
+// and evidencebox. Clients are phones with a one-way delay of 8 ms.
 func Kalahari() *Deployment {
 	const tenant = "kalahari"
 	evidence := call("evidencebox", ms(40))
@@ -131,20 +131,20 @@
 		},
 		Classes: []Class{
 			{"claim-status", tenant, 20, 0.58, false, call("claimtrack", ms(5),
-				step(times(1, call("policydesk", ms(40), step(maybe(0.5, evidence))))))},
+				parallel(repeated(1, call("policydesk", ms(40), parallel(withProbability(0.5, evidence))))))},
 			{"clerk-review", tenant, 30, 0.23, false, call("policydesk", ms(250),
-				step(maybe(0.3, call("settleworks", ms(40)))))},
-			{"upload", tenant, 80, 0.14, false, call("evidencebox", ms(400), step(times(1, call("policydesk", ms(20)))))},
+				parallel(withProbability(0.3, call("settleworks", ms(40)))))},
+			{"upload", tenant, 80, 0.14, false, call("evidencebox", ms(400), parallel(repeated(1, call("policydesk", ms(20)))))},
 			{"payout-approval", tenant, 90, 0.05, true, call("claimtrack", ms(10),
-				step(times(1, call("policydesk", ms(60),
-					step(times(1, call("settleworks", ms(150), step(maybe(0.5, evidence)))))))))},
+				parallel(repeated(1, call("policydesk", ms(60),
+					parallel(repeated(1, call("settleworks", ms(150), parallel(withProbability(0.5, evidence)))))))))},
 		},
 	}
 }
 
-// Shared is both tenants on one pair of services, for a flood by one of them.
+// Shared has two tenants on the same two services, for the flood scenario.
 func Shared() *Deployment {
-	desk := func(c Call) Call { return call("desk", ms(10), step(times(1, c))) }
+	desk := func(c Call) Call { return call("desk", ms(10), parallel(repeated(1, c))) }
 	return &Deployment{
 		Name: "shared", Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(4),
 		Deep: "store", Patience: 3 * time.Second, Timeout: time.Second,
@@ -156,12 +156,12 @@
 	}
 }
 
-// ladderDepth is the length of the ladder's chain.
+// ladderDepth is the number of services in the chain of Ladder.
 const ladderDepth = 8
 
-// Ladder is no deployment of the brief: one chain, eight deep, in which each
-// service does as much work of its own before it calls the next. It stands for
-// the deep chains to come, where a refusal at the end wastes the most.
+// Ladder is a synthetic deployment: one chain of eight services, each of which does the
+// same amount of work before it calls the next. It represents deep chains, where a
+// refusal at the end wastes the most work.
 func Ladder() *Deployment {
 	const tenant, slotsPerHop = "ladder", 20
 	d := &Deployment{
@@ -173,7 +173,7 @@
 		name := fmt.Sprintf("s%d", hop)
 		next := call(name, ms(10))
 		if hop < ladderDepth {
-			next.Steps = [][]Sub{step(times(1, chain))}
+			next.Steps = [][]Sub{parallel(repeated(1, chain))}
 		}
 		chain = next
 		slots := slotsPerHop * (ladderDepth + 1 - hop)
@@ -186,22 +186,22 @@
 	return d
 }
 
-// sequence makes a call n times, one after the other.
+// sequence makes a call n times in sequence.
 func sequence(n int, c Call) [][]Sub {
 	steps := make([][]Sub, n)
 	for i := range steps {
-		steps[i] = step(times(1, c))
+		steps[i] = parallel(repeated(1, c))
 	}
 	return steps
 }
 
-// Chatty is no deployment of the brief: most requests call one small service ten
-// times in sequence, through two services above it. Its few targets differ in speed
-// by three and have some seventy callers. One refusal in ten calls loses the request.
+// Chatty is a synthetic deployment: most requests call one small service ten times in
+// sequence, through two upstream services. Its few targets differ in speed by a factor of
+// three and have about seventy callers. One refusal in ten calls fails the request.
 func Chatty() *Deployment {
 	const tenant = "chatty"
 	index := call("box", ms(15), sequence(5, call("track", ms(63)))...)
-	verify := call("settle", ms(15), step(times(1, index)))
+	verify := call("settle", ms(15), parallel(repeated(1, index)))
 	uneven := []float64{0.5, 1, 1, 1.5}
 	return &Deployment{
 		Name: tenant, Zones: 4, ZoneDelay: ms(0.9), LocalDelay: ms(0.2), ClientDelay: ms(3),
@@ -216,12 +216,12 @@
 			{"lookup", tenant, 20, 0.56, false, call("desk", ms(250), sequence(2, verify)...)},
 			{"status", tenant, 70, 0.16, false, call("track", ms(100))},
 			{"upload", tenant, 70, 0.06, false, call("box", ms(300))},
-			{"payout", tenant, 90, 0.22, true, call("settle", ms(330), step(times(2, index)))},
+			{"payout", tenant, 90, 0.22, true, call("settle", ms(330), parallel(repeated(2, index)))},
 		},
 	}
 }
 
-// Deployments lists the deployments by name.
+// Deployments returns all deployments by name.
 func Deployments() map[string]*Deployment {
 	all := map[string]*Deployment{}
 	for _, d := range []*Deployment{Khaosan(), Kalahari(), Shared(), Ladder(), Chatty()} {
@@ -230,8 +230,8 @@
 	return all
 }
 
-// Scaled returns the deployment with 1/n of the slots and connections of each
-// target, for short runs. Delays, zones and numbers of targets stay.
+// Scaled returns a copy of the deployment with 1/n of the slots and connections per
+// target, for short runs. Delays, zones and target counts are unchanged.
 func (d *Deployment) Scaled(n int) *Deployment {
 	out := *d
 	out.Services = make([]Service, len(d.Services))
@@ -243,7 +243,7 @@
 	return &out
 }
 
-// Class returns the class of that name, or nil.
+// Class returns the class with the given name, or nil.
 func (d *Deployment) Class(name string) *Class {
 	for i := range d.Classes {
 		if d.Classes[i].Name == name {
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// Important reports whether a class is one that the brief wants refused last.
-func (c *Class) Important() bool { return c.Importance >= importantFrom }
+// Important reports whether the class is one of those to be refused last.
+func (c *Class) Important() bool { return c.Importance >= minImportant }
 
-const importantFrom = 70
+const minImportant = 70
--- a/bench/replay/workload/doc.go
+++ b/bench/replay/workload/doc.go
@@ -1,16 +1,15 @@
-// Package workload describes what the replay runs: the services and request
-// classes of the brief's two deployments, scenarios of demand and faults, and
-// the traces that a generator draws from them.
+// Package workload defines the input of the replay: deployments with their services
+// and request classes, scenarios of demand and faults, and a generator of traces.
 //
 // A trace is a file of JSON lines. The first line is a Header, each further
-// line an Event: a request that a client sends, or a fault that begins or ends.
-// Times are nanoseconds since the start of the trace, in rising order. A trace
-// holds demand only, no decisions, so the same trace serves every policy.
+// line an Event: a client's request, or the start or end of a fault. Times are
+// nanoseconds since the start of the trace, in ascending order. A trace records
+// demand and faults but no decisions, so every policy can run the same trace.
 //
 //	{"format":"peardrift-trace/1","deployment":"khaosan","scenario":"worst","seed":1,...}
 //	{"t":412000,"tenant":"khaosan","class":"morning-feed","client":8123,"zone":2}
 //	{"t":8000000000,"fault":"slow","service":"archive","factor":4}
 //
-// Generation is deterministic: the same deployment, scenario, scale and seed
-// give the same trace.
+// Generation is deterministic: a trace depends on the deployment, scenario, scale and
+// seed alone.
 package workload
--- a/bench/replay/workload/scenario.go
+++ b/bench/replay/workload/scenario.go
@@ -7,55 +7,56 @@
 	"time"
 )
 
-// Fault names what happens to a service or to one of its targets.
+// Fault is a kind of fault of a service or of one of its targets.
 type Fault string
 
-// The faults; Event.Service says where, Event.Target which target of it.
+// The faults. Event.Service and Event.Target select where they apply.
 const (
-	Slow     Fault = "slow"     // all targets work Factor times as long; 1 ends it
-	Drain    Fault = "drain"    // the target leaves: it finishes what it has
-	Start    Fault = "start"    // the target joins with nothing warmed up
-	Restart  Fault = "restart"  // the target's node loses its state and its calls
-	FailFast Fault = "failfast" // the target fails every call at once; Factor 0 ends it
+	Slow     Fault = "slow"     // all targets take Factor times as long; 1 ends it
+	Drain    Fault = "drain"    // the target leaves after finishing its calls
+	Start    Fault = "start"    // a new target joins, cold
+	Restart  Fault = "restart"  // the target's node loses its state and its calls in flight
+	FailFast Fault = "failfast" // the target fails every call immediately; Factor 0 ends it
 	Lie      Fault = "lie"      // the target reports no load; Factor 0 ends it
-	Lose     Fault = "lose"     // the target and its node are gone at once
-	Shrink   Fault = "shrink"   // 1/Factor of all targets' slots work; 1 ends it
+	Lose     Fault = "lose"     // the target and its node crash
+	Shrink   Fault = "shrink"   // only 1/Factor of each target's slots work; 1 ends it
 )
 
-// Phase is a stretch of a scenario with steady demand.
+// Phase is a part of a scenario with constant demand.
 type Phase struct {
 	Lasts   time.Duration
-	Load    float64            // demand, as part of the sustainable rate
-	Tenants map[string]float64 // further factor for one tenant's demand
-	Trigger bool               // this phase is the overload that is measured
+	Load    float64            // demand as a fraction of the sustainable rate
+	Tenants map[string]float64 // additional demand factor by tenant
+	Trigger bool               // the measured phase, with the scenario's overload or faults
 }
 
-// Scenario is demand over time and the faults within.
+// Scenario is a sequence of demand phases with the faults in them.
 type Scenario struct {
 	Name   string
 	About  string
 	Phases []Phase
-	Faults []Event // T counted from the start of the trigger
-	Hard   float64 // part of the clients that ignore Retry-After
-	Hasty  float64 // clients wait 1/Hasty of their usual time for a try; 0 counts as 1
+	Faults []Event // T is relative to the start of the trigger phase
+	Hard   float64 // fraction of clients that ignore Retry-After
+	Hasty  float64 // divisor of the clients' timeout per attempt; 0 counts as 1
 }
 
-// Normal load, and the surge that the goals speak of.
+// Parameters of the scenarios. NormalLoad, SurgeLoad and crowdLoad are fractions of the
+// sustainable rate; SurgeLoad is the load for which the overload goals are stated.
 const (
-	NormalLoad = 0.6
-	SurgeLoad  = 2.0
-	crowdLoad  = 2.3
-	crowdHard  = 0.2
-	slowFactor = 4
-	shrinkage  = 6
-	hasty      = 4
-	floodLoad  = 10
+	NormalLoad      = 0.6
+	SurgeLoad       = 2.0
+	crowdLoad       = 2.3
+	crowdAggressive = 0.2
+	slowFactor      = 4
+	shrinkDivisor   = 6
+	hastyDivisor    = 4
+	floodFactor     = 10
 )
 
-// Lengths of the phases of a scenario.
+// Lengths are the durations of the phases before, during and after the trigger.
 type Lengths struct{ Before, During, After time.Duration }
 
-// FullLengths are those of the published tables.
+// FullLengths are the phase durations of the published tables.
 var FullLengths = Lengths{8 * time.Second, 10 * time.Second, 12 * time.Second}
 
 func (l Lengths) phases(during Phase) []Phase {
@@ -63,10 +64,10 @@
 	return []Phase{{Lasts: l.Before, Load: NormalLoad}, during, {Lasts: l.After, Load: NormalLoad}}
 }
 
-// ScenarioNames lists the scenarios in the order of the tables.
+// ScenarioNames lists the scenarios in the order of the published tables.
 var ScenarioNames = []string{"normal", "worst", "surge", "crowd", "slow", "replace", "restart", "lost", "shrink", "hasty", "failfast", "flood"}
 
-// ScenarioFor returns a scenario as it applies to a deployment, or nil.
+// ScenarioFor returns the named scenario for a deployment, or nil if there is none.
 func ScenarioFor(name string, d *Deployment, l Lengths) *Scenario {
 	entry := d.Classes[0].Root.Service
 	for i := range d.Classes {
@@ -75,46 +76,46 @@
 		}
 	}
 	surge := l.phases(Phase{Load: SurgeLoad})
-	slowed := Event{Fault: Slow, Service: d.Deep, Factor: slowFactor}
-	cured := Event{T: l.During, Fault: Slow, Service: d.Deep, Factor: 1}
+	slowStart := Event{Fault: Slow, Service: d.Deep, Factor: slowFactor}
+	slowEnd := Event{T: l.During, Fault: Slow, Service: d.Deep, Factor: 1}
 	switch name {
 	case "normal":
 		return &Scenario{Name: name, About: "normal load, patient clients", Phases: l.phases(Phase{Load: NormalLoad}), Faults: nil, Hard: 0}
 	case "worst":
-		return &Scenario{Name: name, About: "a deep service slows, demand surges, clients retry hard", Phases: surge, Faults: []Event{slowed, cured}, Hard: 1}
+		return &Scenario{Name: name, About: "a deep service slows, demand surges, clients retry hard", Phases: surge, Faults: []Event{slowStart, slowEnd}, Hard: 1}
 	case "surge":
 		return &Scenario{Name: name, About: "twice the sustainable demand, clients retry hard", Phases: surge, Faults: nil, Hard: 1}
 	case "crowd":
-		return &Scenario{Name: name, About: "far more than the sustainable demand, most clients heed the advice", Phases: l.phases(Phase{Load: crowdLoad}), Hard: crowdHard}
+		return &Scenario{Name: name, About: "far more than the sustainable demand, most clients heed the advice", Phases: l.phases(Phase{Load: crowdLoad}), Hard: crowdAggressive}
 	case "slow":
-		return &Scenario{Name: name, About: "a deep service slows at normal demand", Phases: l.phases(Phase{Load: NormalLoad}), Faults: []Event{slowed, cured}, Hard: 1}
+		return &Scenario{Name: name, About: "a deep service slows at normal demand", Phases: l.phases(Phase{Load: NormalLoad}), Faults: []Event{slowStart, slowEnd}, Hard: 1}
 	case "replace":
-		return &Scenario{Name: name, About: "the entry service's targets are replaced in the surge", Phases: surge, Faults: d.replacement(entry, l), Hard: 1}
+		return &Scenario{Name: name, About: "the entry service's targets are replaced in the surge", Phases: surge, Faults: d.replacementFaults(entry, l), Hard: 1}
 	case "restart":
 		return &Scenario{Name: name, About: "a node of the entry service loses its history in the surge", Phases: surge, Hard: 1,
 			Faults: []Event{{T: l.During / 2, Fault: Restart, Service: entry}}}
 	case "lost":
-		return &Scenario{Name: name, About: "most targets of a deep service are lost in the surge", Phases: surge, Faults: d.loss(l), Hard: 1}
+		return &Scenario{Name: name, About: "most targets of a deep service are lost in the surge", Phases: surge, Faults: d.lossFaults(l), Hard: 1}
 	case "shrink":
 		return &Scenario{Name: name, About: "a deep service can run few requests at once, and doesn't say so", Phases: surge, Hard: 1,
-			Faults: []Event{{Fault: Shrink, Service: d.Deep, Factor: shrinkage}, {T: l.During, Fault: Shrink, Service: d.Deep, Factor: 1}}}
+			Faults: []Event{{Fault: Shrink, Service: d.Deep, Factor: shrinkDivisor}, {T: l.During, Fault: Shrink, Service: d.Deep, Factor: 1}}}
 	case "hasty":
 		return &Scenario{Name: name, About: "the worst case, with clients that soon time out", Phases: surge,
-			Faults: []Event{slowed, cured}, Hard: 1, Hasty: hasty}
+			Faults: []Event{slowStart, slowEnd}, Hard: 1, Hasty: hastyDivisor}
 	case "failfast":
 		return &Scenario{Name: name, About: "one target of the deep service fails fast and reports no load", Phases: l.phases(Phase{Load: NormalLoad}), Hard: 1,
 			Faults: []Event{{Fault: FailFast, Service: d.Deep, Factor: 1}, {Fault: Lie, Service: d.Deep, Factor: 1},
 				{T: l.During, Fault: FailFast, Service: d.Deep}, {T: l.During, Fault: Lie, Service: d.Deep}}}
 	case "flood":
 		return &Scenario{Name: name, About: "one tenant floods a shared service", Hard: 1, Phases: l.phases(Phase{Load: NormalLoad,
-			Tenants: map[string]float64{"khaosan": floodLoad}})}
+			Tenants: map[string]float64{"khaosan": floodFactor}})}
 	}
 	return nil
 }
 
-// replacement puts a new target in place of each of a service, one after another.
-// The new one starts handover before the old one drains.
-func (d *Deployment) replacement(service string, l Lengths) []Event {
+// replacementFaults replaces the targets of a service one after another. Each new target
+// starts replacementOverlap before the old one drains.
+func (d *Deployment) replacementFaults(service string, l Lengths) []Event {
 	var out []Event
 	for i := range d.Services {
 		s := &d.Services[i]
@@ -122,19 +123,19 @@
 			continue
 		}
 		for n := range s.Targets {
-			at := handover + (l.During-handover)*time.Duration(n)/time.Duration(s.Targets)
-			out = append(out, Event{T: at - handover, Fault: Start, Service: service, Target: s.Targets + n},
+			at := replacementOverlap + (l.During-replacementOverlap)*time.Duration(n)/time.Duration(s.Targets)
+			out = append(out, Event{T: at - replacementOverlap, Fault: Start, Service: service, Target: s.Targets + n},
 				Event{T: at, Fault: Drain, Service: service, Target: n})
 		}
 	}
 	return out
 }
 
-const handover = 2 * time.Second
+const replacementOverlap = 2 * time.Second
 
-// loss takes all targets of the deep service but one, and brings new ones after
-// the trigger.
-func (d *Deployment) loss(l Lengths) []Event {
+// lossFaults crashes all targets of the Deep service but one, and starts new ones at the
+// end of the trigger phase.
+func (d *Deployment) lossFaults(l Lengths) []Event {
 	var out []Event
 	for i := range d.Services {
 		s := &d.Services[i]
@@ -149,10 +150,10 @@
 	return out
 }
 
-// clients is how many different clients the generator draws from.
-const clients = 20000
+// clientCount is the number of distinct clients in a trace.
+const clientCount = 20000
 
-// Generate draws the trace of a scenario.
+// Generate generates a random trace of a scenario.
 func Generate(d *Deployment, s *Scenario, seed uint64) *Trace {
 	rng := rand.New(rand.NewPCG(seed, 0x7ea2))
 	sustainable := d.Sustainable()
@@ -167,7 +168,7 @@
 			}
 		}
 		for i := range d.Classes {
-			tr.Events = append(tr.Events, arrivals(rng, d, &d.Classes[i], p, sustainable, at)...)
+			tr.Events = append(tr.Events, poissonArrivals(rng, d, &d.Classes[i], p, sustainable, at)...)
 		}
 		at += p.Lasts
 	}
@@ -176,8 +177,8 @@
 	return tr
 }
 
-// arrivals draws the Poisson arrivals of one class in one phase.
-func arrivals(rng *rand.Rand, d *Deployment, c *Class, p Phase, sustainable float64, from time.Duration) []Event {
+// poissonArrivals generates the requests of one class in one phase.
+func poissonArrivals(rng *rand.Rand, d *Deployment, c *Class, p Phase, sustainable float64, from time.Duration) []Event {
 	rate := sustainable * p.Load * c.Share
 	if f, ok := p.Tenants[c.Tenant]; ok {
 		rate *= f
@@ -189,7 +190,7 @@
 		if t >= p.Lasts {
 			return out
 		}
-		client := rng.IntN(clients)
+		client := rng.IntN(clientCount)
 		out = append(out, Event{T: from + t, Tenant: c.Tenant, Class: c.Name, Client: client, Zone: client % d.Zones})
 	}
 }
--- a/bench/replay/workload/trace.go
+++ b/bench/replay/workload/trace.go
@@ -9,7 +9,7 @@
 	"peardrift/internal/status"
 )
 
-// Format names the trace format and its version.
+// Format is the name and version of the trace format.
 const Format = "peardrift-trace/1"
 
 // Header is the first line of a trace.
@@ -18,17 +18,17 @@
 	Deployment string        `json:"deployment"`
 	Scenario   string        `json:"scenario"`
 	Seed       uint64        `json:"seed"`
-	Scale      int           `json:"scale"`           // slots and connections of the deployment are divided by it
-	Hard       float64       `json:"hard"`            // part of the clients that ignore Retry-After
-	Hasty      float64       `json:"hasty,omitempty"` // clients wait 1/Hasty of their usual time for a try; 0 counts as 1
-	From       time.Duration `json:"from"`            // the trigger begins
-	To         time.Duration `json:"to"`              // and ends
+	Scale      int           `json:"scale"`           // divisor of the deployment's slots and connections
+	Hard       float64       `json:"hard"`            // fraction of clients that ignore Retry-After
+	Hasty      float64       `json:"hasty,omitempty"` // divisor of the clients' timeout per attempt; 0 counts as 1
+	From       time.Duration `json:"from"`            // start of the trigger phase
+	To         time.Duration `json:"to"`              // end of the trigger phase
 	Lasts      time.Duration `json:"lasts"`
 }
 
 // Event is one line of a trace: a client's request, or a fault.
 type Event struct {
-	T       time.Duration `json:"t"` // since the start
+	T       time.Duration `json:"t"` // since the start of the trace
 	Tenant  string        `json:"tenant,omitempty"`
 	Class   string        `json:"class,omitempty"`
 	Client  int           `json:"client,omitempty"`
@@ -39,13 +39,13 @@
 	Factor  float64       `json:"factor,omitempty"`
 }
 
-// Trace is a header and its events in order of time.
+// Trace is a header with events in order of time.
 type Trace struct {
 	Header Header
 	Events []Event
 }
 
-// Write stores a trace as JSON lines, times in nanoseconds.
+// Write writes the trace as JSON lines, with times in nanoseconds.
 func (t *Trace) Write(w io.Writer) error {
 	buf := bufio.NewWriter(w)
 	enc := json.NewEncoder(buf)
@@ -63,26 +63,27 @@
 	return nil
 }
 
-// Read loads a trace and checks it against the deployment that it names:
-// unknown classes, services or keys and times that go back are refused.
+// Read reads a trace and validates it against the deployment that its header names.
+// It fails with status.CodeMalformed for a syntax error, an unknown deployment, class,
+// service or key, and for times out of order.
 func Read(r io.Reader) (*Trace, error) {
 	dec := json.NewDecoder(bufio.NewReader(r))
 	dec.DisallowUnknownFields()
 	t := &Trace{}
 	if err := dec.Decode(&t.Header); err != nil {
-		return nil, status.Wrap(status.CodeMalformed, err, "no trace header")
+		return nil, status.Wrap(status.CodeMalformed, err, "cannot read the trace header")
 	}
 	if t.Header.Format != Format {
 		return nil, status.New(status.CodeMalformed, "trace format %q, want %q", t.Header.Format, Format)
 	}
 	d := Deployments()[t.Header.Deployment]
 	if d == nil {
-		return nil, status.New(status.CodeMalformed, "trace of unknown deployment %q", t.Header.Deployment)
+		return nil, status.New(status.CodeMalformed, "unknown deployment %q in trace header", t.Header.Deployment)
 	}
 	if !t.Header.valid() {
-		return nil, status.New(status.CodeMalformed, "the trigger doesn't lie within a trace of at most %v", longest)
+		return nil, status.New(status.CodeMalformed, "trigger phase is outside the trace, or the trace is longer than %v", maxTraceDuration)
 	}
-	targets := d.targets()
+	targets := d.targetCounts()
 	for last := time.Duration(0); ; {
 		var e Event
 		err := dec.Decode(&e)
@@ -90,25 +91,25 @@
 			return t, nil
 		}
 		if err != nil {
-			return nil, status.Wrap(status.CodeMalformed, err, "trace event %d", len(t.Events))
+			return nil, status.Wrap(status.CodeMalformed, err, "cannot read trace event %d", len(t.Events))
 		}
-		if e.T < last || e.T > t.Header.Lasts || !d.knows(&e, targets) {
-			return nil, status.New(status.CodeMalformed, "trace event %d at %v is out of order or names what %s doesn't have", len(t.Events), e.T, d.Name)
+		if e.T < last || e.T > t.Header.Lasts || !d.validEvent(&e, targets) {
+			return nil, status.New(status.CodeMalformed, "trace event %d at %v is out of order or refers to something that deployment %s doesn't have", len(t.Events), e.T, d.Name)
 		}
 		last = e.T
 		t.Events = append(t.Events, e)
 	}
 }
 
-// longest bounds a trace, so that a wrong time can't ask for endless memory.
-const longest = time.Hour
+// maxTraceDuration limits the memory that a trace with a wrong time can take.
+const maxTraceDuration = time.Hour
 
 func (h *Header) valid() bool {
-	return 0 < h.From && h.From < h.To && h.To <= h.Lasts && h.Lasts <= longest
+	return 0 < h.From && h.From < h.To && h.To <= h.Lasts && h.Lasts <= maxTraceDuration
 }
 
-// targets returns the number of targets by service.
-func (d *Deployment) targets() map[string]int {
+// targetCounts returns the number of targets by service.
+func (d *Deployment) targetCounts() map[string]int {
 	out := map[string]int{}
 	for _, s := range d.Services {
 		out[s.Name] = s.Targets
@@ -116,9 +117,9 @@
 	return out
 }
 
-// knows reports whether an event fits the deployment; targets counts those that
-// a service has had so far.
-func (d *Deployment) knows(e *Event, targets map[string]int) bool {
+// validEvent reports whether an event refers to known items of the deployment. targets
+// holds the number of targets started so far, by service; a Start event increments it.
+func (d *Deployment) validEvent(e *Event, targets map[string]int) bool {
 	if e.Fault == "" {
 		return d.Class(e.Class) != nil && e.Client >= 0 && e.Zone >= 0 && e.Zone < d.Zones
 	}
--- a/bench/replay/workload/workload_test.go
+++ b/bench/replay/workload/workload_test.go
@@ -12,21 +12,21 @@
 	"peardrift/internal/status"
 )
 
-var short = Lengths{time.Second, time.Second, time.Second}
+var shortLengths = Lengths{time.Second, time.Second, time.Second}
 
-func TestTraceIsReadAsWritten(t *testing.T) {
+func TestTraceRoundTrip(t *testing.T) {
 	is := is.New(t)
 	d := Kalahari().Scaled(10)
-	tr := Generate(d, ScenarioFor("replace", d, short), 7)
+	tr := Generate(d, ScenarioFor("replace", d, shortLengths), 7)
 	var b bytes.Buffer
 	is.NoErr(tr.Write(&b))
 	got, err := Read(&b)
 	is.NoErr(err)
 	is.Equal(got, tr)
-	is.Equal(Generate(d, ScenarioFor("replace", d, short), 7), tr) // the seed decides
+	is.Equal(Generate(d, ScenarioFor("replace", d, shortLengths), 7), tr) // deterministic by seed
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejectsInvalidTraces(t *testing.T) {
 	head := `{"format":"peardrift-trace/1","deployment":"khaosan","from":1,"to":2,"lasts":3}` + "\n"
 	for name, text := range map[string]string{
 		"empty":              "",
@@ -65,31 +65,32 @@
 	}
 	best := d.Best(map[string]float64{"low": 200, "high": 40, "other": 20}, Condition{})
 	near(best["high"], 40)  // first
-	near(best["other"], 20) // under its half of the other 60
+	near(best["other"], 20) // less than its half of the remaining 60
 	near(best["low"], 40)   // the rest
 	best = d.Best(map[string]float64{"high": 200}, Condition{Slow: map[string]float64{"s": 2}, Part: map[string]float64{"s": 0.5}})
 	near(best["high"], 25)
 	best = d.Best(map[string]float64{"high": 10}, Condition{Within: 50 * time.Millisecond})
-	is.True(best["high"] < 2) // few end that soon
+	is.True(best["high"] < 2) // few complete within the timeout
 
-	// Half of the time is waited for; what is given up then has held a slot so long.
+	// The timeout equals the mean service time. Without foresight, requests that time out
+	// hold a slot until then.
 	late := Condition{Within: 100 * time.Millisecond}
 	best = d.Best(map[string]float64{"high": 1000}, late)
 	late.Blind = true
 	blind := d.Best(map[string]float64{"high": 1000}, late)
 	hold, inTime := d.HoldOf(&d.Classes[1], late)
 	near(blind["high"], 10/hold["s"])
-	near(hold["s"]*inTime, 0.0805) // the mean of a time cut off at its own mean
+	near(hold["s"]*inTime, 0.0805) // the mean of a service time truncated at its own mean
 	is.True(blind["high"] < best["high"])
 }
 
-func TestScenariosOfAllDeployments(t *testing.T) {
+func TestScenarioForCoversAllDeployments(t *testing.T) {
 	is := is.New(t)
 	for _, d := range Deployments() {
 		for _, name := range ScenarioNames {
-			s := ScenarioFor(name, d, short)
+			s := ScenarioFor(name, d, shortLengths)
 			is.True(s != nil && s.About != "")
 		}
-		is.True(ScenarioFor("nothing", d, short) == nil)
+		is.True(ScenarioFor("nothing", d, shortLengths) == nil)
 	}
 }
