--- a/bench/scale/baseline.go
+++ b/bench/scale/baseline.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Heartbeats is the plain way to find deaths, for comparison: each member sends
-// a heartbeat to its observers, and one that got none for Timeout declares the
-// member dead on its own.
+// Heartbeats is a simple failure detector, for comparison: each member sends heartbeats to
+// its observers, and an observer without a heartbeat for Timeout declares the member dead
+// on its own.
 type Heartbeats struct {
 	Members   int
 	Observers int
@@ -16,13 +16,13 @@
 	Loss      float64
 }
 
-// FalseDeaths runs the baseline for d, with a share of the members frozen for
-// freeze at a time, and returns how often a live member was declared dead. An
-// observer that wakes first reads what arrived meanwhile.
+// FalseDeaths runs the baseline for d with the given share of its members frozen at any
+// time, for freeze each, and returns how often a live member was declared dead. An
+// observer that resumes first reads the heartbeats that have arrived.
 func (h Heartbeats) FalseDeaths(d time.Duration, share float64, freeze time.Duration, seed uint64) int {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	const tick = 200 * time.Millisecond
-	heard := make([][]time.Duration, h.Members) // by member and observer
+	heard := make([][]time.Duration, h.Members) // time of the last heartbeat by member and observer
 	dead := make([]bool, h.Members)
 	frozen := make([]time.Duration, h.Members)
 	next := make([]time.Duration, h.Members)
@@ -32,10 +32,10 @@
 	}
 	deaths := 0
 	for now := tick; now < d; now += tick {
-		freezeSome(rng, frozen, now, tick, share, freeze)
+		freezeRandom(rng, frozen, now, tick, share, freeze)
 		for i := range heard {
-			h.beat(rng, heard[i], frozen, next, i, now)
-			if h.condemned(heard[i], frozen, i, now) {
+			h.sendHeartbeats(rng, heard[i], frozen, next, i, now)
+			if h.declaredDead(heard[i], frozen, i, now) {
 				if !dead[i] {
 					deaths++
 				}
@@ -48,8 +48,8 @@
 	return deaths
 }
 
-// beat sends a member's heartbeats if they are due.
-func (h Heartbeats) beat(rng *rand.Rand, heard, frozen, next []time.Duration, i int, now time.Duration) {
+// sendHeartbeats sends a member's heartbeats if they are due.
+func (h Heartbeats) sendHeartbeats(rng *rand.Rand, heard, frozen, next []time.Duration, i int, now time.Duration) {
 	if frozen[i] > now || next[i] > now {
 		return
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// condemned reports whether some observer that runs holds the member to be dead.
-func (h Heartbeats) condemned(heard, frozen []time.Duration, i int, now time.Duration) bool {
+// declaredDead reports whether a running observer considers the member dead.
+func (h Heartbeats) declaredDead(heard, frozen []time.Duration, i int, now time.Duration) bool {
 	for k, at := range heard {
 		observer := (i + (k+1)*(k+1)) % h.Members
 		if frozen[observer] <= now && now-at > h.Timeout {
@@ -72,8 +72,8 @@
 	return false
 }
 
-// freezeSome freezes members so that a share of them is frozen at any time.
-func freezeSome(rng *rand.Rand, frozen []time.Duration, now, tick time.Duration, share float64, freeze time.Duration) {
+// freezeRandom freezes random members so that a share of them is frozen at any time.
+func freezeRandom(rng *rand.Rand, frozen []time.Duration, now, tick time.Duration, share float64, freeze time.Duration) {
 	want := share * float64(len(frozen)) * tick.Seconds() / freeze.Seconds()
 	n := int(want)
 	if rng.Float64() < want-float64(n) {
--- a/bench/scale/conf_test.go
+++ b/bench/scale/config_test.go
@@ -9,8 +9,8 @@
 	"peardrift/internal/core/member"
 )
 
-// TestBusyRunsRepeat: the same as TestRunsRepeat, with the configuration.
-func TestBusyRunsRepeat(t *testing.T) {
+// Like TestRunIsDeterministic, with configuration.
+func TestConfigRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	run := func() Busy {
 		f := New(member.DefaultConfig(), 40, 7)
--- a/bench/scale/fleet.go
+++ b/bench/scale/fleet.go
@@ -13,20 +13,20 @@
 	"peardrift/internal/core/request"
 )
 
-// Step is the quantum of the virtual clock and the one-way delay of a message.
+// Step is the time increment of the virtual clock and the one-way delay of a message.
 const Step = 20 * time.Millisecond
 
-// shards is fixed, so that results don't depend on the number of processors.
+// shards is fixed, so that results don't depend on the number of CPUs.
 const shards = 8
 
-// Costs on the wire in bytes; they match the adapter's meter: a packet's headers,
-// the opening and closing of a connection, and net/rpc's own fields.
+// Message overhead in bytes, equal to that of the rpc adapter's meter: headers of a
+// packet, opening and closing of a connection, and net/rpc's own fields.
 const (
-	packetHeader = 52
-	packetData   = 1448
-	connCost     = 7*packetHeader + 16
-	requestText  = 20
-	replyText    = 4
+	packetHeader       = 52
+	maxSegmentSize     = 1448
+	connectionCost     = 7*packetHeader + 16
+	rpcRequestOverhead = 20
+	rpcReplyOverhead   = 4
 )
 
 // Fleet is a set of members and the network between them.
@@ -34,69 +34,70 @@
 	Cfg   member.Config
 	Nodes []*Node
 	Now   time.Duration
-	Loss  float64 // chance that a request or a reply is lost
-	// Cut, if set, tells which pairs of nodes can't reach each other.
+	Loss  float64 // probability that a request or a reply is lost
+	// Cut, if set, reports whether two nodes can't reach each other.
 	Cut func(from, to *Node) bool
 
-	byAddr  map[string]*Node
-	out     [shards][shards][]envelope
-	regions []string
-	zones   []string
-	service int
-	rng     *rand.Rand
+	byAddr       map[string]*Node
+	outbox       [shards][shards][]envelope
+	regions      []string
+	zones        []string
+	serviceCount int
+	rng          *rand.Rand
 
 	platform *platform // nil unless the nodes have a configuration
 	shared   sharedPeers
 }
 
-// Node is one member with its connections.
+// Node is a member with its connections.
 type Node struct {
 	State  *member.State
 	Rec    member.Record
 	Down   bool
-	Frozen time.Duration // does nothing until then
-	Bytes  int64         // sent and received, with headers
+	Frozen time.Duration // the node does nothing until then
+	Bytes  int64         // sent and received, including headers
 
-	index   int
-	rng     *rand.Rand
-	next    time.Duration
-	inbox   []envelope
-	pending []pending
-	calls   uint32
-	conns   map[string]bool
-	conf    *conf // nil unless the fleet was configured
+	index        int
+	rng          *rand.Rand
+	nextTick     time.Duration
+	inbox        []envelope
+	pendingCalls []pendingCall
+	lastCallID   uint32
+	conns        map[string]bool
+	config       *nodeConfig // nil unless the fleet was configured
 }
 
 type envelope struct {
 	from, to *Node
-	call     uint32
-	peer     member.Peer // as the caller named it
+	callID   uint32
+	peer     member.Peer // as the caller addressed it
 	msg      *member.Message
 	reply    bool
-	opened   bool // a new connection was set up for it
+	newConn  bool // the message opened a new connection
 
-	// Of questions about the configuration and their answers, see conf.go.
+	// Configuration asks and their answers, see config.go.
 	ask    *inforce.Ask
 	answer *inforce.Reply
 	askID  uint64
 	size   int
 }
 
-type pending struct {
-	call     uint32
+type pendingCall struct {
+	callID   uint32
 	peer     member.Peer
 	deadline time.Duration
 }
 
-// Layout says how a fleet is spread.
+// Layout is the size of a fleet and its distribution.
 type Layout struct {
 	Members  int
 	Regions  int
-	Zones    int // in all
+	Zones    int // total over all regions
 	Services int
 }
 
-// TargetLayout is the target's layout at a given number of members.
+// TargetLayout returns the layout of the capacity goal, which is 760 services on 14000
+// members, scaled to a number of members.
 func TargetLayout(members int) Layout {
 	return Layout{Members: members, Regions: 3, Zones: 9, Services: max(members*760/14000, 3)}
 }
@@ -110,7 +111,7 @@
 	for i := range l.Zones {
 		f.zones = append(f.zones, fmt.Sprintf("zone-%d", i))
 	}
-	f.service = l.Services
+	f.serviceCount = l.Services
 	records := make([]*member.Record, l.Members)
 	for i := range records {
 		r := f.Record(i)
@@ -120,7 +121,7 @@
 	for _, r := range records {
 		f.Add(*r)
 	}
-	f.each(func(n *Node) { n.State.Load(sorted) })
+	f.forEachNode(func(n *Node) { n.State.Load(sorted) })
 	return f
 }
 
@@ -128,7 +129,7 @@
 func (f *Fleet) Record(i int) member.Record {
 	zone := i % len(f.zones)
 	name := fmt.Sprintf("instance-%05d", i)
-	service := i / len(f.zones) % f.service
+	service := i / len(f.zones) % f.serviceCount
 	return member.Record{
 		ID: request.TargetIDOf(name), Name: name,
 		Service: request.Service(fmt.Sprintf("service-%03d.tenant-%d", service, service%5)),
@@ -140,29 +141,29 @@
 	}
 }
 
-// Add starts a node that knows nobody.
+// Add starts a node that knows no other members.
 func (f *Fleet) Add(r member.Record) *Node {
 	n := &Node{
 		Rec: r, index: len(f.Nodes), conns: make(map[string]bool),
 		rng: rand.New(rand.NewPCG(uint64(r.ID), uint64(r.Incarnation))),
 	}
 	n.State = member.New(f.Cfg, r, n.rng)
-	n.next = f.Now + time.Duration(n.rng.Int64N(int64(f.Cfg.TickEvery)))
+	n.nextTick = f.Now + time.Duration(n.rng.Int64N(int64(f.Cfg.TickEvery)))
 	f.Nodes = append(f.Nodes, n)
 	f.byAddr[r.Control] = n
 	return n
 }
 
-// each runs do for every node, in parallel by shards.
-func (f *Fleet) each(do func(*Node)) {
-	f.parallel(func(shard int) {
+// forEachNode runs do for every node, with the shards in parallel.
+func (f *Fleet) forEachNode(do func(*Node)) {
+	f.forEachShard(func(shard int) {
 		for i := shard; i < len(f.Nodes); i += shards {
 			do(f.Nodes[i])
 		}
 	})
 }
 
-func (f *Fleet) parallel(do func(shard int)) {
+func (f *Fleet) forEachShard(do func(shard int)) {
 	var wg sync.WaitGroup
 	for shard := range shards {
 		wg.Go(func() { do(shard) })
@@ -177,7 +178,8 @@
 	}
 }
 
-// RunUntil advances the clock until done, asked every interval, or for at most d.
+// RunUntil advances the clock until done returns true, or by at most d. It calls done
+// after every interval.
 func (f *Fleet) RunUntil(d, interval time.Duration, done func() bool) {
 	for end := f.Now + d; f.Now < end && !done(); {
 		f.Run(interval)
@@ -187,26 +189,26 @@
 func (f *Fleet) step() {
 	f.Now += Step
 	if f.platform != nil {
-		f.sharePeers()
+		f.updateSharedPeers()
 	}
-	f.parallel(func(shard int) {
+	f.forEachShard(func(shard int) {
 		for i := shard; i < len(f.Nodes); i += shards {
 			f.runNode(f.Nodes[i])
 		}
 	})
-	f.parallel(f.deliver)
-	for i := range f.out {
-		for j := range f.out[i] {
-			clear(f.out[i][j])
-			f.out[i][j] = f.out[i][j][:0]
+	f.forEachShard(f.deliver)
+	for i := range f.outbox {
+		for j := range f.outbox[i] {
+			clear(f.outbox[i][j])
+			f.outbox[i][j] = f.outbox[i][j][:0]
 		}
 	}
 }
 
-// deliver moves what was sent to the nodes of one shard into their inboxes.
+// deliver moves the messages for the nodes of one shard into their inboxes.
 func (f *Fleet) deliver(shard int) {
-	for from := range f.out {
-		for _, e := range f.out[from][shard] {
+	for from := range f.outbox {
+		for _, e := range f.outbox[from][shard] {
 			e.to.inbox = append(e.to.inbox, e)
 		}
 	}
@@ -219,54 +221,54 @@
 		}
 		return
 	}
-	if len(n.pending) > 0 {
-		f.expire(n)
+	if len(n.pendingCalls) > 0 {
+		f.expireCalls(n)
 	}
 	for _, e := range n.inbox {
 		f.receive(n, e)
 	}
 	clear(n.inbox)
 	n.inbox = n.inbox[:0]
-	if n.next <= f.Now {
-		n.next = f.Now + f.Cfg.TickEvery
+	if n.nextTick <= f.Now {
+		n.nextTick = f.Now + f.Cfg.TickEvery
 		for _, a := range n.State.Tick(f.Now) {
-			f.do(n, a)
+			f.applyAction(n, a)
 		}
-		if n.conf != nil {
-			f.tickConf(n)
+		if n.config != nil {
+			f.tickConfig(n)
 		}
 	}
 }
 
-func (f *Fleet) do(n *Node, a member.Action) {
+func (f *Fleet) applyAction(n *Node, a member.Action) {
 	switch a := a.(type) {
 	case member.Exchange:
-		n.calls++
-		n.pending = append(n.pending, pending{n.calls, a.To, f.Now + a.Timeout})
+		n.lastCallID++
+		n.pendingCalls = append(n.pendingCalls, pendingCall{n.lastCallID, a.To, f.Now + a.Timeout})
 		to := f.byAddr[a.To.Control]
-		cost := a.Msg.Size() + requestText
+		cost := a.Msg.Size() + rpcRequestOverhead
 		if to == nil || to.Down && !n.conns[a.To.Control] {
-			f.spend(n, 2*packetHeader, 0) // an attempt to connect, perhaps refused
+			f.charge(n, 2*packetHeader, 0) // a connection attempt without success
 			return
 		}
 		opened := !n.conns[a.To.Control]
 		if opened {
-			f.spend(n, connCost, 0)
+			f.charge(n, connectionCost, 0)
 		}
 		if opened && !a.Once {
 			n.conns[a.To.Control] = true
 		}
-		f.spend(n, cost, 1)
-		f.send(n, envelope{from: n, to: to, call: n.calls, peer: a.To, msg: a.Msg, opened: opened})
+		f.charge(n, cost, 1)
+		f.send(n, envelope{from: n, to: to, callID: n.lastCallID, peer: a.To, msg: a.Msg, newConn: opened})
 	case member.Disconnect:
 		delete(n.conns, a.Peer.Control)
 	}
 }
 
-// spend charges a message to a node.
-func (f *Fleet) spend(n *Node, size, packets int) {
+// charge counts a message's bytes for a node, with packet headers if it has packets.
+func (f *Fleet) charge(n *Node, size, packets int) {
 	if packets > 0 {
-		size += (size + packetData - 1) / packetData * packetHeader
+		size += (size + maxSegmentSize - 1) / maxSegmentSize * packetHeader
 	}
 	n.Bytes += int64(size)
 	n.State.Spend(size)
@@ -277,52 +279,52 @@
 		return
 	}
 	shard := n.index % shards
-	f.out[shard][e.to.index%shards] = append(f.out[shard][e.to.index%shards], e)
+	f.outbox[shard][e.to.index%shards] = append(f.outbox[shard][e.to.index%shards], e)
 }
 
-// receive handles a message. Each end is charged one acknowledgement for what it
-// reads, as the adapter's meter does.
+// receive handles a message. Each side is charged one TCP acknowledgement for what it
+// reads, as in the rpc adapter's meter.
 func (f *Fleet) receive(n *Node, e envelope) {
-	if f.receiveConf(n, e) {
+	if f.receiveConfig(n, e) {
 		return
 	}
 	if e.reply {
-		if !n.take(e.call) {
-			return // too late
+		if !n.removePending(e.callID) {
+			return // already timed out
 		}
-		f.spend(n, e.msg.Size()+replyText+packetHeader, 1)
+		f.charge(n, e.msg.Size()+rpcReplyOverhead+packetHeader, 1)
 		n.State.HandleReply(f.Now, e.peer, e.msg)
 		return
 	}
-	cost := e.msg.Size() + requestText + packetHeader
-	if e.opened {
-		cost += connCost
+	cost := e.msg.Size() + rpcRequestOverhead + packetHeader
+	if e.newConn {
+		cost += connectionCost
 	}
-	f.spend(n, cost, 1)
+	f.charge(n, cost, 1)
 	r := n.State.HandleRequest(f.Now, e.msg)
 	if r == nil {
 		return
 	}
-	f.spend(n, r.Size()+replyText, 1)
-	f.send(n, envelope{from: n, to: e.from, call: e.call, peer: e.peer, msg: r, reply: true})
+	f.charge(n, r.Size()+rpcReplyOverhead, 1)
+	f.send(n, envelope{from: n, to: e.from, callID: e.callID, peer: e.peer, msg: r, reply: true})
 }
 
-// take removes a call that is under way.
-func (n *Node) take(call uint32) bool {
-	i := slices.IndexFunc(n.pending, func(p pending) bool { return p.call == call })
+// removePending removes a pending call. It reports false if there is none with this ID.
+func (n *Node) removePending(call uint32) bool {
+	i := slices.IndexFunc(n.pendingCalls, func(p pendingCall) bool { return p.callID == call })
 	if i < 0 {
 		return false
 	}
-	n.pending = slices.Delete(n.pending, i, i+1)
+	n.pendingCalls = slices.Delete(n.pendingCalls, i, i+1)
 	return true
 }
 
-// expire fails the calls that ran out of time. Their connections are given up,
-// as the adapter does.
-func (f *Fleet) expire(n *Node) {
-	for len(n.pending) > 0 && n.pending[0].deadline <= f.Now {
-		p := n.pending[0]
-		n.pending = slices.Delete(n.pending, 0, 1)
+// expireCalls fails the calls that timed out and drops their connections, as the rpc
+// adapter does.
+func (f *Fleet) expireCalls(n *Node) {
+	for len(n.pendingCalls) > 0 && n.pendingCalls[0].deadline <= f.Now {
+		p := n.pendingCalls[0]
+		n.pendingCalls = slices.Delete(n.pendingCalls, 0, 1)
 		delete(n.conns, p.peer.Control)
 		n.State.HandleFailure(f.Now, p.peer)
 	}
--- a/bench/scale/fleet_test.go
+++ b/bench/scale/fleet_test.go
@@ -10,9 +10,9 @@
 	"peardrift/internal/core/member"
 )
 
-// TestRunsRepeat: the same seed gives the same messages, whatever the scheduler
-// does; otherwise a slope couldn't be compared with an earlier one.
-func TestRunsRepeat(t *testing.T) {
+// The same seed must give the same messages regardless of scheduling; otherwise results
+// couldn't be compared with earlier ones.
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	run := func() (Cost, Spread) {
 		f := New(member.DefaultConfig(), 60, 7)
@@ -31,11 +31,11 @@
 	is.Equal(spread, spreadAgain)
 }
 
-// TestRegionApart: symptom: after regions were apart, one side has dropped the
-// other, and everything is announced anew on healing. Events: no message passes
-// between two regions for minutes. Cause: silence across a cut is taken for
-// deaths. Nobody may be declared dead, and only what changed may travel after.
-func TestRegionApart(t *testing.T) {
+// Guards against treating silence across a partition as deaths: after minutes without
+// messages between two regions, each side would have dropped the other and announce
+// everything again on healing. No member may be declared dead, and only changes may be
+// sent after healing.
+func TestRegionPartitionCausesNoDeaths(t *testing.T) {
 	is := is.New(t)
 	f := New(member.DefaultConfig(), 90, 3)
 	rest := f.Costs(10 * time.Second)
@@ -45,9 +45,9 @@
 	is.True(h.Minute.BytesMean < 1.5*rest.BytesMean)
 }
 
-// TestFrozenMembersLive: see member.TestNoFalseDeaths; here beside the plain
-// heartbeat, which declares live members dead under the same freezes.
-func TestFrozenMembersLive(t *testing.T) {
+// Like the test for false deaths in package member, compared with the heartbeat baseline, which declares live
+// members dead under the same freezes.
+func TestFrozenMembersAreNotDeclaredDead(t *testing.T) {
 	is := is.New(t)
 	const d, share, each = time.Minute, 0.02, 5 * time.Second
 	f := New(member.DefaultConfig(), 90, 3)
@@ -56,11 +56,10 @@
 	is.True(plain.FalseDeaths(d, share, each, 3) > 0)
 }
 
-// TestBusyMinuteKeepsBudgetAndTime: symptom: in a busy minute of configuration
-// nodes spend twice their budget, and changes are in force after a minute. Events:
-// ten times the mean rate of changes, of several tenants; then a zone is lost as
-// well. Cause: membership and configuration each keep to a budget of their own.
-func TestBusyMinuteKeepsBudgetAndTime(t *testing.T) {
+// Guards against separate budgets for membership and configuration: at ten times the mean
+// rate of changes, of several tenants and also with a zone lost, nodes spent twice their
+// budget and changes took a minute to be in force.
+func TestFrequentChangesStayWithinBudgetAndDelay(t *testing.T) {
 	is := is.New(t)
 	const every, tenants, limit, inForce = 432 * time.Millisecond, 5, 3072, 16 * time.Second
 	for _, lost := range []string{"", "zone-4"} {
@@ -75,11 +74,10 @@
 	}
 }
 
-// TestPlatformIsSpared: symptom: the platform, back after an outage or beside a
-// zone that starts, is asked more than it serves, and fails again. Events: it is
-// away for two minutes; a zone's nodes start at once; all nodes do. Cause: each
-// node reads for itself. The last case is bounded by inforce.Config.ColdReads.
-func TestPlatformIsSpared(t *testing.T) {
+// Guards against overloading the platform when each node reads for itself: after an outage
+// of two minutes, and when all nodes of a zone or of the fleet start at once. The last
+// case is bounded by inforce.Config.ColdReads.
+func TestPlatformReadsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const tenants, limit = 5, time.Minute
 	cfg := inforce.DefaultConfig()
--- a/bench/scale/measure.go
+++ b/bench/scale/measure.go
@@ -9,22 +9,22 @@
 	"peardrift/internal/core/request"
 )
 
-// Cost is what the nodes spent over some time.
+// Cost is the mean cost of the nodes over some time.
 type Cost struct {
-	BytesMean float64 // a node and second
-	BytesP99  float64 // over nodes
-	BytesMax  float64 // of the node that spent most
-	CPU       float64 // processor seconds a node and second, the delivery included
+	BytesMean float64 // per node and second
+	BytesP99  float64 // 99th percentile over nodes
+	BytesMax  float64 // of the node with the most bytes
+	CPU       float64 // CPU seconds per node and second, including message delivery
 }
 
-// Costs runs the fleet for d and returns what its nodes spent.
-func (f *Fleet) Costs(d time.Duration) Cost { return f.costsWhile(d, func() {}) }
+// Costs runs the fleet for d and returns the cost of its nodes.
+func (f *Fleet) Costs(d time.Duration) Cost { return f.measureCosts(d, func() {}) }
 
-// costsWhile runs the fleet for d, calling do between short runs, and returns
-// what its nodes spent; in worst, if given, that of the dearest ten seconds.
-func (f *Fleet) costsWhile(d time.Duration, do func(), worst ...*Cost) Cost {
+// measureCosts runs the fleet for d, calling do every five steps, and returns the cost of
+// its nodes. If worst is given, it is set to the cost of the most expensive ten seconds.
+func (f *Fleet) measureCosts(d time.Duration, do func(), worst ...*Cost) Cost {
 	const window = 10 * time.Second
-	whole, part := f.meter(), f.meter()
+	total, part := f.currentUsage(), f.currentUsage()
 	for end := f.Now + d; f.Now < end; {
 		f.Run(min(5*Step, end-f.Now))
 		do()
@@ -34,38 +34,38 @@
 		if c := part.cost(f); len(worst) > 0 && c.BytesMean > worst[0].BytesMean {
 			*worst[0] = c
 		}
-		part = f.meter()
+		part = f.currentUsage()
 	}
-	return whole.cost(f)
+	return total.cost(f)
 }
 
-// meter holds what the nodes had spent at some time.
-type meter struct {
+// usage is the total usage of the nodes at some time.
+type usage struct {
 	start time.Duration
 	cpu   time.Duration
 	bytes []int64
 }
 
-func (f *Fleet) meter() meter {
-	m := meter{start: f.Now, cpu: cpuTime(), bytes: make([]int64, len(f.Nodes))}
+func (f *Fleet) currentUsage() usage {
+	m := usage{start: f.Now, cpu: cpuTime(), bytes: make([]int64, len(f.Nodes))}
 	for i, n := range f.Nodes {
 		if m.bytes[i] = n.Bytes; !n.State.Joined() {
-			m.bytes[i] = starting
+			m.bytes[i] = notJoined
 		}
 	}
 	return m
 }
 
-// starting marks a node that had not joined, and isn't counted.
-const starting = -1
+// notJoined marks a node that had not joined and isn't counted.
+const notJoined = -1
 
-// cost returns what the nodes that were there all the time spent since.
-func (m meter) cost(f *Fleet) Cost {
+// cost returns the cost since m of the nodes that were members all the time.
+func (m usage) cost(f *Fleet) Cost {
 	took := (f.Now - m.start).Seconds()
 	c := Cost{CPU: (cpuTime() - m.cpu).Seconds() / took / float64(len(f.Nodes))}
 	var rates []float64
 	for i, before := range m.bytes {
-		if n := f.Nodes[i]; !n.Down && before != starting {
+		if n := f.Nodes[i]; !n.Down && before != notJoined {
 			rates = append(rates, float64(n.Bytes-before)/took)
 		}
 	}
@@ -86,24 +86,24 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Spread is how long news took to reach parts of the live nodes; negative if it
-// didn't in the time given.
+// Spread is the time that an update took to reach 50%, 99% and 100% of the live nodes;
+// negative if it took longer than the limit.
 type Spread struct{ Half, P99, All time.Duration }
 
-// Until runs the fleet until every live node knows, at most for limit.
+// Until runs the fleet until every live node knows, for at most limit.
 func (f *Fleet) Until(limit time.Duration, knows func(*Node) bool) Spread {
 	s := Spread{-1, -1, -1}
 	start := f.Now
 	f.RunUntil(limit, 5*Step, func() bool {
-		f.note(&s, start, knows)
+		f.recordSpread(&s, start, knows)
 		return s.All >= 0
 	})
 	return s
 }
 
-func (f *Fleet) count(knows func(*Node) bool) (live, known int) {
+func (f *Fleet) countKnowing(knows func(*Node) bool) (live, known int) {
 	var lives, knowns [shards]int
-	f.parallel(func(shard int) {
+	f.forEachShard(func(shard int) {
 		for i := shard; i < len(f.Nodes); i += shards {
 			if n := f.Nodes[i]; !n.Down {
 				lives[shard]++
@@ -120,7 +120,7 @@
 	return live, known
 }
 
-// Knows tells whether a node holds a member to have a status.
+// Knows returns a predicate that reports whether a node has a member in a status.
 func Knows(id request.TargetID, want member.Status) func(*Node) bool {
 	return func(n *Node) bool {
 		m, ok := n.State.Lookup(id)
@@ -128,7 +128,8 @@
 	}
 }
 
-// KnowsFact tells whether a node has a version of a fact.
+// KnowsFact returns a predicate that reports whether a node has a fact in this version or
+// a newer one.
 func KnowsFact(kind member.FactKind, key, version uint64) func(*Node) bool {
 	return func(n *Node) bool {
 		f, ok := n.State.Fact(kind, key)
@@ -138,7 +139,7 @@
 
 func idOf(name string) request.TargetID { return request.TargetIDOf(name) }
 
-// Live returns a live node drawn at random.
+// Live returns a random live node.
 func (f *Fleet) Live() *Node {
 	for {
 		if n := f.Nodes[f.rng.IntN(len(f.Nodes))]; !n.Down {
@@ -147,7 +148,7 @@
 	}
 }
 
-// KillZone ends all nodes of a zone and returns them.
+// KillZone kills the live nodes of a zone and returns them.
 func (f *Fleet) KillZone(zone string) []*Node {
 	var out []*Node
 	for _, n := range f.Nodes {
@@ -159,7 +160,7 @@
 	return out
 }
 
-// Deaths returns how often a node declared another unreachable or gone.
+// Deaths returns how often a node declared another one unreachable or dead.
 func (f *Fleet) Deaths() uint64 {
 	var d uint64
 	for _, n := range f.Nodes {
--- a/bench/scale/memory.go
+++ b/bench/scale/memory.go
@@ -11,29 +11,29 @@
 	"peardrift/internal/core/request"
 )
 
-// StateMemory builds one state that shares nothing with others, as in a node of
-// its own, and returns the heap that it takes with its published view, in bytes.
+// StateMemory builds one member.State that shares no memory with others, as in a real
+// node, and returns the heap size of the state and its published view in bytes.
 func StateMemory(cfg member.Config, l Layout) int64 {
 	f := NewFleet(cfg, Layout{Members: 1, Regions: l.Regions, Zones: l.Zones, Services: l.Services}, 1)
 	records := make([]*member.Record, l.Members)
-	before := heap()
+	before := heapBytes()
 	for i := range records {
-		records[i] = owned(f.Record(i))
+		records[i] = cloneRecord(f.Record(i))
 	}
 	slices.SortFunc(records, func(a, b *member.Record) int { return cmp.Compare(a.ID, b.ID) })
 	s := member.New(cfg, f.Record(0), rand.New(rand.NewPCG(1, 1)))
 	s.Load(records)
 	s.Tick(0)
 	v := s.Snapshot()
-	used := heap() - before
+	used := heapBytes() - before
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(v)
 	runtime.KeepAlive(f)
 	return used
 }
 
-// owned returns a copy that shares no string with others.
-func owned(r member.Record) *member.Record {
+// cloneRecord returns a copy that shares no strings with other records.
+func cloneRecord(r member.Record) *member.Record {
 	r.Name = strings.Clone(r.Name)
 	r.Service = request.Service(strings.Clone(string(r.Service)))
 	r.Tenant = request.Tenant(strings.Clone(string(r.Tenant)))
@@ -42,7 +42,7 @@
 	return &r
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/bench/scale/reads.go
+++ b/bench/scale/reads.go
@@ -2,72 +2,73 @@
 
 import "time"
 
-// Reads is what a fleet's configuration reads of the platform, rows and objects,
-// in one case. Rows that name nodes to join through are not counted: they are read
-// by the node and not by a state machine, see internal/node.
+// Reads counts the reads of platform rows and objects by the configuration of a fleet.
+// Rows with seed nodes for joining are not counted, since internal/node reads them and
+// not a state machine.
 type Reads struct {
-	Rest  float64       // a second, in the minute before
-	Most  int           // in the dearest second
-	Sum   int           // in all, until the limit
-	Ready time.Duration // until all nodes have the configuration in force; negative: not within the limit
+	Rest  float64       // per second, in the minute before
+	Most  int           // in the second with the most reads
+	Sum   int           // total until the limit
+	Ready time.Duration // until all nodes have the configuration in force; negative if over the limit
 }
 
-// readsWhile runs the fleet for d and counts what is read in each second.
-func (f *Fleet) readsWhile(d time.Duration, r *Reads) {
-	start, before := f.Now, f.reads()
+// countReads runs the fleet for d and counts the reads per second.
+func (f *Fleet) countReads(d time.Duration, r *Reads) {
+	start, before := f.Now, f.totalReads()
 	r.Ready = -1
 	for end := f.Now + d; f.Now < end; {
-		last := f.reads()
+		last := f.totalReads()
 		f.Run(time.Second)
-		r.Most = max(r.Most, f.reads()-last)
-		if live, known := f.count(f.inForce); r.Ready < 0 && known == live {
+		r.Most = max(r.Most, f.totalReads()-last)
+		if live, known := f.countKnowing(f.configInForce); r.Ready < 0 && known == live {
 			r.Ready = f.Now - start
 		}
 	}
-	r.Sum = f.reads() - before
+	r.Sum = f.totalReads() - before
 }
 
-// inForce reports whether a node has all that is accepted in force.
-func (f *Fleet) inForce(n *Node) bool {
+// configInForce reports whether a node has all accepted sets in force.
+func (f *Fleet) configInForce(n *Node) bool {
 	for _, s := range f.platform.sets {
-		if n.conf.state.InForce(s.Tenant) < s.Version {
+		if n.config.state.InForce(s.Tenant) < s.Version {
 			return false
 		}
 	}
-	return n.conf.state.Ready()
+	return n.config.state.Ready()
 }
 
-func (f *Fleet) reads() (n int) {
+func (f *Fleet) totalReads() (n int) {
 	for _, node := range f.Nodes {
-		n += node.conf.calls
+		n += node.config.platformCalls
 	}
 	return n
 }
 
-func (f *Fleet) restingReads() float64 {
-	before := f.reads()
+func (f *Fleet) idleReadRate() float64 {
+	before := f.totalReads()
 	f.Run(time.Minute)
-	return float64(f.reads()-before) / time.Minute.Seconds()
+	return float64(f.totalReads()-before) / time.Minute.Seconds()
 }
 
-// ReadsOnReturn loses a zone for a minute and starts its nodes again at once.
+// ReadsOnReturn kills a zone, restarts all its nodes at once after a minute, and counts
+// reads from there on.
 func (f *Fleet) ReadsOnReturn(zone string, limit time.Duration) Reads {
-	r := Reads{Rest: f.restingReads()}
+	r := Reads{Rest: f.idleReadRate()}
 	lost := f.KillZone(zone)
 	f.Run(time.Minute)
 	for _, n := range lost {
 		rec := n.Rec
 		rec.Incarnation += 1000
-		f.addConf(f.start(rec))
+		f.addConfig(f.startMember(rec))
 	}
-	f.readsWhile(limit, &r)
+	f.countReads(limit, &r)
 	return r
 }
 
-// ReadsAfterOutage makes the platform fail for some time, accepts a change of each
-// tenant at its end, and counts from there on.
+// ReadsAfterOutage makes platform reads fail for the given time, then accepts a change of
+// each tenant and counts reads from there on.
 func (f *Fleet) ReadsAfterOutage(outage, limit time.Duration) (Reads, error) {
-	r := Reads{Rest: f.restingReads()}
+	r := Reads{Rest: f.idleReadRate()}
 	f.platform.down = true
 	f.Run(outage)
 	f.platform.down = false
@@ -76,19 +77,19 @@
 			return r, err
 		}
 	}
-	f.readsWhile(limit, &r)
+	f.countReads(limit, &r)
 	return r, nil
 }
 
-// ReadsOnStart starts the configuration anew on all nodes at once, as when the
-// whole fleet begins.
+// ReadsOnStart resets the configuration of all nodes at once, as at a start of the whole
+// fleet, and counts reads from there on.
 func (f *Fleet) ReadsOnStart(limit time.Duration) Reads {
-	r := Reads{Rest: f.restingReads()}
+	r := Reads{Rest: f.idleReadRate()}
 	for _, n := range f.Nodes {
-		calls := n.conf.calls
-		f.addConf(n)
-		n.conf.calls = calls
+		calls := n.config.platformCalls
+		f.addConfig(n)
+		n.config.platformCalls = calls
 	}
-	f.readsWhile(limit, &r)
+	f.countReads(limit, &r)
 	return r
 }
