--- a/bench/replay/outcomes_test.go
+++ b/bench/replay/outcomes_test.go
@@ -122,15 +122,15 @@
 func TestFullPolicyOutperformsBaselines(t *testing.T) {
 	for _, deployment := range []string{"khaosan", "kalahari"} {
 		l := workload.Lengths{Before: 2 * time.Second, During: 9 * time.Second, After: 3 * time.Second}
-		whole := replayWithLengths(t, l, deployment, "worst", "peardrift", 1)
+		full := replayWithLengths(t, l, deployment, "worst", "peardrift", 1)
 		for _, b := range Baselines() {
 			t.Run(deployment+"-"+b.Name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
 				r := replayWithLengths(t, l, deployment, "worst", b.Name, 1)
-				t.Logf("goodput %.0f of %.0f, extra %d", r.Surge, whole.Surge, r.Extra)
-				is.True(r.Surge < 0.95*whole.Surge)
-				is.True(r.Extra > whole.Extra)
+				t.Logf("goodput %.0f of %.0f, extra %d", r.Surge, full.Surge, r.Extra)
+				is.True(r.Surge < 0.95*full.Surge)
+				is.True(r.Extra > full.Extra)
 			})
 		}
 	}
--- a/bench/replay/policy.go
+++ b/bench/replay/policy.go
@@ -51,9 +51,9 @@
 // Baselines are the policies that peardrift is compared with.
 func Baselines() []Policy {
 	return []Policy{
-		{Name: "none", About: "no control, three tries a hop", HopTries: baselineTries},
-		{Name: "static", About: "a fixed limit a hop, three tries a hop", Gate: GateStatic, HopTries: baselineTries},
-		{Name: "adaptive", About: "an adaptive limit a hop, deadlines and cancellation, no order, three tries a hop",
+		{Name: "none", About: "no admission control, three attempts per hop", HopTries: baselineTries},
+		{Name: "static", About: "a fixed limit and three attempts per hop", Gate: GateStatic, HopTries: baselineTries},
+		{Name: "adaptive", About: "an adaptive limit and three attempts per hop, deadlines and cancellation, no priorities",
 			Gate: GateAdaptive, HopTries: baselineTries, Deadlines: true, Cancel: true},
 	}
 }
@@ -90,7 +90,7 @@
 // has already cost work, always go to the callee's gate.
 func earlyAtEntryPolicy() Policy {
 	p := fullPolicy()
-	p.Name, p.About, p.EarlyEntry = "early-at-entry", "peardrift with early refusal at the entry only", true
+	p.Name, p.About, p.EarlyEntry = "early-at-entry", "peardrift with early refusal at the entry node only", true
 	return p
 }
 
--- a/bench/replay/recorder.go
+++ b/bench/replay/recorder.go
@@ -51,7 +51,7 @@
 	completed    []int         // by completion
 	failed       []int         // attempts that had begun to run, by their end
 	firstAttempt []int         // completed at the first attempt, by arrival
-	latencySum   time.Duration // of served users that arrived before the overload phase
+	latencySum   time.Duration // of served users that arrived before the trigger phase
 }
 
 // amplification counts attempts at the deployment's Deep service, and how many of them
@@ -83,15 +83,15 @@
 func (rec *recorder) recordFailure(u *user) { rec.classes[u.class.Name].failed[rec.currentBin()]++ }
 
 func (rec *recorder) recordCompletion(u *user, t *rootRequest, work time.Duration) {
-	s, born := rec.classes[u.class.Name], int(u.arrivedAt/bin)
+	s, arrivalBin := rec.classes[u.class.Name], int(u.arrivedAt/bin)
 	rec.usefulTime += work
-	s.served[born]++
+	s.served[arrivalBin]++
 	s.completed[rec.currentBin()]++
 	if u.arrivedAt < rec.header.From {
 		s.latencySum += rec.sim.now - u.arrivedAt
 	}
 	if u.attempts == 1 {
-		s.firstAttempt[born]++
+		s.firstAttempt[arrivalBin]++
 	}
 	for _, svc := range rec.sim.services {
 		if t.completedServices&svc.bit() == 0 {
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -139,8 +139,8 @@
 	return sum / float64(len(x))
 }
 
-func rateRatio(part, whole []int, from, to int) float64 {
-	if all := meanRate(whole, from, to); all > 0 {
+func rateRatio(part, total []int, from, to int) float64 {
+	if all := meanRate(total, from, to); all > 0 {
 		return meanRate(part, from, to) / all
 	}
 	return 1
--- a/bench/replay/workload/deployment.go
+++ b/bench/replay/workload/deployment.go
@@ -14,9 +14,9 @@
 	ClientDelay time.Duration // one-way delay between a client and its entry node
 	Services    []Service
 	Classes     []Class
-	Deep        string // the downstream service that slows down or fails in the scenarios
-	Patience    time.Duration
-	Timeout     time.Duration // of a client, for one attempt
+	Deep        string        // the downstream service that slows down or fails in the scenarios
+	Patience    time.Duration // a client does not retry later than this after its first attempt
+	Timeout     time.Duration // of a client, per attempt
 }
 
 // Service is a set of targets of the same size, spread evenly over the zones.
--- a/bench/replay/workload/scenario.go
+++ b/bench/replay/workload/scenario.go
@@ -80,27 +80,27 @@
 	slowEnd := Event{T: l.During, Fault: Slow, Service: d.Deep, Factor: 1}
 	switch name {
 	case "normal":
-		return &Scenario{Name: name, About: "normal load, patient clients", Phases: l.phases(Phase{Load: NormalLoad}), Faults: nil, Hard: 0}
+		return &Scenario{Name: name, About: "normal load, clients honor Retry-After", Phases: l.phases(Phase{Load: NormalLoad}), Faults: nil, Hard: 0}
 	case "worst":
-		return &Scenario{Name: name, About: "a deep service slows, demand surges, clients retry hard", Phases: surge, Faults: []Event{slowStart, slowEnd}, Hard: 1}
+		return &Scenario{Name: name, About: "a deep service slows down, demand surges, clients retry aggressively", Phases: surge, Faults: []Event{slowStart, slowEnd}, Hard: 1}
 	case "surge":
-		return &Scenario{Name: name, About: "twice the sustainable demand, clients retry hard", Phases: surge, Faults: nil, Hard: 1}
+		return &Scenario{Name: name, About: "twice the sustainable demand, clients retry aggressively", Phases: surge, Faults: nil, Hard: 1}
 	case "crowd":
-		return &Scenario{Name: name, About: "far more than the sustainable demand, most clients heed the advice", Phases: l.phases(Phase{Load: crowdLoad}), Hard: crowdAggressive}
+		return &Scenario{Name: name, About: "far more than the sustainable demand, most clients honor Retry-After", Phases: l.phases(Phase{Load: crowdLoad}), Hard: crowdAggressive}
 	case "slow":
-		return &Scenario{Name: name, About: "a deep service slows at normal demand", Phases: l.phases(Phase{Load: NormalLoad}), Faults: []Event{slowStart, slowEnd}, Hard: 1}
+		return &Scenario{Name: name, About: "a deep service slows down at normal demand", Phases: l.phases(Phase{Load: NormalLoad}), Faults: []Event{slowStart, slowEnd}, Hard: 1}
 	case "replace":
-		return &Scenario{Name: name, About: "the entry service's targets are replaced in the surge", Phases: surge, Faults: d.replacementFaults(entry, l), Hard: 1}
+		return &Scenario{Name: name, About: "the entry service's targets are replaced during the surge", Phases: surge, Faults: d.replacementFaults(entry, l), Hard: 1}
 	case "restart":
-		return &Scenario{Name: name, About: "a node of the entry service loses its history in the surge", Phases: surge, Hard: 1,
+		return &Scenario{Name: name, About: "a node of the entry service loses its state during the surge", Phases: surge, Hard: 1,
 			Faults: []Event{{T: l.During / 2, Fault: Restart, Service: entry}}}
 	case "lost":
-		return &Scenario{Name: name, About: "most targets of a deep service are lost in the surge", Phases: surge, Faults: d.lossFaults(l), Hard: 1}
+		return &Scenario{Name: name, About: "most targets of a deep service crash during the surge", Phases: surge, Faults: d.lossFaults(l), Hard: 1}
 	case "shrink":
-		return &Scenario{Name: name, About: "a deep service can run few requests at once, and doesn't say so", Phases: surge, Hard: 1,
+		return &Scenario{Name: name, About: "a deep service runs fewer concurrent requests than it declares", Phases: surge, Hard: 1,
 			Faults: []Event{{Fault: Shrink, Service: d.Deep, Factor: shrinkDivisor}, {T: l.During, Fault: Shrink, Service: d.Deep, Factor: 1}}}
 	case "hasty":
-		return &Scenario{Name: name, About: "the worst case, with clients that soon time out", Phases: surge,
+		return &Scenario{Name: name, About: "the worst scenario with short client timeouts", Phases: surge,
 			Faults: []Event{slowStart, slowEnd}, Hard: 1, Hasty: hastyDivisor}
 	case "failfast":
 		return &Scenario{Name: name, About: "one target of the deep service fails fast and reports no load", Phases: l.phases(Phase{Load: NormalLoad}), Hard: 1,
