--- a/bench/harness/apply.go
+++ b/bench/harness/apply.go
@@ -12,29 +12,30 @@
 	"peardrift/internal/status"
 )
 
-// toolCallTime is more than the platform's stand-in takes to answer on a busy
-// machine; the tool's default of 2 s is for a platform with processors of its own.
-const toolCallTime = 10 * time.Second
+// toolCallTimeout exceeds the time that the platform stand-in needs to answer on
+// a busy machine; the tool's default of 2 s assumes a platform on its own CPUs.
+const toolCallTimeout = 10 * time.Second
 
-// Tool runs the operators' tool against the fleet's platform and returns what
-// it printed and its exit code.
+// Tool runs the operators' command-line tool against the fleet's platform and
+// returns its standard output and exit code. A non-zero exit code is an error too.
 func (f *Fleet) Tool(ctx context.Context, command string, args ...string) (stdout string, code int, err error) {
-	all := append([]string{command, "--platform", f.Hosts[0].nodeFile, "--call-timeout", toolCallTime.String()}, args...)
-	cmd := exec.CommandContext(ctx, f.Bins.Tool, all...)
-	var out, fault bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &fault
+	argv := append([]string{command, "--platform", f.Hosts[0].nodeFile, "--call-timeout", toolCallTimeout.String()}, args...)
+	cmd := exec.CommandContext(ctx, f.Bins.Tool, argv...)
+	var out, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &stderr
 	err = cmd.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		return "", -1, status.Wrap(CodeHarness, err, "run the tool")
 	}
 	if code = cmd.ProcessState.ExitCode(); code != 0 {
-		return out.String(), code, status.New(CodeHarness, "%s ended with %d: %s", command, code, fault.String())
+		return out.String(), code, status.New(CodeHarness, "%s exited with code %d: %s", command, code, stderr.String())
 	}
 	return out.String(), 0, nil
 }
 
-// Apply submits the set in a folder of examples as an operator would.
+// Apply submits the configuration set in a folder of examples with the tool's
+// apply command.
 func (f *Fleet) Apply(ctx context.Context, root, example string, base int64) error {
 	_, _, err := f.Tool(ctx, "apply", "--base", strconv.FormatInt(base, 10),
 		"--node", f.Hosts[0].Addr.Control, filepath.Join(root, "examples", example))
--- a/bench/harness/build.go
+++ b/bench/harness/build.go
@@ -8,23 +8,23 @@
 	"peardrift/internal/status"
 )
 
-// CodeHarness is the code of the harness's own failures.
+// CodeHarness is the error code for failures of the harness itself.
 const CodeHarness status.Code = "harness"
 
-// Bins are the programs that a fleet consists of.
+// Bins holds the paths of the binaries that a fleet runs.
 type Bins struct {
 	Node, Tool, Target, Platform string
 }
 
-// Programs are the workspace's programs, compiled into a folder of their own.
+// Programs holds the workspace's binaries, built into a temporary directory.
 type Programs struct {
-	Root string // the workspace's folder
-	Dir  string // where the programs are
+	Root string // root directory of the workspace
+	Dir  string // directory of the binaries
 	Bins Bins
 }
 
-// BuildPrograms compiles the programs of the workspace around the present folder.
-// Close removes them.
+// BuildPrograms builds the programs of the workspace that contains the working
+// directory. Close removes them.
 func BuildPrograms() (*Programs, error) {
 	root, err := Root()
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	dir, err := os.MkdirTemp("", "peardrift-bin-")
 	if err != nil {
-		return nil, status.Wrap(CodeHarness, err, "folder of the programs")
+		return nil, status.Wrap(CodeHarness, err, "create the directory for the binaries")
 	}
 	p := &Programs{Root: root, Dir: dir}
 	if p.Bins, err = Build(root, dir); err != nil {
@@ -42,10 +42,11 @@
 	return p, nil
 }
 
-// Close removes the programs.
-func (p *Programs) Close() { _ = os.RemoveAll(p.Dir) } // a folder of the system's for what need not last
+// Close removes the binaries. An error is ignored, as they are in the system's
+// directory for temporary files.
+func (p *Programs) Close() { _ = os.RemoveAll(p.Dir) }
 
-// Build compiles the programs of the workspace at root into dir.
+// Build builds the programs of the workspace at root into dir.
 func Build(root, dir string) (Bins, error) {
 	b := Bins{
 		Node:     filepath.Join(dir, "peardriftd"),
@@ -66,7 +67,8 @@
 	return b, nil
 }
 
-// BuildOne compiles one more program of the workspace into dir.
+// BuildOne builds the program in package pkg of the workspace at root into dir and
+// returns the path of the binary.
 func BuildOne(root, dir, pkg string) (string, error) {
 	out := filepath.Join(dir, filepath.Base(pkg))
 	return out, build(root, out, pkg)
@@ -82,20 +84,21 @@
 	return nil
 }
 
-// Root finds the workspace's folder from the present one upwards.
+// Root returns the closest directory with a go.work file, starting at the working
+// directory and going up.
 func Root() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
-		return "", status.Wrap(CodeHarness, err, "no present folder")
+		return "", status.Wrap(CodeHarness, err, "get the working directory")
 	}
 	for {
 		if _, err := os.Stat(filepath.Join(dir, "go.work")); err == nil {
 			return dir, nil
 		}
-		up := filepath.Dir(dir)
-		if up == dir {
-			return "", status.New(CodeHarness, "no go.work above the present folder")
+		parent := filepath.Dir(dir)
+		if parent == dir {
+			return "", status.New(CodeHarness, "no go.work in the working directory or its parents")
 		}
-		dir = up
+		dir = parent
 	}
 }
--- a/bench/harness/direct.go
+++ b/bench/harness/direct.go
@@ -5,14 +5,14 @@
 	"peardrift/internal/status"
 )
 
-// AddDirect plans targets like those of a deployment, without nodes: their
-// calls go straight to one another and to those of deployments that were added
-// before, in turn. They are the baseline beside which
-// the nodes' cost is measured in the same run.
+// AddDirect adds the targets of a deployment without nodes. They call one
+// another, and the direct targets of deployments added before, in round-robin
+// order. They are the baseline against which the cost of the nodes is measured in
+// the same run.
 func (f *Fleet) AddDirect(d deploy.Deployment) error {
 	var hosts []*Host
 	urls := make(map[string][]string)
-	for _, h := range f.Direct { // of other tenants, which may be called too
+	for _, h := range f.Direct { // other tenants' targets may be called too
 		urls[h.Service] = append(urls[h.Service], "http://"+h.Addr.Target)
 	}
 	for _, s := range d.Services {
@@ -20,7 +20,7 @@
 			name, zone := d.Instance(s, i)
 			h := &Host{Name: "direct-" + name, Zone: zone, Service: d.FullName(s)}
 			var err error
-			if h.Addr.Target, err = f.ports.take(); err != nil {
+			if h.Addr.Target, err = f.ports.reserve(); err != nil {
 				return err
 			}
 			urls[h.Service] = append(urls[h.Service], "http://"+h.Addr.Target)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// DirectURLs returns where a service's targets without nodes take calls.
+// DirectURLs returns the URLs of a service's targets without nodes.
 func (f *Fleet) DirectURLs(service string) []string {
 	var urls []string
 	for _, h := range f.Direct {
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, h := range f.Direct {
-		if err := f.await(startTime, func() bool { return status2xx("http://" + h.Addr.Target + "/healthz") }); err != nil {
+		if err := f.waitUntil(startTimeout, func() bool { return status2xx("http://" + h.Addr.Target + "/healthz") }); err != nil {
 			return status.Wrap(CodeHarness, err, "%s does not answer, see %s", h.Name, h.Target.Log)
 		}
 	}
--- a/bench/harness/fleet.go
+++ b/bench/harness/fleet.go
@@ -18,17 +18,17 @@
 	"peardrift/internal/status"
 )
 
-// Host is one instance: a target and its node.
+// Host is one instance: a target process and its node process.
 type Host struct {
 	Name, Zone, Service string
 	Target, Node        *Process
 	Addr                Addrs
-	Program             string // of the target; empty: the fleet's
+	Program             string // target binary; empty: Bins.Target
 	targetFile          string
 	nodeFile            string
 }
 
-// NodeFile is the file of the settings of the host's node.
+// NodeFile returns the path of the settings file of the host's node.
 func (h *Host) NodeFile() string { return h.nodeFile }
 
 // Addrs are a host's addresses (ip:port).
@@ -36,47 +36,49 @@
 	Target, Callers, Nodes, Egress, Control, Ops string
 }
 
-// Fleet is a set of running hosts and their platform.
+// Fleet is a set of hosts and the platform stand-in that they use.
 type Fleet struct {
 	Dir      string
 	Bins     Bins
 	Platform *Process
-	URL      string // of the platform
+	URL      string // of the platform stand-in
 	Hosts    []*Host
-	// Direct are targets without nodes, see AddDirect.
+	// Direct lists the targets without nodes, see AddDirect.
 	Direct []*Host
 
-	// Keep leaves the folder Dir in place at Close.
+	// Keep makes Close leave the directory Dir in place.
 	Keep bool
 
-	// Tune, if set, changes the settings of each node before it starts.
+	// Tune, if set, modifies the settings of each node before they are written.
 	Tune func(*Host, *settings.Settings)
-	// TuneTarget, if set, changes the settings of each target before it starts.
+	// TuneTarget, if set, modifies the settings of each target before they are
+	// written.
 	TuneTarget func(*Host, *target.Config)
 
-	addr   string // of the platform
-	ports  *ports
-	mu     sync.Mutex
-	procs  []*Process
-	closed bool
-	gone   chan struct{} // closed by Close
+	addr    string // of the platform stand-in
+	ports   *ports
+	mu      sync.Mutex
+	procs   []*Process
+	closed  bool
+	closing chan struct{} // closed by Close
 }
 
-// New returns an empty fleet whose files are in a temporary folder.
+// New returns an empty fleet that keeps its files in a temporary directory.
 func New(bins Bins) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "peardrift-fleet-")
 	if err != nil {
-		return nil, status.Wrap(CodeHarness, err, "folder of the fleet")
+		return nil, status.Wrap(CodeHarness, err, "create the fleet's directory")
 	}
-	f := &Fleet{Dir: dir, Bins: bins, ports: newPorts(), gone: make(chan struct{})}
-	if f.addr, err = f.ports.take(); err != nil {
+	f := &Fleet{Dir: dir, Bins: bins, ports: newPorts(), closing: make(chan struct{})}
+	if f.addr, err = f.ports.reserve(); err != nil {
 		return nil, err
 	}
 	f.URL = "http://" + f.addr
 	return f, nil
 }
 
-// Add plans the hosts of a deployment; Start starts them.
+// Add reserves ports and writes settings for the hosts of a deployment; Start
+// starts them.
 func (f *Fleet) Add(d deploy.Deployment) error {
 	for _, s := range d.Services {
 		for i := range s.Targets {
@@ -91,11 +93,11 @@
 	return nil
 }
 
-// plan writes a host's files.
+// plan reserves a host's ports and writes its settings files.
 func (f *Fleet) plan(h *Host, region string, s deploy.Service) error {
 	for _, a := range []*string{&h.Addr.Target, &h.Addr.Callers, &h.Addr.Nodes, &h.Addr.Egress, &h.Addr.Control, &h.Addr.Ops} {
 		var err error
-		if *a, err = f.ports.take(); err != nil {
+		if *a, err = f.ports.reserve(); err != nil {
 			return err
 		}
 	}
@@ -106,8 +108,8 @@
 	return writeYAML(h.nodeFile, f.nodeSettings(h, region))
 }
 
-// planTarget writes the settings of a host's target, whose calls go through its
-// node or, if direct is set, straight to the targets listed there.
+// planTarget writes the settings of a host's target. The target calls other
+// services through its node or, if direct is set, by the URLs listed there.
 func (f *Fleet) planTarget(h *Host, s deploy.Service, direct map[string][]string) error {
 	tc := target.DefaultConfig(h.Service)
 	tc.Listen, tc.Slots, tc.Routes, tc.Direct = h.Addr.Target, s.Slots, s.Routes, direct
@@ -150,17 +152,17 @@
 	return nil
 }
 
-// Start starts the platform and all planned hosts.
+// Start starts the platform stand-in and all hosts added before.
 func (f *Fleet) Start() error {
 	if err := os.WriteFile(filepath.Join(f.Dir, "key"), []byte("bench"), 0o600); err != nil {
-		return status.Wrap(CodeHarness, err, "write the key")
+		return status.Wrap(CodeHarness, err, "write the key file")
 	}
 	f.ports.release(f.addr)
 	var err error
 	if f.Platform, err = f.run("platform", f.Bins.Platform, "--listen", f.addr); err != nil {
 		return err
 	}
-	if err := f.await(startTime, func() bool { return status2xx(f.URL + "/control/counters") }); err != nil {
+	if err := f.waitUntil(startTimeout, func() bool { return status2xx(f.URL + "/control/counters") }); err != nil {
 		return status.Wrap(CodeHarness, err, "the platform does not answer, see %s", f.Platform.Log)
 	}
 	for _, h := range f.Hosts {
@@ -174,14 +176,14 @@
 	return f.startDirect()
 }
 
-// StartTarget starts a host's target, again if it has ended.
+// StartTarget starts a host's target, or restarts it after it has exited.
 func (f *Fleet) StartTarget(h *Host) (err error) {
 	f.ports.release(h.Addr.Target)
 	h.Target, err = f.run(h.Name+"-target", cmp.Or(h.Program, f.Bins.Target), "--config", h.targetFile)
 	return err
 }
 
-// StartNode starts a host's node, again if it has ended.
+// StartNode starts a host's node, or restarts it after it has exited.
 func (f *Fleet) StartNode(h *Host) (err error) {
 	a := h.Addr
 	f.ports.release(a.Callers, a.Nodes, a.Egress, a.Control, a.Ops)
@@ -202,7 +204,7 @@
 	return p, err
 }
 
-// Status asks the host's node for its state.
+// Status fetches the status of the host's node from its ops endpoint.
 func (h *Host) Status() (node.Status, error) {
 	var s node.Status
 	c := http.Client{Timeout: time.Second}
@@ -217,7 +219,7 @@
 	return s, nil
 }
 
-// Entries returns the callers' faces of all nodes of a tenant's fleet.
+// Entries returns the URLs of the caller listeners of all nodes of a deployment.
 func (f *Fleet) Entries(d deploy.Deployment) []string {
 	var urls []string
 	for _, h := range f.Hosts {
@@ -230,11 +232,11 @@
 	return urls
 }
 
-// Close ends all processes and removes the fleet's files.
+// Close kills all processes and removes the fleet's files, unless Keep is set.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if !f.closed {
-		close(f.gone)
+		close(f.closing)
 	}
 	f.closed = true
 	procs := f.procs
--- a/bench/harness/harnesstest/harnesstest.go
+++ b/bench/harness/harnesstest/harnesstest.go
@@ -1,5 +1,5 @@
-// Package harnesstest prepares tests that run fleets: they wait for their turn,
-// and their package builds the programs once.
+// Package harnesstest supports tests that run fleets: it serialises the test
+// binaries of a "go test" run and builds the programs once per package.
 //
 // A package's TestMain calls Main; tests call Programs, from any goroutine.
 package harnesstest
@@ -14,10 +14,10 @@
 	"peardrift/internal/status"
 )
 
-// binDir is where the programs are built; Main sets it before any test runs.
+// binDir is the directory for the binaries; Main sets it before any test runs.
 var binDir string
 
-// Main runs the tests of a package in its turn and ends the process.
+// Main runs a package's tests while holding the run lock and exits the process.
 func Main(m *testing.M) {
 	code, err := run(m)
 	if err != nil {
@@ -29,14 +29,14 @@
 
 func run(m *testing.M) (code int, err error) {
 	if binDir, err = os.MkdirTemp("", "peardrift-test-"); err != nil {
-		return 0, status.Wrap(harness.CodeHarness, err, "folder of the programs")
+		return 0, status.Wrap(harness.CodeHarness, err, "create the directory for the binaries")
 	}
 	defer os.RemoveAll(binDir)
-	end, err := harness.Turn()
+	release, err := harness.Turn()
 	if err != nil {
 		return 0, err
 	}
-	defer end()
+	defer release()
 	return m.Run(), nil
 }
 
@@ -46,17 +46,18 @@
 	err  error
 }
 
-var built = sync.OnceValue(func() (p programs) {
+var buildOnce = sync.OnceValue(func() (p programs) {
 	if p.root, p.err = harness.Root(); p.err == nil {
 		p.bins, p.err = harness.Build(p.root, binDir)
 	}
 	return p
 })
 
-// Programs returns the workspace's folder and the built programs.
+// Programs returns the workspace's root directory and the binaries, which the
+// first call builds.
 func Programs(t *testing.T) (root string, bins harness.Bins) {
 	t.Helper()
-	p := built()
+	p := buildOnce()
 	if p.err != nil {
 		t.Fatal(p.err)
 	}
--- a/bench/harness/process.go
+++ b/bench/harness/process.go
@@ -10,25 +10,25 @@
 	"peardrift/internal/status"
 )
 
-// Process is one program that the harness started.
+// Process is a process started by the harness.
 type Process struct {
 	Name string
-	Log  string // file of its standard output and error
+	Log  string // path of the file with its standard output and error
 	cmd  *exec.Cmd
 	done chan struct{}
 	err  error
 }
 
-// start runs a program with its output in a file of dir.
+// start runs a program and redirects its output to a file in dir.
 func start(dir, name, bin string, args ...string) (*Process, error) {
 	log, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
-		return nil, status.Wrap(CodeHarness, err, "log of %s", name)
+		return nil, status.Wrap(CodeHarness, err, "create the log file of %s", name)
 	}
 	defer log.Close()
 	p := &Process{Name: name, Log: log.Name(), cmd: exec.Command(bin, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// Should the harness itself be killed, the kernel ends what it started.
+	// The kernel kills the process if the harness itself is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return nil, status.Wrap(CodeHarness, err, "start %s", name)
@@ -46,15 +46,15 @@
 // Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process, also if it is stopped, and waits for it to exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Stop asks the process to end and kills it if it hasn't within grace. It
-// reports whether it ended by itself.
+// Stop sends SIGTERM and kills the process if it has not exited within grace. It
+// reports whether the process exited without being killed.
 func (p *Process) Stop(grace time.Duration) bool {
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Ended reports whether the process has ended.
+// Ended reports whether the process has exited.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -76,8 +76,8 @@
 	}
 }
 
-// Exited returns the exit code, or -1 while the process runs or if a signal
-// ended it.
+// Exited returns the exit code, or -1 while the process runs or if it was
+// terminated by a signal.
 func (p *Process) Exited() int {
 	select {
 	case <-p.done:
--- a/bench/harness/stop.go
+++ b/bench/harness/stop.go
@@ -8,12 +8,12 @@
 	"peardrift/internal/status"
 )
 
-// CodeStop is the code of a process that did not end as it should.
+// CodeStop is the error code for a process that did not shut down gracefully.
 const CodeStop status.Code = "ungraceful-stop"
 
-// Stop ends the fleet as an operator would: SIGTERM to all nodes, then to the
-// targets, then to the platform. It fails if one had to be killed after grace,
-// or ended with a code other than 0.
+// Stop shuts the fleet down gracefully: it sends SIGTERM to all nodes, then to the
+// targets, then to the platform. It fails if a process exited before, had to be
+// killed after grace or exited with a code other than 0.
 func (f *Fleet) Stop(grace time.Duration) error {
 	var nodes, targets []*Process
 	for _, h := range f.Hosts {
@@ -22,29 +22,30 @@
 	for _, h := range f.Direct {
 		targets = append(targets, h.Target)
 	}
-	var faults []string
+	var failures []string
 	for _, group := range [][]*Process{nodes, targets, {f.Platform}} {
-		faults = append(faults, stopAll(group, grace)...)
+		failures = append(failures, stopAll(group, grace)...)
 	}
-	if len(faults) > 0 {
-		return status.New(CodeStop, "%s", strings.Join(faults, "; "))
+	if len(failures) > 0 {
+		return status.New(CodeStop, "%s", strings.Join(failures, "; "))
 	}
 	return nil
 }
 
-// stopAll stops processes at the same time and tells which did not end well.
+// stopAll stops processes concurrently and describes each that did not shut down
+// gracefully.
 func stopAll(ps []*Process, grace time.Duration) []string {
-	faults := make([]string, len(ps))
+	failures := make([]string, len(ps))
 	var wg sync.WaitGroup
 	for i, p := range ps {
 		if p == nil {
 			continue
 		}
-		wg.Go(func() { faults[i] = stopOne(p, grace) })
+		wg.Go(func() { failures[i] = stopOne(p, grace) })
 	}
 	wg.Wait()
 	var out []string
-	for _, s := range faults {
+	for _, s := range failures {
 		if s != "" {
 			out = append(out, s)
 		}
@@ -54,13 +55,13 @@
 
 func stopOne(p *Process, grace time.Duration) string {
 	if p.Ended() {
-		return p.Name + " had ended before"
+		return p.Name + " had already exited"
 	}
 	if !p.Stop(grace) {
-		return p.Name + " did not end within " + grace.String()
+		return p.Name + " did not exit within " + grace.String()
 	}
 	if p.Exited() != 0 {
-		return p.Name + " ended with " + p.cmd.ProcessState.String()
+		return p.Name + " exited with " + p.cmd.ProcessState.String()
 	}
 	return ""
 }
--- a/bench/harness/usage.go
+++ b/bench/harness/usage.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// tick is the unit of processor time in /proc: USER_HZ is 100 on Linux.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of CPU time in /proc: USER_HZ is 100 on Linux.
+const clockTick = 10 * time.Millisecond
 
-// Positions of user and system time in /proc/PID/stat, counted after the
-// program's name in parentheses.
+// Field indices of user and system time in /proc/PID/stat, counted after the
+// program name in parentheses.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 )
 
-// CPU returns the processor time that the process has used; 0 if it has ended.
+// CPU returns the CPU time that the process has used; 0 if it has exited.
 func (p *Process) CPU() (used time.Duration) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
@@ -28,13 +28,13 @@
 	fields := strings.Fields(rest)
 	for _, i := range []int{fieldUser, fieldSystem} {
 		if n, err := strconv.ParseInt(fields[i], 10, 64); err == nil {
-			used += time.Duration(n) * tick
+			used += time.Duration(n) * clockTick
 		}
 	}
 	return used
 }
 
-// Resident returns the process's resident memory in bytes; 0 if it has ended.
+// Resident returns the process's resident set size in bytes; 0 if it has exited.
 func (p *Process) Resident() int64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.Pid()))
 	if err != nil {
--- a/bench/harness/wait.go
+++ b/bench/harness/wait.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	awaitStep = 20 * time.Millisecond
-	// startTime is more than the platform's stand-in or a target takes to
-	// answer on a busy machine.
-	startTime = 20 * time.Second
+	pollInterval = 20 * time.Millisecond
+	// startTimeout exceeds the time that the platform stand-in or a target needs
+	// to answer on a busy machine.
+	startTimeout = 20 * time.Second
 )
 
-// Converged waits until each node knows all others as alive.
+// Converged waits until every node sees all the others as alive.
 func (f *Fleet) Converged(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, h := range f.Hosts {
-		know := func() bool {
+		knowsAll := func() bool {
 			s, err := h.Status()
 			return err == nil && s.Members["alive"] == len(f.Hosts)
 		}
-		if err := f.await(time.Until(end), know); err != nil {
-			return status.Wrap(CodeHarness, err, "%s does not know all hosts", h.Name)
+		if err := f.waitUntil(time.Until(end), knowsAll); err != nil {
+			return status.Wrap(CodeHarness, err, "%s does not see all hosts as alive", h.Name)
 		}
 	}
 	return nil
 }
 
-// Ready waits until all nodes take calls. It fails at once if one has ended.
+// Ready waits until all nodes accept calls. It fails at once if a node has exited.
 func (f *Fleet) Ready(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, h := range f.Hosts {
@@ -39,28 +39,28 @@
 			ended = h.Node.Ended()
 			return ended || status2xx("http://"+h.Addr.Ops+"/ready")
 		}
-		if err := f.await(time.Until(end), ready); err != nil {
+		if err := f.waitUntil(time.Until(end), ready); err != nil {
 			return status.Wrap(CodeHarness, err, "%s is not ready, see %s", h.Name, h.Node.Log)
 		}
 		if ended {
-			return status.New(CodeHarness, "%s ended with code %d, see %s", h.Name, h.Node.Exited(), h.Node.Log)
+			return status.New(CodeHarness, "%s exited with code %d, see %s", h.Name, h.Node.Exited(), h.Node.Log)
 		}
 	}
 	return nil
 }
 
-// await polls until ok, or fails after a time that only a broken fleet needs,
-// and as soon as the fleet is closed.
-func (f *Fleet) await(within time.Duration, ok func() bool) error {
+// waitUntil polls done until it reports true. It fails on timeout and as soon as
+// the fleet is closed.
+func (f *Fleet) waitUntil(within time.Duration, done func() bool) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	for !ok() {
+	for !done() {
 		select {
 		case <-ctx.Done():
-			return status.New(CodeHarness, "not within %v", within.Round(time.Millisecond))
-		case <-f.gone:
+			return status.New(CodeHarness, "condition not met within %v", within.Round(time.Millisecond))
+		case <-f.closing:
 			return status.New(status.CodeCanceled, "the fleet was closed")
-		case <-time.After(awaitStep):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
