--- a/bench/standin/client/attempt.go
+++ b/bench/standin/client/attempt.go
@@ -23,7 +23,7 @@
 	bodyByte   = "u"
 )
 
-// attempt sends a request once and tells what came of it.
+// attempt sends a request once and classifies the answer.
 func (r *runner) attempt(ctx context.Context, c Class, mark, key string, n int) (a Attempt) {
 	a = Attempt{Class: c.Name, Mark: mark, N: n, At: time.Now(), Result: Unknown}
 	defer func() { a.Took = time.Since(a.At) }()
@@ -37,7 +37,7 @@
 	resp, err := r.http.Do(req)
 	if err != nil {
 		a.Err = status.Wrap(status.CodeConnectionLost, err, "send")
-		if dial := (*net.OpError)(nil); errors.As(err, &dial) && dial.Op == "dial" {
+		if opErr := (*net.OpError)(nil); errors.As(err, &opErr) && opErr.Op == "dial" {
 			a.Err, a.Code = status.Wrap(status.CodeConnectFailed, err, "connect"), string(status.CodeConnectFailed)
 		}
 		return a
@@ -47,16 +47,17 @@
 	a.Status = resp.StatusCode
 	a.Code = resp.Header.Get(wire.HeaderCode)
 	if err != nil {
-		// The answer broke visibly, which claims nothing.
+		// The connection failed visibly, so the truncated answer can't be mistaken
+		// for a whole one.
 		a.Err = status.Wrap(status.CodeConnectionLost, err, "read the answer")
 		return a
 	}
 	if s, err := strconv.Atoi(resp.Header.Get(wire.HeaderRetryAfter)); err == nil {
 		a.retryAfter = time.Duration(s) * time.Second
 	}
-	a.Result = told(resp)
+	a.Result = reportedResult(resp)
 	if a.Result == Completed && c.Dated && a.Code == string(status.CodeAnswerNotKept) {
-		return a // an earlier attempt's, which shared rows don't keep
+		return a // an earlier attempt completed; shared rows don't keep its answer
 	}
 	if a.Result == Completed {
 		a.Result, a.Degraded, a.Err = verify(c, body, mark)
@@ -65,7 +66,7 @@
 }
 
 func (r *runner) newRequest(ctx context.Context, c Class, mark, key string) (*http.Request, error) {
-	base := r.cfg.URLs[r.next.Add(1)%uint64(len(r.cfg.URLs))]
+	base := r.cfg.URLs[r.nextURL.Add(1)%uint64(len(r.cfg.URLs))]
 	body := strings.NewReader(strings.Repeat(bodyByte, c.Body))
 	req, err := http.NewRequestWithContext(ctx, c.Method, base+c.Path, body)
 	if err != nil {
@@ -74,24 +75,24 @@
 	req.Host = c.Host
 	req.Header.Set(headerMark, mark)
 	if c.Key {
-		// In lower case: by the usual spelling net/http takes the request as
-		// safe to repeat, and would add attempts that nobody counts.
+		// In lower case: with the canonical name net/http treats the request as
+		// replayable and would add retries that are not counted.
 		req.Header[strings.ToLower(wire.HeaderIdempotencyKey)] = []string{key}
 	}
 	return req, nil
 }
 
-// keyOf returns the key of a request and all its attempts.
-func keyOf(c Class, mark string) string {
+// idempotencyKey returns the key that all attempts at a request share.
+func idempotencyKey(c Class, mark string) string {
 	if c.Dated {
 		return uuid.Must(uuid.NewV7()).String()
 	}
 	return "key-" + mark
 }
 
-// told is the result that an answer claims: by the node's outcome or, where
-// there is no node, by the status.
-func told(resp *http.Response) Result {
+// reportedResult returns the result that an answer claims: by the node's outcome
+// header or, without a node, by the HTTP status.
+func reportedResult(resp *http.Response) Result {
 	if h := resp.Header.Get(wire.HeaderOutcome); h != "" {
 		return outcomes[request.ParseOutcome(h)]
 	}
@@ -114,7 +115,8 @@
 	request.Failed:    Failed,
 }
 
-// verify checks an answer that claims to be whole and this request's own.
+// verify checks that an answer reported as completed is whole and belongs to the
+// request with this mark.
 func verify(c Class, body []byte, mark string) (r Result, degraded bool, err error) {
 	a, err := target.Verify(body, mark)
 	switch {
@@ -126,14 +128,15 @@
 		return Wrong, false, status.New(target.CodeAnswer, "%s%s answered for %s%s, with %d bytes received of %d",
 			a.Service, a.Path, c.Host, c.Path, a.Received, c.Body)
 	default:
-		return Completed, incomplete(a), nil
+		return Completed, hasMissingCall(a), nil
 	}
 }
 
-// incomplete reports whether an optional call is missing anywhere below.
-func incomplete(a target.Answer) bool {
+// hasMissingCall reports whether the answer of an optional call is missing
+// anywhere in the call tree.
+func hasMissingCall(a target.Answer) bool {
 	for _, r := range a.Calls {
-		if r.Answer == nil || incomplete(*r.Answer) {
+		if r.Answer == nil || hasMissingCall(*r.Answer) {
 			return true
 		}
 	}
--- a/bench/standin/client/client.go
+++ b/bench/standin/client/client.go
@@ -12,18 +12,18 @@
 	"peardrift/internal/status"
 )
 
-// Run sends the load and returns what became of it. A context that ends early
-// stops new requests and cancels those in flight.
+// Run generates the load and returns the results by class. Cancelling ctx stops
+// new requests and cancels those in flight.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if len(cfg.URLs) == 0 {
 		return nil, status.New(status.CodeInvalidSettings, "no URL to send requests to")
 	}
 	cfg = cfg.withDefaults()
 	r := &runner{
-		cfg:  cfg,
-		rec:  newRecorder(cfg),
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxOpen, DisableCompression: true}},
-		open: make(chan struct{}, cfg.MaxOpen),
+		cfg:      cfg,
+		rec:      newRecorder(cfg),
+		http:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxOpen, DisableCompression: true}},
+		inFlight: make(chan struct{}, cfg.MaxOpen),
 	}
 	defer r.http.CloseIdleConnections()
 	var wg sync.WaitGroup
@@ -40,15 +40,15 @@
 }
 
 type runner struct {
-	cfg  Config
-	rec  *recorder
-	http *http.Client
-	open chan struct{}
-	seq  atomic.Uint64 // requests
-	next atomic.Uint64 // attempts, for the URL's turn
+	cfg        Config
+	rec        *recorder
+	http       *http.Client
+	inFlight   chan struct{}
+	requestSeq atomic.Uint64 // last request number
+	nextURL    atomic.Uint64 // attempts so far, for round robin over the URLs
 }
 
-// openLoop sends requests when they are due, however many are in flight.
+// openLoop sends each request when it is due, up to MaxOpen requests in flight.
 func (r *runner) openLoop(ctx context.Context, i int, c Class) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -60,18 +60,18 @@
 			return
 		}
 		select {
-		case r.open <- struct{}{}:
+		case r.inFlight <- struct{}{}:
 			wg.Go(func() {
-				defer func() { <-r.open }()
+				defer func() { <-r.inFlight }()
 				r.request(ctx, c, due)
 			})
 		default:
-			r.rec.update(c.Name, func(s *Stats) { s.Overrun++ })
+			r.rec.updateClass(c.Name, func(s *Stats) { s.Overrun++ })
 		}
 	}
 }
 
-// closedLoop sends one request after the other.
+// closedLoop sends one request at a time.
 func (r *runner) closedLoop(ctx context.Context, c Class) {
 	end := time.Now().Add(r.cfg.Duration)
 	for n := 0; ctx.Err() == nil && (c.Requests == 0 || n < c.Requests); n++ {
@@ -83,18 +83,18 @@
 	}
 }
 
-// request makes up to c.Attempts attempts at one request.
+// request sends one request with up to c.Attempts attempts and records the result.
 func (r *runner) request(ctx context.Context, c Class, due time.Time) {
-	n := r.seq.Add(1)
+	n := r.requestSeq.Add(1)
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, n))
 	mark := fmt.Sprintf("%s-%x-%d", c.Name, r.cfg.Seed, n)
-	key := keyOf(c, mark)
-	r.rec.update(c.Name, func(s *Stats) { s.Sent++ })
+	key := idempotencyKey(c, mark)
+	r.rec.updateClass(c.Name, func(s *Stats) { s.Sent++ })
 	for k := 1; ; k++ {
 		a := r.attempt(ctx, c, mark, key, k)
-		pause := c.wait(k, a.retryAfter, rng)
-		a.Final = a.Result == Completed || k >= c.Attempts || ctx.Err() != nil || c.tired(time.Since(due)+pause)
-		r.rec.update(c.Name, func(s *Stats) { s.Attempts++ })
+		pause := c.retryDelay(k, a.retryAfter, rng)
+		a.Final = a.Result == Completed || k >= c.Attempts || ctx.Err() != nil || c.pastPatience(time.Since(due)+pause)
+		r.rec.updateClass(c.Name, func(s *Stats) { s.Attempts++ })
 		if r.cfg.Observe != nil {
 			r.cfg.Observe(a)
 		}
@@ -105,10 +105,12 @@
 	}
 }
 
-// tired reports whether no attempt begins so long after the arrival.
-func (c Class) tired(after time.Duration) bool { return c.Patience > 0 && after >= c.Patience }
+// pastPatience reports whether no attempt may start this long after the arrival.
+func (c Class) pastPatience(elapsed time.Duration) bool {
+	return c.Patience > 0 && elapsed >= c.Patience
+}
 
-// sleep waits for d or for the end of ctx.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/bench/standin/client/client_test.go
+++ b/bench/standin/client/client_test.go
@@ -19,14 +19,15 @@
 	"peardrift/internal/wire"
 )
 
-// hertzDate is hertz's one goroutine per process for the Date header; it has
-// no end.
-const hertzDate = "github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"
+// hertzDateUpdater is the goroutine that hertz starts once per process to update
+// the Date header; it never exits.
+const hertzDateUpdater = "github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(hertzDate)) }
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(hertzDateUpdater)) }
 
-// one runs a single request of class c against h and returns its attempts.
-func one(t *testing.T, c Class, h http.HandlerFunc) ([]Attempt, *Stats) {
+// runOneRequest sends a single request of class c to h and returns its attempts
+// and the class's counters.
+func runOneRequest(t *testing.T, c Class, h http.HandlerFunc) ([]Attempt, *Stats) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	defer srv.Close()
@@ -45,15 +46,15 @@
 	return got, report["reads"]
 }
 
-func own(r *http.Request) target.Answer {
+func answerTo(r *http.Request) target.Answer {
 	return target.Answer{Service: r.Host, Path: r.URL.Path, Mark: r.Header.Get("X-Mark"), Size: 100}
 }
 
 func TestResults(t *testing.T) {
-	fill := func(f func(target.Answer) []byte) http.HandlerFunc {
-		return func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(f(own(r))) }
+	respondWith := func(f func(target.Answer) []byte) http.HandlerFunc {
+		return func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(f(answerTo(r))) }
 	}
-	say := func(code int, outcome string) http.HandlerFunc {
+	respondStatus := func(code int, outcome string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			if outcome != "" {
 				w.Header().Set(wire.HeaderOutcome, outcome)
@@ -66,24 +67,24 @@
 		h    http.HandlerFunc
 		want Result
 	}{
-		{"whole", fill(target.Answer.Encode), Completed},
-		{"fragment", fill(func(a target.Answer) []byte { return a.Encode()[:90] }), Partial},
-		{"another's", fill(func(a target.Answer) []byte { a.Mark = "x"; return a.Encode() }), Wrong},
-		{"another path's", fill(func(a target.Answer) []byte { a.Path = "/x"; return a.Encode() }), Wrong},
-		{"one byte", fill(func(a target.Answer) []byte { b := a.Encode(); b[len(b)-3] ^= 1; return b }), Wrong},
+		{"whole", respondWith(target.Answer.Encode), Completed},
+		{"fragment", respondWith(func(a target.Answer) []byte { return a.Encode()[:90] }), Partial},
+		{"another's", respondWith(func(a target.Answer) []byte { a.Mark = "x"; return a.Encode() }), Wrong},
+		{"another path's", respondWith(func(a target.Answer) []byte { a.Path = "/x"; return a.Encode() }), Wrong},
+		{"one byte", respondWith(func(a target.Answer) []byte { b := a.Encode(); b[len(b)-3] ^= 1; return b }), Wrong},
 		{"broken", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "5000")
-			_, _ = w.Write(own(r).Encode())
+			_, _ = w.Write(answerTo(r).Encode())
 			panic(http.ErrAbortHandler)
 		}, Unknown},
-		{"node refuses", say(503, "refused"), Refused},
-		{"node doesn't know", say(503, "unknown"), Unknown},
-		{"target sheds", say(503, ""), Refused},
-		{"target fails", say(500, ""), Failed},
+		{"node refuses", respondStatus(503, "refused"), Refused},
+		{"node doesn't know", respondStatus(503, "unknown"), Unknown},
+		{"target sheds", respondStatus(503, ""), Refused},
+		{"target fails", respondStatus(500, ""), Failed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			got, stats := one(t, Class{}, tc.h)
+			got, stats := runOneRequest(t, Class{}, tc.h)
 			is.Equal(len(got), int(stats.Sent))
 			is.Equal(got[0].Result, tc.want)
 			is.Equal(stats.ByResult[tc.want], stats.Sent)
@@ -95,13 +96,13 @@
 func TestRetriesKeepMarkAndKey(t *testing.T) {
 	is := is.New(t)
 	var keys []string
-	got, stats := one(t, Class{Method: "POST", Key: true, Attempts: 3, Body: 10}, func(w http.ResponseWriter, r *http.Request) {
+	got, stats := runOneRequest(t, Class{Method: "POST", Key: true, Attempts: 3, Body: 10}, func(w http.ResponseWriter, r *http.Request) {
 		keys = append(keys, r.Header.Get("Idempotency-Key"))
 		if len(keys) < 3 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		a := own(r)
+		a := answerTo(r)
 		a.Received = r.ContentLength
 		_, _ = w.Write(a.Encode())
 	})
@@ -112,16 +113,16 @@
 	is.Equal(stats.Attempts, int64(3))
 }
 
-func TestWait(t *testing.T) {
+func TestRetryDelay(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	is.Equal(Class{}.wait(1, time.Hour, rng), time.Duration(0))
-	is.Equal(Class{HonourRetryAfter: true}.wait(1, time.Hour, rng), time.Hour)
+	is.Equal(Class{}.retryDelay(1, time.Hour, rng), time.Duration(0))
+	is.Equal(Class{HonourRetryAfter: true}.retryDelay(1, time.Hour, rng), time.Hour)
 	c := Class{Backoff: time.Second}
 	var sum time.Duration
 	const draws = 10_000
 	for range draws {
-		d := c.wait(3, 0, rng)
+		d := c.retryDelay(3, 0, rng)
 		is.True(d >= 0 && d < 8*time.Second)
 		sum += d
 	}
@@ -129,27 +130,27 @@
 	is.True(mean > 3900*time.Millisecond && mean < 4100*time.Millisecond)
 }
 
-func TestWaitIsBounded(t *testing.T) {
+func TestRetryDelayIsCapped(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	c := Class{Backoff: time.Second, MaxBackoff: 3 * time.Second}
 	var most time.Duration
 	for range 1000 {
-		most = max(most, c.wait(9, 0, rng))
+		most = max(most, c.retryDelay(9, 0, rng))
 	}
 	is.True(most > 2*time.Second && most < 3*time.Second)
 }
 
-func TestNoTryAfterThePatience(t *testing.T) {
+func TestNoAttemptAfterPatience(t *testing.T) {
 	is := is.New(t)
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	got, stats := one(t, Class{Attempts: 1000, Backoff: time.Hour, Patience: time.Minute}, refuse)
+	got, stats := runOneRequest(t, Class{Attempts: 1000, Backoff: time.Hour, Patience: time.Minute}, refuse)
 	is.Equal(len(got), 1)
 	is.True(got[0].Final)
 	is.Equal(stats.ByResult[Refused], int64(1))
 }
 
-func TestRefusedConnectionIsTold(t *testing.T) {
+func TestRefusedConnectionReportsConnectFailed(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -162,7 +163,7 @@
 	is.Equal(got.Result, Unknown)
 }
 
-func TestTimesAreArrivals(t *testing.T) {
+func TestTimesReplacePhases(t *testing.T) {
 	is := is.New(t)
 	times := []time.Duration{time.Second, 3 * time.Second}
 	c := Class{Times: times, Phases: []Phase{{For: time.Second, Rate: 1000}}}
--- a/bench/standin/client/config.go
+++ b/bench/standin/client/config.go
@@ -7,64 +7,67 @@
 	"time"
 )
 
-// Config is one run of load.
+// Config describes one load run.
 type Config struct {
-	// URLs are the callers' faces of entry nodes, used in turn.
+	// URLs are the caller listeners of entry nodes, used in round-robin order.
 	URLs []string
-	// Duration ends closed loops; default 1s. Open loops end with their phases.
+	// Duration bounds closed loops; default 1s. Open loops end after their last
+	// arrival.
 	Duration time.Duration
-	// Seed seeds arrivals, back-off and the marks of requests.
+	// Seed seeds arrivals, backoff and request marks.
 	Seed uint64
-	// MaxOpen bounds the requests in flight; arrivals beyond it are counted as
-	// overrun and not sent. Default 10,000.
+	// MaxOpen bounds the open-loop requests in flight; arrivals above it are
+	// counted in Stats.Overrun and not sent. Default 10,000.
 	MaxOpen int
-	// Observe, if set, is called after each attempt, from many goroutines.
+	// Observe, if set, is called after each attempt, concurrently.
 	Observe func(Attempt)
 	Classes []Class
 }
 
-// Class is one kind of request and how its callers behave.
+// Class is one request class and the behaviour of its callers.
 type Class struct {
 	Name   string
 	Method string // default GET
 	Host   string // the service, as "feed.khaosan"
 	Path   string
-	Body   int  // bytes to upload
+	Body   int  // size of the request body in bytes
 	Key    bool // send an Idempotency-Key
-	Dated  bool // whose key is a UUID of version 7
+	Dated  bool // use a version 7 UUID as the key
 
-	// Phases are an open loop's arrivals, one after the other.
+	// Phases are the consecutive arrival phases of an open loop.
 	Phases []Phase
-	// Times are an open loop's arrivals since the start, in rising order, in
-	// place of Phases: those of a recorded trace.
+	// Times are an open loop's arrivals as offsets from the start, in ascending
+	// order, for example of a recorded trace. They replace Phases.
 	Times []time.Duration
-	// Workers are a closed loop's callers; each sends its next request when its
-	// last is done.
+	// Workers is the number of closed-loop callers; each sends its next request
+	// when the previous one is done.
 	Workers int
-	// Requests ends each worker's loop before Config.Duration; 0: no bound.
+	// Requests bounds the requests of each worker; 0: only Config.Duration does.
 	Requests int
 
 	// Timeout bounds one attempt; default 10s.
 	Timeout time.Duration
-	// Attempts in all; default 1. Whatever isn't completed is tried again, with
-	// the same mark and key.
+	// Attempts is the maximum number of attempts, including the first; default 1.
+	// Every result but Completed is retried, with the same mark and key.
 	Attempts int
-	// Backoff is the mean wait before the second attempt, doubled for each
-	// further one and drawn evenly from 0 to twice that; 0: none.
+	// Backoff is the mean delay before the second attempt; it doubles with each
+	// further attempt. The delay is drawn uniformly from 0 to twice the mean.
+	// 0: no delay.
 	Backoff time.Duration
-	// MaxBackoff bounds what the doubled wait is drawn from; 0: no bound.
+	// MaxBackoff caps the upper end of the range that a delay is drawn from;
+	// 0: no cap.
 	MaxBackoff time.Duration
-	// Patience ends a request: no attempt begins later than this after its
-	// arrival. 0: no bound.
+	// Patience is the time after a request's arrival from which no attempt
+	// starts; 0: no bound.
 	Patience time.Duration
-	// HonourRetryAfter waits at least as long as an answer asks for.
+	// HonourRetryAfter waits at least as long as the Retry-After header asks.
 	HonourRetryAfter bool
 }
 
-// Phase is a time of Poisson arrivals at a mean rate a second.
+// Phase is a period of Poisson arrivals.
 type Phase struct {
 	For  time.Duration
-	Rate float64
+	Rate float64 // mean arrivals per second
 }
 
 const (
@@ -74,12 +77,12 @@
 )
 
 func (c Config) withDefaults() Config {
-	c.Duration = positive(c.Duration, defaultDuration)
-	c.MaxOpen = positive(c.MaxOpen, defaultMaxOpen)
+	c.Duration = positiveOr(c.Duration, defaultDuration)
+	c.MaxOpen = positiveOr(c.MaxOpen, defaultMaxOpen)
 	classes := make([]Class, 0, len(c.Classes))
 	for _, cl := range c.Classes {
-		cl.Timeout = positive(cl.Timeout, defaultTimeout)
-		cl.Attempts = positive(cl.Attempts, 1)
+		cl.Timeout = positiveOr(cl.Timeout, defaultTimeout)
+		cl.Attempts = positiveOr(cl.Attempts, 1)
 		if cl.Method == "" {
 			cl.Method = "GET"
 		}
@@ -89,15 +92,14 @@
 	return c
 }
 
-func positive[T int | time.Duration](v, def T) T {
+func positiveOr[T int | time.Duration](v, def T) T {
 	if v > 0 {
 		return v
 	}
 	return def
 }
 
-// arrivals yields the times since the start at which the class's requests
-// arrive in an open loop.
+// arrivals yields the arrivals of the class's open loop as offsets from the start.
 func (c Class) arrivals(rng *rand.Rand) iter.Seq[time.Duration] {
 	if len(c.Times) > 0 {
 		return slices.Values(c.Times)
@@ -105,13 +107,13 @@
 	return arrivals(c.Phases, rng)
 }
 
-// arrivals yields the times since the start at which requests of phases arrive.
+// arrivals yields the arrivals of phases as offsets from the start.
 func arrivals(phases []Phase, rng *rand.Rand) iter.Seq[time.Duration] {
 	return func(yield func(time.Duration) bool) {
 		var begin time.Duration
 		for _, p := range phases {
 			end := begin + p.For
-			// Poisson arrivals have no memory: each phase may start anew.
+			// A Poisson process is memoryless: each phase can start afresh.
 			for at := begin; p.Rate > 0; {
 				at += time.Duration(rng.ExpFloat64() / p.Rate * float64(time.Second))
 				if at >= end {
@@ -126,15 +128,15 @@
 	}
 }
 
-// wait returns how long to wait before the attempt after n attempts.
-func (c Class) wait(n int, retryAfter time.Duration, rng *rand.Rand) time.Duration {
+// retryDelay returns the delay between attempt n and the next one.
+func (c Class) retryDelay(n int, retryAfter time.Duration, rng *rand.Rand) time.Duration {
 	var d time.Duration
 	if c.Backoff > 0 {
-		most := 2 * c.Backoff << min(n-1, 16)
+		upper := 2 * c.Backoff << min(n-1, 16)
 		if c.MaxBackoff > 0 {
-			most = min(most, c.MaxBackoff)
+			upper = min(upper, c.MaxBackoff)
 		}
-		d = time.Duration(rng.Int64N(int64(most)))
+		d = time.Duration(rng.Int64N(int64(upper)))
 	}
 	if c.HonourRetryAfter {
 		d = max(d, retryAfter)
--- a/bench/standin/client/doc.go
+++ b/bench/standin/client/doc.go
@@ -1,7 +1,7 @@
-// Package client is a stand-in for the callers: load by request class, open or
-// closed loop, with retries as hard as wished, and a check of each answer byte
-// for byte against the mark of its own request.
+// Package client is a load generator that stands in for the callers. It sends
+// requests by class in open or closed loops, with configurable retries, and
+// verifies each answer byte for byte against the mark of its request.
 //
-// Run blocks until its load is done or its context ends, and leaves no
-// goroutine behind. Config is only read.
+// Run blocks until its load is done or its context is cancelled, and leaves no
+// goroutine running. It does not modify Config.
 package client
--- a/bench/standin/client/report.go
+++ b/bench/standin/client/report.go
@@ -7,17 +7,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what became of a request, as its caller can tell.
+// Result is the result of a request as its caller sees it.
 type Result string
 
-// The results. Partial and Wrong are false answers: there must be none.
+// The results. Partial and Wrong are corrupt answers, which must never occur.
 const (
 	Completed Result = "completed"
 	Refused   Result = "refused"
 	Failed    Result = "failed"
-	Unknown   Result = "unknown" // no whole answer, and the connection said so
-	Wrong     Result = "wrong"   // a whole answer, but not this request's
-	Partial   Result = "partial" // an answer that ended as if it were whole
+	Unknown   Result = "unknown" // no whole answer, with a visible connection error or timeout
+	Wrong     Result = "wrong"   // a whole answer, but to another request
+	Partial   Result = "partial" // a truncated answer without a connection error
 )
 
 // Attempt is one attempt at a request.
@@ -25,44 +25,46 @@
 	Class  string
 	Mark   string
 	N      int  // 1 for the first
-	Final  bool // no further one follows
+	Final  bool // last attempt at the request
 	At     time.Time
 	Took   time.Duration
-	Status int    // 0: no answer
-	Code   string // of the answer; connect-failed if nothing could be sent
+	Status int    // HTTP status; 0: no answer
+	Code   string // error code of the answer; connect-failed if no connection was made
 	Result Result
-	// Degraded tells of a completed request that optional calls are missing.
+	// Degraded reports that the answer of a completed request lacks those of
+	// optional calls.
 	Degraded bool
-	// Err says what is wrong with an answer or a connection; nil for none.
+	// Err is the fault of an answer or a connection; nil if there is none.
 	Err        error
 	retryAfter time.Duration
 }
 
 const (
-	lowest  = 1           // µs
-	highest = 600_000_000 // µs: ten minutes
-	digits  = 3
+	minLatencyMicros  = 1           // µs
+	maxLatencyMicros  = 600_000_000 // µs: ten minutes
+	significantDigits = 3
 )
 
-// Stats is the count of one class. Each request counts once, by its last attempt.
+// Stats are the counters of one class. Each request counts once, by the result of
+// its last attempt.
 type Stats struct {
 	Sent      int64
-	Overrun   int64 // arrivals not sent, for Config.MaxOpen
+	Overrun   int64 // arrivals not sent because of Config.MaxOpen
 	Attempts  int64
 	Degraded  int64
 	ByResult  map[Result]int64
-	FirstFail error // of the first false answer or broken connection
-	// Latency is that of completed requests in µs from their arrival, with the
-	// time that earlier attempts and back-off took.
+	FirstFail error // the first corrupt answer or broken connection
+	// Latency of completed requests in µs since their arrival, including earlier
+	// attempts and backoff.
 	Latency *hdrhistogram.Histogram
 }
 
-// Quantile returns the latency of completed requests at q, 0 to 100.
+// Quantile returns the latency of completed requests at percentile q, 0 to 100.
 func (s *Stats) Quantile(q float64) time.Duration {
 	return time.Duration(s.Latency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Report is the outcome of a run by class.
+// Report maps the name of a class to its Stats.
 type Report map[string]*Stats
 
 type recorder struct {
@@ -75,21 +77,21 @@
 	for _, c := range cfg.Classes {
 		r.report[c.Name] = &Stats{
 			ByResult: make(map[Result]int64),
-			Latency:  hdrhistogram.New(lowest, highest, digits),
+			Latency:  hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 		}
 	}
 	return r
 }
 
-func (r *recorder) update(class string, f func(*Stats)) {
+func (r *recorder) updateClass(class string, f func(*Stats)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.report[class])
 }
 
-// finish counts a request by its last attempt; it took so long in all.
+// finish records a request by its last attempt; took is its total time.
 func (r *recorder) finish(a Attempt, took time.Duration) {
-	r.update(a.Class, func(s *Stats) {
+	r.updateClass(a.Class, func(s *Stats) {
 		s.ByResult[a.Result]++
 		if a.Degraded {
 			s.Degraded++
@@ -98,7 +100,7 @@
 			s.FirstFail = a.Err
 		}
 		if a.Result == Completed {
-			_ = s.Latency.RecordValue(min(max(took.Microseconds(), lowest), highest))
+			_ = s.Latency.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
 		}
 	})
 }
