--- a/bench/standin/httpd/conns.go
+++ b/bench/standin/httpd/conns.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Conns is a listener that remembers its open connections, so that a stand-in
-// can reset them all or make them go silent.
+// Conns is a listener that tracks its open connections, so that a stand-in can
+// reset them or make them drop all traffic.
 type Conns struct {
 	net.Listener
-	max  int
-	cost time.Duration
+	maxOpen     int
+	connectCost time.Duration
 
 	mu       sync.Mutex
 	open     map[*conn]struct{}
 	rejected atomic.Int64
-	refuse   atomic.Bool // reset all new connections
+	resetNew atomic.Bool // reset every new connection
 }
 
 func newConns(ln net.Listener, limit int, cost time.Duration) *Conns {
-	return &Conns{Listener: ln, max: limit, cost: cost, open: make(map[*conn]struct{})}
+	return &Conns{Listener: ln, maxOpen: limit, connectCost: cost, open: make(map[*conn]struct{})}
 }
 
-// Accept implements net.Listener; connections beyond the limit are reset.
+// Accept implements net.Listener; connections above the limit are reset.
 func (l *Conns) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{Conn: nc, owner: l, closed: make(chan struct{})}
+		c := &conn{Conn: nc, listener: l, closed: make(chan struct{})}
 		if l.add(c) {
 			return c, nil
 		}
@@ -45,7 +45,7 @@
 func (l *Conns) add(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.refuse.Load() || l.max > 0 && len(l.open) >= l.max {
+	if l.resetNew.Load() || l.maxOpen > 0 && len(l.open) >= l.maxOpen {
 		return false
 	}
 	l.open[c] = struct{}{}
@@ -58,7 +58,7 @@
 	delete(l.open, c)
 }
 
-func (l *Conns) list() []*conn {
+func (l *Conns) openConns() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]*conn, 0, len(l.open))
@@ -69,31 +69,32 @@
 }
 
 // Open returns the number of open connections.
-func (l *Conns) Open() int { return len(l.list()) }
+func (l *Conns) Open() int { return len(l.openConns()) }
 
-// Rejected returns the number of connections reset for the limit.
+// Rejected returns the number of connections reset on accept, because of the
+// limit or during Close.
 func (l *Conns) Rejected() int64 { return l.rejected.Load() }
 
-// Reset breaks all open connections at once, as the death of a process does.
+// Reset resets all open connections, as a process crash does.
 func (l *Conns) Reset() {
-	for _, c := range l.list() {
+	for _, c := range l.openConns() {
 		c.reset()
 	}
 }
 
-// Silence makes the connections open now go silent for good: bytes that arrive
-// are dropped, answers are never sent, not even an end. Later ones work, and so
-// does the one whose remote address is except.
+// Silence makes the currently open connections drop all traffic for good, except
+// the one with the remote address except: received bytes are discarded, and
+// neither answers nor FINs are sent. Later connections work.
 func (l *Conns) Silence(except string) {
-	for _, c := range l.list() {
+	for _, c := range l.openConns() {
 		c.silent.Store(c.RemoteAddr().String() != except)
 	}
 }
 
-// ResetPeer breaks the one connection whose remote address is addr; it reports
-// whether there was one.
+// ResetPeer resets the connection with the remote address addr and reports
+// whether it was open.
 func (l *Conns) ResetPeer(addr string) bool {
-	for _, c := range l.list() {
+	for _, c := range l.openConns() {
 		if c.RemoteAddr().String() == addr {
 			c.reset()
 			return true
@@ -104,16 +105,16 @@
 
 type conn struct {
 	net.Conn
-	owner  *Conns
-	silent atomic.Bool
-	begun  atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	listener    *Conns
+	silent      atomic.Bool
+	readStarted atomic.Bool
+	once        sync.Once
+	closed      chan struct{}
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	if c.owner.cost > 0 && c.begun.CompareAndSwap(false, true) {
-		time.Sleep(c.owner.cost)
+	if c.listener.connectCost > 0 && c.readStarted.CompareAndSwap(false, true) {
+		time.Sleep(c.listener.connectCost)
 	}
 	for {
 		n, err := c.Conn.Read(b)
@@ -121,11 +122,11 @@
 			return n, err
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return 0, err // the server's own doing: it may stop reading
+			return 0, err // the server set the deadline, so it sees the timeout
 		}
 		if err != nil {
-			// The peer's end of stream is lost too. Without this wait the
-			// server would answer a close, which a dead path can't carry.
+			// The peer's FIN is dropped too. Without this wait the server would
+			// react to the close, which a dead network path can't carry.
 			<-c.closed
 			return 0, err
 		}
@@ -139,27 +140,27 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection unless it is silent: the end would be seen.
-// Only reset ends a silent connection.
+// Close closes the connection unless it is silent, as the peer would see the FIN.
+// Only reset closes a silent connection.
 func (c *conn) Close() error {
 	if c.silent.Load() {
 		return nil
 	}
-	return c.end()
+	return c.closeOnce()
 }
 
 func (c *conn) reset() {
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0)
 	}
-	_ = c.end()
+	_ = c.closeOnce()
 }
 
-func (c *conn) end() error {
+func (c *conn) closeOnce() error {
 	var err error
 	c.once.Do(func() {
 		close(c.closed)
-		c.owner.remove(c)
+		c.listener.remove(c)
 		err = c.Conn.Close()
 	})
 	return err
--- a/bench/standin/httpd/httpd.go
+++ b/bench/standin/httpd/httpd.go
@@ -1,9 +1,9 @@
-// Package httpd runs one hertz listener for a stand-in: it opens the port
-// before Start returns, keeps hold of every connection so that faults can be
-// played on them, and leaves no goroutine behind after Close.
+// Package httpd runs a hertz HTTP server for a stand-in. The port is open when
+// Start returns, every connection is tracked for fault injection, and no
+// goroutine is left after Close.
 //
-// A Server's methods may be called from any goroutine, handlers run on their
-// connections' goroutines.
+// A Server's methods may be called from any goroutine; handlers run on the
+// goroutines of their connections.
 package httpd
 
 import (
@@ -24,15 +24,16 @@
 	closeTimeout = 5 * time.Second
 )
 
-// hertz logs each broken connection, which is what a stand-in is for. The level
-// is global and unguarded, so it can't be set once a server runs.
+// hertz logs each broken connection, and stand-ins break connections on purpose.
+// The log level is global and unsynchronised, so it can't be set once a server
+// runs.
 func init() { hlog.SetLevel(hlog.LevelFatal) }
 
 // Config sets up a Server.
 type Config struct {
 	// Listen is the address, "127.0.0.1:0" for a free port.
 	Listen string
-	// MaxConns bounds the open connections; further ones are reset. 0: no bound.
+	// MaxConns bounds the open connections; those above it are reset. 0: no bound.
 	MaxConns int
 	// ConnectCost delays the first read of each connection. 0: none.
 	ConnectCost time.Duration
@@ -45,8 +46,8 @@
 	done  chan error
 }
 
-// Start listens and serves all requests with handler. The handler's context
-// ends when its client disconnects; request bodies are streamed.
+// Start listens and serves all requests with handler. The handler's context is
+// cancelled when its client disconnects; request bodies are streamed.
 func Start(cfg Config, handler app.HandlerFunc) (*Server, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -74,13 +75,14 @@
 	return s, nil
 }
 
-// Addr returns the address in use, with the port that was picked.
+// Addr returns the listen address, with the port that was chosen for port 0.
 func (s *Server) Addr() string { return s.Conns.Addr().String() }
 
-// Close breaks all connections and waits for the handlers to end.
+// Close resets all connections and waits for the handlers to return.
 func (s *Server) Close() error {
-	// hertz closes the listener itself: a shutdown after that would not wait.
-	s.Conns.refuse.Store(true)
+	// The listener stays open, as hertz closes it itself: Shutdown would not wait
+	// if it were closed before. New connections are reset instead.
+	s.Conns.resetNew.Store(true)
 	s.Conns.Reset()
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/bench/standin/httpd/httpd_test.go
+++ b/bench/standin/httpd/httpd_test.go
@@ -20,17 +20,17 @@
 	})
 	is.NoErr(err)
 	first := dial(t, s)
-	one := make([]byte, 1)
+	buf := make([]byte, 1)
 	_, err = first.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
-	_, err = first.Read(one)
+	_, err = first.Read(buf)
 	is.NoErr(err)
 
-	// The reset may be seen by the dial already, if the server is that quick.
+	// Dial may already see the reset, if the server is fast enough.
 	second, err := net.Dial("tcp", s.Addr())
 	if err == nil {
 		defer second.Close()
-		_, err = second.Read(one)
+		_, err = second.Read(buf)
 	}
 	is.True(errors.Is(err, syscall.ECONNRESET))
 	is.Equal(s.Conns.Rejected(), int64(1))
@@ -39,7 +39,7 @@
 	is.Equal(s.Conns.Open(), 0)
 }
 
-func TestBusyPort(t *testing.T) {
+func TestStartFailsIfPortInUse(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
