--- a/bench/standin/platform/faults.go
+++ b/bench/standin/platform/faults.go
@@ -2,79 +2,82 @@
 
 import "sync"
 
-// Faults is what is wrong with the platform. The zero value is a healthy one.
+// Faults are the faults injected into the platform. The zero value injects none.
 type Faults struct {
-	// Down breaks the connection of each call, which does nothing.
+	// Down resets the connection of each call without executing the call.
 	Down bool `json:"down"`
-	// DelayMS holds each answer back, after the call took effect.
+	// DelayMS delays each answer, after the call has taken effect.
 	DelayMS int `json:"delay_ms"`
-	// DelayApplyMS lets a call take effect late, also if its client has gone.
+	// DelayApplyMS delays the effect of each call, which takes place even if the
+	// client has disconnected.
 	DelayApplyMS int `json:"delay_apply_ms"`
-	// LoseAnswerEvery N lets each Nth write since the faults were set take
-	// effect and breaks its connection; 0: none.
+	// LoseAnswerEvery N resets the connection of each Nth write since the faults
+	// were set, after it has taken effect; 0: none.
 	LoseAnswerEvery int `json:"lose_answer_every"`
-	// RefuseWrites denies writes.
+	// RefuseWrites rejects writes with the service's access-denied error.
 	RefuseWrites bool `json:"refuse_writes"`
-	// Throttle answers each call with the service's throttling error.
+	// Throttle rejects each call with the service's throttling error.
 	Throttle bool `json:"throttle"`
 }
 
-// Counters is what GET /control/counters tells.
+// Counters are the counters that GET /control/counters reports.
 type Counters struct {
-	// Reads and Writes count the calls that the services acted on, a
-	// transaction as one write; Items counts its rows, which the platform bills.
+	// Reads and Writes count the calls that were executed, a transaction as one
+	// write. Items counts the rows and objects of writes, which is what the
+	// platform bills.
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 	Items  int64 `json:"items"`
 	// Conflicts counts the writes whose condition did not hold.
 	Conflicts int64 `json:"conflicts"`
-	// Denied counts calls that were throttled, denied or broken without effect.
+	// Denied counts calls that were throttled, denied or reset without effect.
 	Denied int64 `json:"denied"`
-	// Lost counts writes that took effect and whose answer was lost.
+	// Lost counts writes that took effect but whose answer was dropped.
 	Lost int64 `json:"lost"`
 }
 
-// ledger holds the faults and the counters together: which write is the Nth
-// must not depend on how calls interleave.
-type ledger struct {
-	mu     sync.Mutex
-	faults Faults
-	since  int // writes since the faults were set
-	count  Counters
+// faultState holds the faults and the counters under one lock, so that which write
+// is the Nth does not depend on how calls interleave.
+type faultState struct {
+	mu             sync.Mutex
+	faults         Faults
+	writesSinceSet int // writes since the faults were set
+	counts         Counters
 }
 
-func (l *ledger) set(f Faults) {
+func (l *faultState) set(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults, l.since = f, 0
+	l.faults, l.writesSinceSet = f, 0
 }
 
-func (l *ledger) get() Faults {
+func (l *faultState) get() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-func (l *ledger) update(f func(*Counters)) {
+func (l *faultState) update(f func(*Counters)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(&l.count)
+	f(&l.counts)
 }
 
-func (l *ledger) counters() Counters {
+func (l *faultState) counters() Counters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.count
+	return l.counts
 }
 
-// wrote notes a write that took effect and reports whether its answer is lost.
-func (l *ledger) wrote() bool {
+// recordWrite counts a write that took effect and reports whether its answer is
+// dropped.
+func (l *faultState) recordWrite() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since++
-	if n := l.faults.LoseAnswerEvery; n == 0 || l.since%n != 0 {
+	l.writesSinceSet++
+	if n := l.faults.LoseAnswerEvery; n == 0 || l.writesSinceSet%n != 0 {
 		return false
 	}
-	l.count.Lost++
+	l.counts.Lost++
 	return true
 }
--- a/bench/standin/platform/platform_test.go
+++ b/bench/standin/platform/platform_test.go
@@ -21,11 +21,11 @@
 	"peardrift/internal/port"
 )
 
-// hertzDate is hertz's one goroutine per process for the Date header; it has
-// no end.
-const hertzDate = "github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"
+// hertzDateUpdater is the goroutine that hertz starts once per process to update
+// the Date header; it never exits.
+const hertzDateUpdater = "github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(hertzDate)) }
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(hertzDateUpdater)) }
 
 type env struct {
 	*platform.Server
@@ -68,7 +68,7 @@
 	is.NoErr(e.table.Put(t.Context(), p))
 	got, err := e.table.Get(t.Context(), "head")
 	is.NoErr(err)
-	p.Item.Expires = time.Unix(1001, 0) // never early
+	p.Item.Expires = time.Unix(1001, 0) // rounded up, so that rows never expire early
 	is.Equal(got, p.Item)
 
 	is.True(errors.Is(e.table.Put(t.Context(), put("head", 0, "b")), port.ErrConditionFailed))
@@ -87,10 +87,10 @@
 	_, err = e.table.Get(t.Context(), "c")
 	is.True(errors.Is(err, port.ErrNotFound))
 	err = e.table.PutAll(t.Context(), []port.Put{put("d", 0, "2"), put("d", 0, "2")})
-	is.True(errors.Is(err, port.ErrUnavailable)) // one row twice: refused as a whole
+	is.True(errors.Is(err, port.ErrUnavailable)) // duplicate row: the whole transaction is rejected
 }
 
-func TestOneOfManyWritersWins(t *testing.T) {
+func TestConcurrentConditionalPutsHaveOneWinner(t *testing.T) {
 	const writers = 16
 	is, e := is.New(t), start(t)
 	errs := make([]error, writers)
@@ -138,17 +138,16 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Symptom: a write is reported as lost to somebody else, or done twice, or
-// reported as not done though it was.
-// Events: the platform fails in one of its ways while a row is written.
-// Cause: the adapter said more than it knew, or tried again by itself.
+// Guards against the adapters reporting a failed write as a lost condition,
+// reporting an applied write as not applied, or applying it twice by retrying
+// internally when the platform fails during a write.
 func TestFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		faults  platform.Faults
 		write   error
 		object  error
-		read    error // of a row that was there before
+		read    error // of a row written before the fault
 		applied bool
 	}{
 		{"none", platform.Faults{}, nil, nil, nil, true},
@@ -170,15 +169,14 @@
 			e.SetFaults(platform.Faults{})
 			got, err := e.table.Get(t.Context(), "new")
 			is.Equal(err == nil, tc.applied)
-			is.Equal(got.Token == "new", tc.applied) // settles what was ambiguous
+			is.Equal(got.Token == "new", tc.applied) // the token resolves an ambiguous write
 		})
 	}
 }
 
-// Symptom: a caller reads back that its write isn't there, and it comes later.
-// Events: a write is held up before it takes effect, its caller gives up.
-// Cause: the end of a call doesn't end the write.
-func TestWriteTakesEffectAfterItsCallerLeft(t *testing.T) {
+// A delayed write takes effect after its caller timed out, so a read in between
+// does not see it. Cancelling a call does not cancel its write.
+func TestDelayedWriteTakesEffectAfterCallerTimeout(t *testing.T) {
 	is, e := is.New(t), start(t)
 	e.SetFaults(platform.Faults{DelayApplyMS: 300})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -187,7 +185,7 @@
 	for e.Counters().Writes == 0 {
 		select {
 		case <-t.Context().Done():
-			t.Fatal("the write never came")
+			t.Fatal("the write did not take effect")
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -197,7 +195,7 @@
 	is.Equal(got.Token, "x")
 }
 
-func TestRefusedConnectionWroteNothing(t *testing.T) {
+func TestRefusedConnectionIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/bench/standin/platform/server.go
+++ b/bench/standin/platform/server.go
@@ -12,27 +12,28 @@
 	"peardrift/bench/standin/httpd"
 )
 
-// Server is one running platform.
+// Server is the platform stand-in.
 type Server struct {
 	http    *httpd.Server
 	tables  tables
 	objects objects
-	ledger  ledger
+	state   faultState
 	stopped context.Context
 	stop    context.CancelFunc
 }
 
-// New returns an empty platform that isn't listening yet.
+// New returns a Server without data that is not listening yet.
 func New() *Server {
 	s := &Server{
 		tables:  tables{rows: make(map[rowID]row)},
-		objects: objects{m: make(map[string][]byte)},
+		objects: objects{byName: make(map[string][]byte)},
 	}
 	s.stopped, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// Start listens, "127.0.0.1:0" for a free port, and serves until Close.
+// Start listens on an address, "127.0.0.1:0" for a free port, and serves until
+// Close.
 func (s *Server) Start(listen string) error {
 	h, err := httpd.Start(httpd.Config{Listen: listen}, s.serve)
 	if err != nil {
@@ -42,33 +43,32 @@
 	return nil
 }
 
-// Addr returns the address in use.
+// Addr returns the listen address.
 func (s *Server) Addr() string { return s.http.Addr() }
 
 // URL returns the endpoint of both services.
 func (s *Server) URL() string { return "http://" + s.Addr() }
 
-// Close breaks all calls and waits for them. From then on connections are
-// refused; the memory is lost.
+// Close aborts all calls, waits for them and stops listening. The data is lost.
 func (s *Server) Close() error {
 	s.stop()
 	return s.http.Close()
 }
 
-// SetFaults replaces the faults in force.
-func (s *Server) SetFaults(f Faults) { s.ledger.set(f) }
+// SetFaults replaces the injected faults.
+func (s *Server) SetFaults(f Faults) { s.state.set(f) }
 
-// Counters returns what GET /control/counters tells.
-func (s *Server) Counters() Counters { return s.ledger.counters() }
+// Counters returns the counters that GET /control/counters reports.
+func (s *Server) Counters() Counters { return s.state.counters() }
 
 // call is one request, copied from hertz, which reuses its contexts.
 type call struct {
-	method  string
-	path    string
-	op      string // of the table service; empty: the object store's call
-	body    []byte
-	onlyNew bool
-	chunked bool
+	method   string
+	path     string
+	op       string // operation of the table service; empty: object store call
+	body     []byte
+	ifAbsent bool
+	chunked  bool
 }
 
 func (c call) isWrite() bool {
@@ -78,12 +78,12 @@
 	return c.method == http.MethodPut
 }
 
-// reply is one answer; lost means that it must not reach the client.
+// reply is one answer; drop resets the connection instead of sending it.
 type reply struct {
-	code int
-	kind string
-	body []byte
-	lost bool
+	code        int
+	contentType string
+	body        []byte
+	drop        bool
 }
 
 func (s *Server) serve(_ context.Context, c *app.RequestContext) {
@@ -109,51 +109,52 @@
 		c.String(http.StatusBadRequest, err.Error())
 		return
 	}
-	r := s.answer(req)
-	if r.lost {
+	r := s.handle(req)
+	if r.drop {
 		s.http.Conns.ResetPeer(c.RemoteAddr().String())
 		return
 	}
-	c.Data(r.code, r.kind, r.body)
+	c.Data(r.code, r.contentType, r.body)
 }
 
 func readCall(c *app.RequestContext) (call, error) {
 	body, err := c.Body()
 	op, _ := strings.CutPrefix(string(c.GetHeader("X-Amz-Target")), targetPrefix)
 	return call{
-		method:  string(c.Method()),
-		path:    string(c.Path()),
-		op:      op,
-		body:    bytes.Clone(body),
-		onlyNew: string(c.GetHeader("If-None-Match")) == "*",
-		chunked: strings.Contains(string(c.GetHeader("Content-Encoding")), "aws-chunked"),
+		method:   string(c.Method()),
+		path:     string(c.Path()),
+		op:       op,
+		body:     bytes.Clone(body),
+		ifAbsent: string(c.GetHeader("If-None-Match")) == "*",
+		chunked:  strings.Contains(string(c.GetHeader("Content-Encoding")), "aws-chunked"),
 	}, err
 }
 
-// answer does one call under the faults in force.
-func (s *Server) answer(c call) reply {
-	f := s.ledger.get()
-	if r, denied := deny(f, c); denied {
-		s.ledger.update(func(c *Counters) { c.Denied++ })
+// handle executes one call under the current faults.
+func (s *Server) handle(c call) reply {
+	f := s.state.get()
+	if r, denied := denyByFaults(f, c); denied {
+		s.state.update(func(c *Counters) { c.Denied++ })
 		return r
 	}
-	s.wait(f.DelayApplyMS)
-	r := s.act(c)
-	s.wait(f.DelayMS)
+	s.delay(f.DelayApplyMS)
+	r := s.execute(c)
+	s.delay(f.DelayMS)
 	return r
 }
 
-// deny returns the answer to a call that the faults keep from taking effect.
-func deny(f Faults, c call) (reply, bool) {
+// denyByFaults returns the answer to a call that the faults reject before it takes
+// effect.
+func denyByFaults(f Faults, c call) (reply, bool) {
 	switch {
 	case f.Down:
-		return reply{lost: true}, true
+		return reply{drop: true}, true
 	case f.Throttle && c.op != "":
-		return tableReply(nil, fail(errThrottled, "throttled")), true
+		return tableReply(nil, newFailure(errThrottled, "throttled")), true
 	case f.Throttle:
 		return objectFailure(http.StatusServiceUnavailable, "SlowDown"), true
 	case f.RefuseWrites && c.isWrite() && c.op != "":
-		return tableReply(nil, fail(errDenied, "no writes")), true
+		return tableReply(nil, newFailure(errDenied, "no writes")), true
 	case f.RefuseWrites && c.isWrite():
 		return objectFailure(http.StatusForbidden, "AccessDenied"), true
 	default:
@@ -161,14 +162,14 @@
 	}
 }
 
-func (s *Server) act(c call) reply {
+func (s *Server) execute(c call) reply {
 	if c.op != "" {
 		return s.serveTable(c.op, c.body)
 	}
 	return s.serveObject(c)
 }
 
-func (s *Server) wait(ms int) {
+func (s *Server) delay(ms int) {
 	if ms <= 0 {
 		return
 	}
--- a/bench/standin/platform/table.go
+++ b/bench/standin/platform/table.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	targetPrefix  = "DynamoDB_20120810."
-	errorPrefix   = "com.amazonaws.dynamodb.v20120810#"
-	keyAttribute  = "pk"
-	condAbsent    = "attribute_not_exists(pk)"
-	maxPuts       = 100
-	reasonNone    = "None"
-	reasonFailed  = "ConditionalCheckFailed"
-	errCondition  = "ConditionalCheckFailedException"
-	errCanceled   = "TransactionCanceledException"
-	errValidation = "ValidationException"
-	errThrottled  = "ProvisionedThroughputExceededException"
-	errDenied     = "AccessDeniedException"
+	targetPrefix     = "DynamoDB_20120810."
+	errorPrefix      = "com.amazonaws.dynamodb.v20120810#"
+	keyAttribute     = "pk"
+	condAbsent       = "attribute_not_exists(pk)"
+	maxTransactItems = 100
+	reasonNone       = "None"
+	reasonFailed     = "ConditionalCheckFailed"
+	errCondition     = "ConditionalCheckFailedException"
+	errCanceled      = "TransactionCanceledException"
+	errValidation    = "ValidationException"
+	errThrottled     = "ProvisionedThroughputExceededException"
+	errDenied        = "AccessDeniedException"
 )
 
 // attr is one attribute value of the protocol.
@@ -39,7 +39,8 @@
 	return *s, true
 }
 
-// tableWrite is the part that PutItem, DeleteItem and a transaction share.
+// tableWrite holds the fields that PutItem, DeleteItem and the items of a
+// transaction have in common.
 type tableWrite struct {
 	TableName                 string
 	Item                      row
@@ -56,7 +57,7 @@
 	}
 }
 
-// failure is an error answer of the protocol.
+// failure is an error response of the protocol.
 type failure struct {
 	Type    string   `json:"__type"`
 	Message string   `json:"message"`
@@ -65,23 +66,23 @@
 
 type reason struct{ Code, Message string }
 
-func fail(kind, message string) *failure {
-	return &failure{Type: errorPrefix + kind, Message: message}
+func newFailure(errorType, message string) *failure {
+	return &failure{Type: errorPrefix + errorType, Message: message}
 }
 
 type rowID struct{ table, key string }
 
-// tables is the table service's memory.
+// tables holds the rows of the table service.
 type tables struct {
 	mu   sync.Mutex
 	rows map[rowID]row
 }
 
-// get returns the answer to GetItem.
+// get handles GetItem.
 func (t *tables) get(c tableCall) (any, *failure) {
 	key, ok := c.Key.key()
 	if !ok {
-		return nil, fail(errValidation, "the key is missing")
+		return nil, newFailure(errValidation, "the key attribute is missing or empty")
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +92,7 @@
 	return out, nil
 }
 
-// writes returns the rows that a call writes; a Delete has no Item.
+// writes returns the writes of a call; a delete has no Item.
 func (c tableCall) writes(op string) ([]tableWrite, *failure) {
 	var ws []tableWrite
 	for _, it := range c.TransactItems {
@@ -105,14 +106,14 @@
 	if op != "TransactWriteItems" {
 		return []tableWrite{c.tableWrite}, nil
 	}
-	if len(ws) == 0 || len(ws) > maxPuts || len(ws) != len(c.TransactItems) {
-		return nil, fail(errValidation, "1 to 100 puts or deletes")
+	if len(ws) == 0 || len(ws) > maxTransactItems || len(ws) != len(c.TransactItems) {
+		return nil, newFailure(errValidation, "a transaction must have 1 to 100 puts or deletes")
 	}
 	return ws, nil
 }
 
-// write does all of ws or nothing, and tells of each why it failed, "None" for
-// those that would have been done.
+// write applies all of ws or none of them. It returns a cancellation reason for
+// each write, "None" if its condition held.
 func (t *tables) write(ws []tableWrite) ([]reason, *failure) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,19 +125,19 @@
 			key, ok = w.Key.key()
 		}
 		id := rowID{w.TableName, key}
-		if _, twice := ids[id]; !ok || twice {
-			return nil, fail(errValidation, "a key is missing or there twice")
+		if _, duplicate := ids[id]; !ok || duplicate {
+			return nil, newFailure(errValidation, "a key is missing or duplicated")
 		}
 		ids[id] = w.Item
-		holds, known := w.holds(t.rows[id])
+		holds, known := w.checkCondition(t.rows[id])
 		if !known {
-			return nil, fail(errValidation, "unknown condition: "+w.ConditionExpression)
+			return nil, newFailure(errValidation, "unknown condition: "+w.ConditionExpression)
 		}
-		reasons = append(reasons, verdict(holds))
+		reasons = append(reasons, conditionReason(holds))
 	}
 	for _, r := range reasons {
 		if r.Code != reasonNone {
-			return reasons, fail(errCanceled, "a condition did not hold")
+			return reasons, newFailure(errCanceled, "a condition did not hold")
 		}
 	}
 	for id, item := range ids {
@@ -149,16 +150,17 @@
 	return reasons, nil
 }
 
-func verdict(holds bool) reason {
+func conditionReason(holds bool) reason {
 	if holds {
 		return reason{Code: reasonNone}
 	}
 	return reason{Code: reasonFailed, Message: "The conditional request failed"}
 }
 
-// holds evaluates a condition against the present row (nil: there is none). It
-// knows attribute_not_exists(pk) and "attribute = :argument".
-func (w tableWrite) holds(old row) (holds, known bool) {
+// checkCondition evaluates the write's condition against the current row (nil: no
+// row). It supports attribute_not_exists(pk) and "attribute = :argument"; known is
+// false for any other expression.
+func (w tableWrite) checkCondition(old row) (holds, known bool) {
 	if w.ConditionExpression == "" {
 		return true, true
 	}
@@ -179,15 +181,15 @@
 	return errX == nil && errY == nil && string(x) == string(y)
 }
 
-// serveTable answers one call of the table service.
+// serveTable handles one call of the table service.
 func (s *Server) serveTable(op string, body []byte) reply {
 	var c tableCall
 	if err := json.Unmarshal(body, &c); err != nil {
-		return tableReply(nil, fail(errValidation, err.Error()))
+		return tableReply(nil, newFailure(errValidation, err.Error()))
 	}
 	switch op {
 	case "GetItem":
-		s.ledger.update(func(c *Counters) { c.Reads++ })
+		s.state.update(func(c *Counters) { c.Reads++ })
 		return tableReply(s.tables.get(c))
 	case "PutItem", "DeleteItem", "TransactWriteItems":
 		ws, f := c.writes(op)
@@ -196,13 +198,13 @@
 		}
 		return s.writeTable(op, ws)
 	default:
-		return tableReply(nil, fail("UnknownOperationException", op))
+		return tableReply(nil, newFailure("UnknownOperationException", op))
 	}
 }
 
 func (s *Server) writeTable(op string, ws []tableWrite) reply {
 	reasons, f := s.tables.write(ws)
-	s.ledger.update(func(c *Counters) {
+	s.state.update(func(c *Counters) {
 		c.Writes++
 		c.Items += int64(len(ws))
 		if len(reasons) > 0 && f != nil {
@@ -212,7 +214,7 @@
 	switch {
 	case f == nil:
 		r := tableReply(struct{}{}, nil)
-		r.lost = s.ledger.wrote()
+		r.drop = s.state.recordWrite()
 		return r
 	case len(reasons) == 0:
 		return tableReply(nil, f)
@@ -220,7 +222,7 @@
 		f.Reasons = reasons
 		return tableReply(nil, f)
 	default:
-		return tableReply(nil, fail(errCondition, reasons[0].Message))
+		return tableReply(nil, newFailure(errCondition, reasons[0].Message))
 	}
 }
 
@@ -233,5 +235,5 @@
 	if err != nil {
 		panic(err) // plain strings and bytes always marshal
 	}
-	return reply{code: code, kind: "application/x-amz-json-1.0", body: body}
+	return reply{code: code, contentType: "application/x-amz-json-1.0", body: body}
 }
