--- a/bench/standin/target/answer.go
+++ b/bench/standin/target/answer.go
@@ -10,8 +10,7 @@
 	"peardrift/internal/status"
 )
 
-// Codes of answers that aren't what their target built: another request's, or
-// a fragment.
+// Codes of corrupt answers: an answer to another request, or a truncated one.
 const (
 	CodeAnswer  status.Code = "wrong-answer"
 	CodePartial status.Code = "partial-answer"
@@ -19,8 +18,8 @@
 
 const fillLetters = "abcdefghijklmnopqrstuvwxyz012345"
 
-// Answer is the body of a completed run. All its bytes follow from its fields,
-// and Fill from the others, so that a receiver can rebuild it and compare.
+// Answer is the body of a completed run. Its encoding is deterministic and Fill
+// is derived from the other fields, so that a receiver can rebuild and compare it.
 type Answer struct {
 	Service  string   `json:"service"`
 	Path     string   `json:"path"`
@@ -36,13 +35,13 @@
 type Result struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Status is the HTTP status; 0 if no whole answer came.
+	// Status is the HTTP status; 0 if no whole answer was received.
 	Status int `json:"status"`
 	// Answer is the whole answer of a completed call, null otherwise.
 	Answer *Answer `json:"answer"`
 }
 
-// Encode returns the answer's bytes, with Fill filled in.
+// Encode returns the answer's bytes, with Fill set.
 func (a Answer) Encode() []byte {
 	a.Fill = fill(a.Service, a.Path, a.Mark, a.Size)
 	b, err := json.Marshal(a)
@@ -52,8 +51,8 @@
 	return b
 }
 
-// fill returns n letters that differ by service, path and mark, so that a
-// fragment of another request's answer is seen.
+// fill returns n pseudorandom letters seeded by service, path and mark, so that a
+// fragment of another request's answer is detected.
 func fill(service, path, mark string, n int) string {
 	seed := xxhash.Sum64String(service + "\x00" + path + "\x00" + mark)
 	src := rand.NewPCG(seed, uint64(n))
@@ -67,12 +66,12 @@
 	return string(b)
 }
 
-// Verify checks that body is byte for byte the whole answer to mark, down all
-// its calls, and returns it.
+// Verify checks that body is, byte for byte, the whole answer to the request with
+// mark, including the answers of all nested calls, and returns it.
 func Verify(body []byte, mark string) (Answer, error) {
 	var a Answer
 	if err := json.Unmarshal(body, &a); err != nil {
-		return a, status.Wrap(CodePartial, err, "%d bytes are no whole answer", len(body))
+		return a, status.Wrap(CodePartial, err, "%d bytes are not a whole answer", len(body))
 	}
 	if err := a.verify(mark); err != nil {
 		return a, err
@@ -88,7 +87,7 @@
 		return status.New(CodeAnswer, "%s answered mark %q, not %q", a.Service, a.Mark, mark)
 	}
 	if a.Fill != fill(a.Service, a.Path, a.Mark, a.Size) {
-		return status.New(CodeAnswer, "the filling of %s is not its own", a.Service)
+		return status.New(CodeAnswer, "the fill bytes of %s belong to another answer", a.Service)
 	}
 	for _, r := range a.Calls {
 		if r.Answer == nil {
--- a/bench/standin/target/calls.go
+++ b/bench/standin/target/calls.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// maxIdle is the number of idle connections kept to the node.
-	maxIdle = 256
-	// maxReason is how much of a failed answer is told to the caller, in bytes:
-	// enough for the problem document of a refusal three calls below.
-	maxReason = 1024
+	// maxIdleConns bounds the idle connections kept per host.
+	maxIdleConns = 256
+	// maxErrorBody bounds how much of a failed answer is included in the error, in
+	// bytes: enough for the problem document of a refusal three calls deeper.
+	maxErrorBody = 1024
 )
 
-// caller makes a target's outgoing calls. It uses net/http and not hertz,
-// whose client doesn't end a call when its context is cancelled.
+// caller makes a target's outgoing calls. It uses net/http because the client of
+// hertz does not abort a call when its context is cancelled.
 type caller struct {
-	cfg    Config
-	client *http.Client
-	next   atomic.Uint64
-	count  *counters
+	cfg        Config
+	client     *http.Client
+	nextDirect atomic.Uint64
+	count      *counters
 
 	mu  sync.Mutex
-	rng *rand.Rand // draws whether calls with a chance are made
+	rng *rand.Rand // decides whether calls with a Chance are made
 }
 
 func newCaller(cfg Config, count *counters) *caller {
-	tr := &http.Transport{MaxIdleConnsPerHost: maxIdle, DisableCompression: true}
+	tr := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	return &caller{cfg: cfg, client: &http.Client{Transport: tr, Timeout: cfg.CallTimeout}, count: count, rng: rand.New(rand.NewPCG(cfg.Seed, 2))}
 }
 
 func (c *caller) close() { c.client.CloseIdleConnections() }
 
-// origin is what a run's calls take from the request that it serves.
-type origin struct{ traceparent, mark, key string }
+// propagated holds the values that a run passes from its request to its calls.
+type propagated struct{ traceparent, mark, key string }
 
-// all makes a route's calls and returns their results in the route's order.
-// The error is the first required call's that failed.
-func (c *caller) all(ctx context.Context, r Route, o origin) ([]Result, error) {
-	calls := c.draw(r.Calls)
+// callAll makes a route's calls and returns their results in the route's order. It
+// returns the error of the first required call that failed.
+func (c *caller) callAll(ctx context.Context, r Route, o propagated) ([]Result, error) {
+	calls := c.drawCalls(r.Calls)
 	results := make([]Result, len(calls))
 	errs := make([]error, len(calls))
 	var wg sync.WaitGroup
 	for i, call := range calls {
 		if r.Parallel {
-			wg.Go(func() { results[i], errs[i] = c.one(ctx, call, o) })
+			wg.Go(func() { results[i], errs[i] = c.callWithRetries(ctx, call, o) })
 			continue
 		}
-		results[i], errs[i] = c.one(ctx, call, o)
+		results[i], errs[i] = c.callWithRetries(ctx, call, o)
 		if errs[i] != nil && call.Required {
 			return results, errs[i]
 		}
@@ -69,8 +69,8 @@
 	return results, nil
 }
 
-// draw returns the calls that this run makes.
-func (c *caller) draw(calls []Call) []Call {
+// drawCalls randomly selects the calls that a run makes, by their Chance.
+func (c *caller) drawCalls(calls []Call) []Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	made := make([]Call, 0, len(calls))
@@ -82,7 +82,7 @@
 	return made
 }
 
-func (c *caller) one(ctx context.Context, call Call, o origin) (Result, error) {
+func (c *caller) callWithRetries(ctx context.Context, call Call, o propagated) (Result, error) {
 	res := Result{Service: call.Service, Path: call.Path}
 	var err error
 	for range max(1, call.Attempts) {
@@ -97,7 +97,7 @@
 	return res, err
 }
 
-func (c *caller) attempt(ctx context.Context, call Call, o origin) (int, *Answer, error) {
+func (c *caller) attempt(ctx context.Context, call Call, o propagated) (int, *Answer, error) {
 	req, err := c.request(ctx, call, o)
 	if err != nil {
 		return 0, nil, err
@@ -113,7 +113,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, nil, status.New(status.CodeTargetFailed, "%s%s answered %d: %s",
-			call.Service, call.Path, resp.StatusCode, body[:min(len(body), maxReason)])
+			call.Service, call.Path, resp.StatusCode, body[:min(len(body), maxErrorBody)])
 	}
 	a, err := Verify(body, o.mark)
 	if err != nil {
@@ -122,16 +122,16 @@
 	return resp.StatusCode, &a, nil
 }
 
-func (c *caller) request(ctx context.Context, call Call, o origin) (*http.Request, error) {
+func (c *caller) request(ctx context.Context, call Call, o propagated) (*http.Request, error) {
 	base := c.cfg.Node
 	if direct := c.cfg.Direct[call.Service]; len(direct) > 0 {
-		base = direct[c.next.Add(1)%uint64(len(direct))]
+		base = direct[c.nextDirect.Add(1)%uint64(len(direct))]
 	}
 	method := call.Method
 	if method == "" {
 		method = http.MethodGet
 	}
-	// The mark goes in the query: a target passes on no header but traceparent.
+	// The mark goes into the query: a target propagates no header but traceparent.
 	target := base + call.Path + "?mark=" + url.QueryEscape(o.mark)
 	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
@@ -142,8 +142,8 @@
 		req.Header.Set("traceparent", o.traceparent)
 	}
 	if call.Key {
-		// In lower case: by the usual spelling net/http takes the call as safe
-		// to repeat, and would make calls that nobody counts.
+		// In lower case: with the canonical name net/http treats the call as
+		// replayable and would add retries that are not counted.
 		req.Header[strings.ToLower(headerKey)] = []string{o.key + "/" + call.Service + call.Path}
 	}
 	return req, nil
--- a/bench/standin/target/config.go
+++ b/bench/standin/target/config.go
@@ -16,82 +16,83 @@
 	DistLognormal   = "lognormal"
 )
 
-// Config describes one stand-in target. Durations are written as "2ms" in YAML.
+// Config configures one stand-in target. YAML durations have the form "2ms".
 type Config struct {
-	// Service is the name in answers, as "feed.khaosan".
+	// Service is the service name in answers, for example "feed.khaosan".
 	Service string `yaml:"service"`
-	// Listen is the address; default "127.0.0.1:0", a free port.
+	// Listen is the listen address; default "127.0.0.1:0", a free port.
 	Listen string `yaml:"listen"`
-	// Node is the URL of the target face of this target's node, where calls go.
+	// Node is the URL of the node's egress listener, which receives outgoing calls.
 	Node string `yaml:"node"`
-	// Direct maps a service to URLs of its targets; calls to it go there in
-	// turn and not through the node: the baseline of a comparison.
+	// Direct maps a service to the URLs of its targets. Calls to it bypass the node
+	// and go to these in round-robin order, as a baseline for comparison.
 	Direct map[string][]string `yaml:"direct"`
-	// Slots is the work executed at once; default 25. A slot is held during calls.
+	// Slots is the number of concurrent runs; default 25. A run holds its slot
+	// during its calls.
 	Slots int `yaml:"slots"`
-	// Queue bounds the work that waits for a slot, further work gets 503 with
-	// Retry-After; 0: no bound.
+	// Queue bounds the requests that wait for a slot; those above it get 503 with
+	// Retry-After. 0: no bound.
 	Queue int `yaml:"queue"`
 	// Shed answers 503 with Retry-After at once when no slot is free.
 	Shed bool `yaml:"shed"`
-	// MaxConns bounds open connections; further ones are reset. 0: no bound.
+	// MaxConns bounds open connections; those above it are reset. 0: no bound.
 	MaxConns int `yaml:"max_conns"`
 	// ConnectCost delays the first read on each connection.
 	ConnectCost time.Duration `yaml:"connect_cost"`
-	// ServiceTime is the mean time that a run holds its slot beside its calls;
-	// a route may set its own. Default 2ms.
+	// ServiceTime is the mean time that a run holds its slot, not counting its
+	// calls; a route may override it. Default 2ms.
 	ServiceTime time.Duration `yaml:"service_time"`
 	// Dist is fixed, exponential or lognormal; default fixed.
 	Dist string `yaml:"dist"`
-	// Sigma is the lognormal shape; default 0.5.
+	// Sigma is the shape parameter of the lognormal distribution; default 0.5.
 	Sigma float64 `yaml:"sigma"`
-	// Seed seeds the draws of service times.
+	// Seed seeds the random service times and call probabilities.
 	Seed uint64 `yaml:"seed"`
-	// ColdFor is the time after a start during which runs take ColdFactor times
-	// as long.
+	// ColdFor is the duration of a cold start, during which runs take ColdFactor
+	// times as long.
 	ColdFor    time.Duration `yaml:"cold_for"`
 	ColdFactor float64       `yaml:"cold_factor"`
-	// IgnoreDeadline runs work on past X-Request-Deadline-Ms.
+	// IgnoreDeadline continues runs past X-Request-Deadline-Ms.
 	IgnoreDeadline bool `yaml:"ignore_deadline"`
-	// IgnoreCancel runs work on though its client has gone.
+	// IgnoreCancel continues runs whose client has disconnected.
 	IgnoreCancel bool `yaml:"ignore_cancel"`
-	// HealthLag is how late /healthz tells of a drain, and from when new work
-	// is refused.
+	// HealthLag is the delay after the start of a drain until /healthz reports it
+	// and new requests are refused.
 	HealthLag time.Duration `yaml:"health_lag"`
-	// HealthLies makes /healthz say 200 always.
+	// HealthLies makes /healthz always answer 200.
 	HealthLies bool `yaml:"health_lies"`
-	// LoadLag is how old the figures of /load are.
+	// LoadLag is the age of the values that /load reports.
 	LoadLag time.Duration `yaml:"load_lag"`
-	// LoadLie, if set, is the utilization that /load always tells.
+	// LoadLie, if set, is the utilization that /load always reports.
 	LoadLie *float64 `yaml:"load_lie"`
-	// RunsFile, if set, is a file to which each run adds a line when it begins:
-	// service, path, key and mark, with tabs between. It outlives the process, so
-	// that runs are counted though their target is killed.
+	// RunsFile, if set, is a file to which each run appends a tab-separated line
+	// when it starts: service, path, key, mark. It outlives the process, so that
+	// the runs of a killed target are counted.
 	RunsFile string `yaml:"runs_file"`
-	// WorkFile, if set, is a file to which each run adds a line when it ends:
-	// service, path, mark, begin (Unix time in µs) and the time that it held its
-	// slot (µs), with tabs between.
+	// WorkFile, if set, is a file to which each run appends a tab-separated line
+	// when it ends: service, path, mark, start (Unix time in µs), slot holding
+	// time (µs).
 	WorkFile string `yaml:"work_file"`
 	// CallTimeout bounds one outgoing call; default 10s.
 	CallTimeout time.Duration `yaml:"call_timeout"`
-	// Routes is tried in order; the first whose method and prefix match runs.
+	// Routes are tried in order; the first whose method and prefix match is used.
 	Routes []Route `yaml:"routes"`
 
-	// OnCrash replaces the library's own crash (break all connections, drop all
-	// work, start cold again); the process sets it to an exit.
+	// OnCrash replaces the simulated crash (reset all connections, drop all runs,
+	// start cold); the stand-in's main program sets it to exit the process.
 	OnCrash func() `yaml:"-"`
 }
 
-// Route is one kind of work.
+// Route describes the runs of matching requests.
 type Route struct {
 	// Method is empty for any method.
 	Method string `yaml:"method"`
 	Prefix string `yaml:"prefix"`
-	// ServiceTime is the mean of this route; 0: the target's.
+	// ServiceTime is the mean service time; 0: Config.ServiceTime.
 	ServiceTime time.Duration `yaml:"service_time"`
-	// Size is the number of filling bytes in the answer.
+	// Size is the number of fill bytes in the answer.
 	Size int `yaml:"size"`
-	// Parallel makes all the calls at once, not one after the other.
+	// Parallel makes the calls concurrently instead of sequentially.
 	Parallel bool   `yaml:"parallel"`
 	Calls    []Call `yaml:"calls"`
 	// CrashMark crashes the target when the request's mark contains it, or when
@@ -99,22 +100,23 @@
 	CrashMark string `yaml:"crash_mark"`
 }
 
-// Call is one call to a further service.
+// Call is an outgoing call to another service.
 type Call struct {
 	Service string `yaml:"service"`
 	Method  string `yaml:"method"` // default GET
 	Path    string `yaml:"path"`
-	// Key sends an Idempotency-Key derived from the request's own.
+	// Key sends an Idempotency-Key derived from that of the request.
 	Key bool `yaml:"key"`
 	// Chance is the probability that the call is made, 0 to 1; 0: always.
 	Chance float64 `yaml:"chance"`
-	// Required fails the whole request when the call fails.
+	// Required fails the request when the call fails.
 	Required bool `yaml:"required"`
-	// Attempts is how often the call is tried in all; default 1.
+	// Attempts is the maximum number of attempts; default 1.
 	Attempts int `yaml:"attempts"`
 }
 
-// DefaultConfig returns a small target of a service with one route for all.
+// DefaultConfig returns the configuration of a small target with one route that
+// matches every request.
 func DefaultConfig(service string) Config {
 	return Config{
 		Service:     service,
@@ -129,8 +131,8 @@
 	}
 }
 
-// Load reads a Config from a YAML file over the defaults, then applies override
-// (may be nil) and checks it; unknown keys are refused.
+// Load reads a Config from a YAML file over the defaults, applies override (may be
+// nil) and validates the result. Unknown keys are errors.
 func Load(file string, override func(*Config)) (Config, error) {
 	cfg := DefaultConfig("")
 	raw, err := os.ReadFile(file)
@@ -146,7 +148,7 @@
 	return cfg, cfg.Validate()
 }
 
-// Validate reports the first setting that can't be used.
+// Validate returns an error for the first invalid setting.
 func (c Config) Validate() error {
 	switch {
 	case c.Service == "":
@@ -154,7 +156,7 @@
 	case c.Slots < 1:
 		return status.New(status.CodeInvalidSettings, "slots: %d, must be at least 1", c.Slots)
 	case c.Dist != DistFixed && c.Dist != DistExponential && c.Dist != DistLognormal:
-		return status.New(status.CodeInvalidSettings, "dist: %q is not known", c.Dist)
+		return status.New(status.CodeInvalidSettings, "dist: unknown distribution %q", c.Dist)
 	}
 	for _, r := range c.Routes {
 		for _, call := range r.Calls {
--- a/bench/standin/target/counters.go
+++ b/bench/standin/target/counters.go
@@ -2,28 +2,28 @@
 
 import "sync"
 
-// Counters is what GET /control/counters tells.
+// Counters are the counters that GET /control/counters reports.
 type Counters struct {
 	// Runs counts the runs per route ("METHOD prefix") and key: the request's
-	// Idempotency-Key, or else its mark.
+	// Idempotency-Key or, without one, its mark.
 	Runs map[string]map[string]int `json:"runs"`
-	// Started counts runs that got a slot; each ends as one of Finished,
-	// Cancelled (stopped early) and Failed (a required call failed).
+	// Started counts runs that got a slot; each is counted once more as Finished,
+	// Cancelled (stopped early) or Failed (a required call failed).
 	Started   int64 `json:"started"`
 	Finished  int64 `json:"finished"`
 	Cancelled int64 `json:"cancelled"`
 	Failed    int64 `json:"failed"`
-	// Useless counts runs that were finished after their client had gone or
+	// Useless counts runs that finished after their client had disconnected or
 	// their deadline had passed.
 	Useless int64 `json:"useless"`
 	// Shed counts requests answered 503 without a run.
 	Shed int64 `json:"shed"`
-	// Abandoned counts requests whose client had gone before they got a slot.
+	// Abandoned counts requests cancelled before they got a slot.
 	Abandoned int64 `json:"abandoned"`
-	// AfterDrain counts requests that came after a drain began.
+	// AfterDrain counts requests received after a drain began.
 	AfterDrain int64 `json:"after_drain"`
 	Crashes    int64 `json:"crashes"`
-	// Calls counts outgoing calls, each attempt once.
+	// Calls counts the attempts at outgoing calls.
 	Calls         int64 `json:"calls"`
 	InFlight      int   `json:"in_flight"`
 	Queued        int   `json:"queued"`
@@ -64,7 +64,7 @@
 	})
 }
 
-// snapshot returns a copy that later runs don't change.
+// snapshot returns a deep copy.
 func (c *counters) snapshot() Counters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/bench/standin/target/doc.go
+++ b/bench/standin/target/doc.go
@@ -1,10 +1,12 @@
-// Package target is a stand-in for one target instance of a service: it runs
-// work in slots, makes calls to further services through its node, and can be
-// made to misbehave in each way that the brief names.
+// Package target is a stand-in for one target instance of a service. It executes
+// requests in a fixed number of slots, calls other services through its node, and
+// can inject faults: crashes, slow runs, silent connections, stale or false health
+// and load reports, ignored deadlines and cancellations.
 //
-// It announces itself by nothing; its node's settings name it. Work is any path
-// that matches a route. Beside it there are GET /healthz, GET /load and the
-// test bench's own POST /control/{drain,slow,silence} and GET /control/counters.
+// A target does not register anywhere; its node's settings contain its address.
+// Any path that matches a route executes a run. Further endpoints are GET /healthz,
+// GET /load and, for tests, POST /control/{drain,slow,silence} and
+// GET /control/counters.
 //
-// A Server is safe for concurrent use. Close ends all its work and goroutines.
+// A Server is safe for concurrent use. Close stops all its runs and goroutines.
 package target
--- a/bench/standin/target/handler.go
+++ b/bench/standin/target/handler.go
@@ -20,15 +20,15 @@
 	headerCrash    = "X-Crash"
 	headerDeadline = "X-Request-Deadline-Ms"
 	headerKey      = "Idempotency-Key"
-	// maxBodyMark bounds the body that is taken for a mark.
+	// maxBodyMark is the size of the longest body that is used as a mark, in bytes.
 	maxBodyMark = 256
 	retryAfter  = "1"
 )
 
 var (
-	errDeadline = status.New(status.CodeDeadlineExceeded, "the deadline passed")
-	errGone     = status.New(status.CodeCanceled, "the client has gone")
-	errBusy     = status.New(status.CodeOverloaded, "no slot is free")
+	errDeadline   = status.New(status.CodeDeadlineExceeded, "the deadline passed")
+	errClientGone = status.New(status.CodeCanceled, "the client has gone")
+	errNoFreeSlot = status.New(status.CodeOverloaded, "no slot is free")
 )
 
 func (s *Server) serve(ctx context.Context, c *app.RequestContext) {
@@ -37,7 +37,7 @@
 	case "/healthz", "/health":
 		s.health(c)
 	case "/load":
-		c.JSON(http.StatusOK, s.toldLoad(time.Now()))
+		c.JSON(http.StatusOK, s.reportedLoad(time.Now()))
 	case "/control/counters":
 		c.JSON(http.StatusOK, s.Counters())
 	case "/control/drain", "/control/silence", "/control/slow":
@@ -48,7 +48,7 @@
 }
 
 func (s *Server) health(c *app.RequestContext) {
-	if s.leaving(time.Now()) && !s.cfg.HealthLies {
+	if s.drainVisible(time.Now()) && !s.cfg.HealthLies {
 		c.String(http.StatusServiceUnavailable, "draining")
 		return
 	}
@@ -60,7 +60,7 @@
 	case "/control/drain":
 		s.Drain()
 	case "/control/silence":
-		// All but the one that must still carry this answer.
+		// Except the connection that carries this answer.
 		s.http.Conns.Silence(c.RemoteAddr().String())
 	case "/control/slow":
 		var arg struct {
@@ -75,22 +75,22 @@
 	c.Status(http.StatusNoContent)
 }
 
-// job is one request for work, copied from hertz, which reuses its contexts.
+// job is one request for a run, copied from hertz, which reuses its contexts.
 type job struct {
-	route    Route
-	path     string
-	origin   origin
-	received int64
-	digest   uint64
-	deadline time.Time // zero: none
-	crash    bool
+	route      Route
+	path       string
+	propagated propagated
+	received   int64
+	digest     uint64
+	deadline   time.Time // zero: none
+	crash      bool
 }
 
 func (s *Server) work(ctx context.Context, c *app.RequestContext, path string) {
-	if s.drain.Load() != nil {
+	if s.drainStart.Load() != nil {
 		s.count.update(func(c *Counters) { c.AfterDrain++ })
 	}
-	if s.leaving(time.Now()) {
+	if s.drainVisible(time.Now()) {
 		c.Response.Header.SetConnectionClose(true)
 		s.shed(c, "draining")
 		return
@@ -130,22 +130,22 @@
 			j.received, err = io.Copy(h, stream)
 		}
 		if err != nil {
-			return j, status.Wrap(status.CodeMalformed, err, "the body is not whole")
+			return j, status.Wrap(status.CodeMalformed, err, "read the body")
 		}
 		j.received += int64(len(head))
 	}
 	j.digest = h.Sum64()
-	j.origin = readOrigin(c, head)
+	j.propagated = readPropagated(c, head)
 	j.crash = r.CrashMark != "" &&
-		(strings.Contains(j.origin.mark, r.CrashMark) || string(c.GetHeader(headerCrash)) == r.CrashMark)
+		(strings.Contains(j.propagated.mark, r.CrashMark) || string(c.GetHeader(headerCrash)) == r.CrashMark)
 	if ms, err := strconv.ParseInt(string(c.GetHeader(headerDeadline)), 10, 64); err == nil {
 		j.deadline = time.Now().Add(time.Duration(ms) * time.Millisecond)
 	}
 	return j, nil
 }
 
-func readOrigin(c *app.RequestContext, head []byte) origin {
-	o := origin{
+func readPropagated(c *app.RequestContext, head []byte) propagated {
+	o := propagated{
 		traceparent: string(c.GetHeader("traceparent")),
 		mark:        string(c.GetHeader(headerMark)),
 		key:         string(c.GetHeader(headerKey)),
@@ -162,8 +162,8 @@
 	return o
 }
 
-// run waits for a slot, holds it for the service time and the calls, and
-// returns the answer.
+// run waits for a slot, holds it for the service time and the calls, and returns
+// the answer's body.
 func (s *Server) run(client context.Context, j job) ([]byte, error) {
 	ctx, cancel := s.runContext(client, j)
 	defer cancel()
@@ -171,9 +171,9 @@
 		return nil, err
 	}
 	defer func() { <-s.slots }()
-	s.noteRun(j)
-	defer s.noteWork(j, time.Now())
-	s.count.start(j.route.Method+" "+j.route.Prefix, j.origin.key)
+	s.logRun(j)
+	defer s.logWork(j, time.Now())
+	s.count.start(j.route.Method+" "+j.route.Prefix, j.propagated.key)
 	defer s.count.update(func(c *Counters) { c.InFlight-- })
 
 	body, err := s.execute(ctx, j)
@@ -199,21 +199,21 @@
 	if mean == 0 {
 		mean = s.cfg.ServiceTime
 	}
-	if err := sleep(ctx, s.pace.draw(time.Now(), mean)); err != nil {
+	if err := sleepContext(ctx, s.serviceTimes.draw(time.Now(), mean)); err != nil {
 		return nil, err
 	}
 	if j.crash {
 		s.Crash()
 		return nil, errStopped
 	}
-	results, err := s.calls.all(ctx, j.route, j.origin)
+	results, err := s.caller.callAll(ctx, j.route, j.propagated)
 	if err != nil {
 		return nil, err
 	}
 	return Answer{
 		Service:  s.cfg.Service,
 		Path:     j.path,
-		Mark:     j.origin.mark,
+		Mark:     j.propagated.mark,
 		Received: j.received,
 		Digest:   j.digest,
 		Size:     j.route.Size,
@@ -221,23 +221,24 @@
 	}.Encode(), nil
 }
 
-// runContext ends with the target's life, and with the client's or the deadline
-// if the target honours them.
+// runContext returns a context that is cancelled when the target crashes or stops
+// and, unless the target ignores them, when the client disconnects or the deadline
+// passes.
 func (s *Server) runContext(client context.Context, j job) (context.Context, context.CancelFunc) {
-	ctx, end := context.WithCancelCause(s.lifetime().ctx)
+	ctx, cancel := context.WithCancelCause(s.currentScope().ctx)
 	stops := []func() bool{}
 	if !s.cfg.IgnoreCancel {
-		stops = append(stops, context.AfterFunc(client, func() { end(errGone) }))
+		stops = append(stops, context.AfterFunc(client, func() { cancel(errClientGone) }))
 	}
 	if !s.cfg.IgnoreDeadline && !j.deadline.IsZero() {
-		t := time.AfterFunc(time.Until(j.deadline), func() { end(errDeadline) })
+		t := time.AfterFunc(time.Until(j.deadline), func() { cancel(errDeadline) })
 		stops = append(stops, t.Stop)
 	}
 	return ctx, func() {
 		for _, stop := range stops {
 			stop()
 		}
-		end(nil)
+		cancel(nil)
 	}
 }
 
@@ -248,12 +249,12 @@
 	default:
 	}
 	if s.cfg.Shed {
-		return errBusy
+		return errNoFreeSlot
 	}
-	queued := s.queue.Add(1)
-	defer s.queue.Add(-1)
+	queued := s.queued.Add(1)
+	defer s.queued.Add(-1)
 	if s.cfg.Queue > 0 && queued > int64(s.cfg.Queue) {
-		return errBusy
+		return errNoFreeSlot
 	}
 	select {
 	case s.slots <- struct{}{}:
@@ -264,10 +265,10 @@
 	}
 }
 
-func (s *Server) shed(c *app.RequestContext, why string) {
+func (s *Server) shed(c *app.RequestContext, reason string) {
 	s.count.update(func(c *Counters) { c.Shed++ })
 	c.Response.Header.Set("Retry-After", retryAfter)
-	c.String(http.StatusServiceUnavailable, why)
+	c.String(http.StatusServiceUnavailable, reason)
 }
 
 func (s *Server) answer(c *app.RequestContext, body []byte, err error) {
@@ -275,7 +276,7 @@
 	switch {
 	case err == nil:
 		c.Data(http.StatusOK, "application/json", body)
-	case err == error(errBusy):
+	case err == error(errNoFreeSlot):
 		s.shed(c, "busy")
 	case errors.As(err, &e) && (e.Code == status.CodeDeadlineExceeded || e.Code == status.CodeConnectionLost):
 		c.String(http.StatusGatewayTimeout, err.Error())
--- a/bench/standin/target/server.go
+++ b/bench/standin/target/server.go
@@ -12,61 +12,62 @@
 	"peardrift/internal/status"
 )
 
-// minSample bounds how often the load is sampled for a lagging /load.
-const minSample = 5 * time.Millisecond
+// minSampleInterval is the shortest interval between load samples for LoadLag.
+const minSampleInterval = 5 * time.Millisecond
 
-// errStopped ends the work of a target that crashed or was closed.
+// errStopped is the cancellation cause of the runs of a target that crashed or was
+// closed.
 var errStopped = status.New(status.CodeConnectionLost, "the target stopped")
 
-// Server is one running target.
+// Server is one stand-in target.
 type Server struct {
-	cfg   Config
-	http  *httpd.Server
-	slots chan struct{}
-	queue atomic.Int64
-	pace  *pace
-	loads loadLog
-	count counters
-	runs  *os.File // nil: not written
-	held  *os.File // nil: not written
-	calls *caller
-	drain atomic.Pointer[time.Time] // since when it drains
-
-	mu   sync.Mutex
-	life context.Context // ends with a crash or Close
-	kill context.CancelCauseFunc
+	cfg          Config
+	http         *httpd.Server
+	slots        chan struct{}
+	queued       atomic.Int64
+	serviceTimes *serviceTimer
+	loadReadings loadHistory
+	count        counters
+	runsFile     *os.File // nil: not written
+	workFile     *os.File // nil: not written
+	caller       *caller
+	drainStart   atomic.Pointer[time.Time] // since when it drains
+
+	mu         sync.Mutex
+	runCtx     context.Context // ends with a crash or Close
+	cancelRuns context.CancelCauseFunc
 
 	stop     chan struct{}
 	sampling sync.WaitGroup
 }
 
-// New returns a target that isn't listening yet.
+// New returns a target that is not listening yet.
 func New(cfg Config) *Server {
 	s := &Server{
-		cfg:   cfg,
-		slots: make(chan struct{}, max(1, cfg.Slots)),
-		pace:  newPace(cfg, time.Now()),
-		stop:  make(chan struct{}),
+		cfg:          cfg,
+		slots:        make(chan struct{}, max(1, cfg.Slots)),
+		serviceTimes: newServiceTimer(cfg, time.Now()),
+		stop:         make(chan struct{}),
 	}
 	s.count.c.Runs = make(map[string]map[string]int)
-	s.calls = newCaller(cfg, &s.count)
-	s.life, s.kill = context.WithCancelCause(context.Background())
+	s.caller = newCaller(cfg, &s.count)
+	s.runCtx, s.cancelRuns = context.WithCancelCause(context.Background())
 	return s
 }
 
-// Start checks the settings, opens the port and serves until Close.
+// Start validates the configuration, starts listening and serves until Close.
 func (s *Server) Start() error {
 	if err := s.cfg.Validate(); err != nil {
 		return err
 	}
 	var err error
-	if s.runs, err = appendTo(s.cfg.RunsFile); err != nil {
+	if s.runsFile, err = openAppend(s.cfg.RunsFile); err != nil {
 		return err
 	}
-	if s.held, err = appendTo(s.cfg.WorkFile); err != nil {
+	if s.workFile, err = openAppend(s.cfg.WorkFile); err != nil {
 		return err
 	}
-	s.pace.restart(time.Now(), s.cfg.ColdFor)
+	s.serviceTimes.startCold(time.Now(), s.cfg.ColdFor)
 	h, err := httpd.Start(httpd.Config{
 		Listen:      s.cfg.Listen,
 		MaxConns:    s.cfg.MaxConns,
@@ -77,13 +78,13 @@
 	}
 	s.http = h
 	if s.cfg.LoadLag > 0 {
-		s.sampling.Go(s.sample)
+		s.sampling.Go(s.sampleLoad)
 	}
 	return nil
 }
 
-// appendTo opens a file of lines; nil for none.
-func appendTo(name string) (*os.File, error) {
+// openAppend opens a file for appending; nil if name is empty.
+func openAppend(name string) (*os.File, error) {
 	if name == "" {
 		return nil, nil
 	}
@@ -94,118 +95,120 @@
 	return f, nil
 }
 
-// noteRun adds a run to the file of runs, by one write, so that lines of
-// several processes don't mix.
-func (s *Server) noteRun(j job) {
-	if s.runs != nil {
-		_, _ = fmt.Fprintf(s.runs, "%s\t%s\t%s\t%s\n", s.cfg.Service, j.path, j.origin.key, j.origin.mark)
+// logRun appends a run to RunsFile in a single write, so that the lines of several
+// processes don't interleave.
+func (s *Server) logRun(j job) {
+	if s.runsFile != nil {
+		_, _ = fmt.Fprintf(s.runsFile, "%s\t%s\t%s\t%s\n", s.cfg.Service, j.path, j.propagated.key, j.propagated.mark)
 	}
 }
 
-// noteWork adds a run that has ended to the file of work.
-func (s *Server) noteWork(j job, began time.Time) {
-	if s.held != nil {
-		_, _ = fmt.Fprintf(s.held, "%s\t%s\t%s\t%d\t%d\n", s.cfg.Service, j.path, j.origin.mark,
+// logWork appends a run that has ended to WorkFile.
+func (s *Server) logWork(j job, began time.Time) {
+	if s.workFile != nil {
+		_, _ = fmt.Fprintf(s.workFile, "%s\t%s\t%s\t%d\t%d\n", s.cfg.Service, j.path, j.propagated.mark,
 			began.UnixMicro(), time.Since(began).Microseconds())
 	}
 }
 
-// Addr returns the address in use.
+// Addr returns the listen address.
 func (s *Server) Addr() string { return s.http.Addr() }
 
 // URL returns the base URL of the target.
 func (s *Server) URL() string { return "http://" + s.Addr() }
 
-// Close stops all work at once and waits for it. Call it once, after Start.
+// Close cancels all runs and waits for them. Call it once, after Start.
 func (s *Server) Close() error {
 	close(s.stop)
-	s.lifetime().end(errStopped)
+	s.currentScope().cancel(errStopped)
 	err := s.http.Close()
-	s.calls.close()
+	s.caller.close()
 	s.sampling.Wait()
-	_ = s.runs.Close() // of no file is an error that nobody needs
-	_ = s.held.Close()
+	_ = s.runsFile.Close() // closing a nil file returns an error, which is ignored
+	_ = s.workFile.Close()
 	return err
 }
 
-// Counters returns what /control/counters tells.
+// Counters returns the counters that /control/counters reports.
 func (s *Server) Counters() Counters {
 	c := s.count.snapshot()
-	c.Queued = int(s.queue.Load())
+	c.Queued = int(s.queued.Load())
 	c.OpenConns = s.http.Conns.Open()
 	c.RejectedConns = s.http.Conns.Rejected()
 	return c
 }
 
-// Drain starts a graceful stop: work in flight finishes.
+// Drain starts a drain: runs in flight finish, new requests are refused after
+// HealthLag.
 func (s *Server) Drain() {
 	now := time.Now()
-	s.drain.CompareAndSwap(nil, &now)
+	s.drainStart.CompareAndSwap(nil, &now)
 }
 
 // Slow multiplies service times by factor from the next run on; 1 is normal.
-func (s *Server) Slow(factor float64) { s.pace.setFactor(factor) }
+func (s *Server) Slow(factor float64) { s.serviceTimes.setFactor(factor) }
 
-// Silence makes the connections open now go silent; new ones work.
+// Silence makes the currently open connections drop all traffic; new ones work.
 func (s *Server) Silence() { s.http.Conns.Silence("") }
 
-// Crash does what a request with the crash mark does.
+// Crash has the same effect as a request with the crash mark.
 func (s *Server) Crash() {
 	s.count.update(func(c *Counters) { c.Crashes++ })
 	if s.cfg.OnCrash != nil {
 		s.cfg.OnCrash()
 		return
 	}
-	// The next life begins first: who sees its connection break may send again
-	// before this goroutine runs on, and would meet the life that has ended.
-	old := s.lifetime()
+	// The new context is set first: a client that sees its connection reset may
+	// retry before this goroutine continues, and its run must not start under the
+	// cancelled context.
+	old := s.currentScope()
 	s.mu.Lock()
-	s.life, s.kill = context.WithCancelCause(context.Background())
+	s.runCtx, s.cancelRuns = context.WithCancelCause(context.Background())
 	s.mu.Unlock()
 	s.http.Conns.Reset()
-	old.end(errStopped)
-	s.pace.restart(time.Now(), s.cfg.ColdFor)
+	old.cancel(errStopped)
+	s.serviceTimes.startCold(time.Now(), s.cfg.ColdFor)
 }
 
-type lifetime struct {
-	ctx context.Context
-	end context.CancelCauseFunc
+type runScope struct {
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 }
 
-func (s *Server) lifetime() lifetime {
+func (s *Server) currentScope() runScope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return lifetime{s.life, s.kill}
+	return runScope{s.runCtx, s.cancelRuns}
 }
 
-// sample notes the load for a lagging /load until Close.
-func (s *Server) sample() {
-	t := time.NewTicker(max(minSample, s.cfg.LoadLag/20))
+// sampleLoad records the load at intervals for LoadLag until Close.
+func (s *Server) sampleLoad() {
+	t := time.NewTicker(max(minSampleInterval, s.cfg.LoadLag/20))
 	defer t.Stop()
 	for {
 		select {
 		case now := <-t.C:
-			s.loads.add(now, s.load(), s.cfg.LoadLag)
+			s.loadReadings.add(now, s.load(), s.cfg.LoadLag)
 		case <-s.stop:
 			return
 		}
 	}
 }
 
-// load returns the true load of now.
+// load returns the actual current load.
 func (s *Server) load() load {
 	n := len(s.slots)
 	return load{InFlight: n, Slots: cap(s.slots), Utilization: float64(n) / float64(cap(s.slots))}
 }
 
-// toldLoad returns what /load says.
-func (s *Server) toldLoad(now time.Time) load {
+// reportedLoad returns the load that /load reports.
+func (s *Server) reportedLoad(now time.Time) load {
 	switch {
 	case s.cfg.LoadLie != nil:
 		u := *s.cfg.LoadLie
 		return load{InFlight: int(u * float64(cap(s.slots))), Slots: cap(s.slots), Utilization: u}
 	case s.cfg.LoadLag > 0:
-		v := s.loads.at(now, s.cfg.LoadLag)
+		v := s.loadReadings.at(now, s.cfg.LoadLag)
 		v.Slots = cap(s.slots)
 		return v
 	default:
@@ -213,8 +216,9 @@
 	}
 }
 
-// leaving reports whether a drain is known to the outside.
-func (s *Server) leaving(now time.Time) bool {
-	since := s.drain.Load()
+// drainVisible reports whether a drain started at least HealthLag ago, so that it
+// is visible to clients.
+func (s *Server) drainVisible(now time.Time) bool {
+	since := s.drainStart.Load()
 	return since != nil && now.Sub(*since) >= s.cfg.HealthLag
 }
--- a/bench/standin/target/target_test.go
+++ b/bench/standin/target/target_test.go
@@ -19,14 +19,14 @@
 	"peardrift/bench/standin/target"
 )
 
-// never is a service time that no test waits for.
-const never = time.Hour
+// hugeServiceTime is a service time that exceeds every test's duration.
+const hugeServiceTime = time.Hour
 
-// hertzDate is hertz's one goroutine per process for the Date header; it has
-// no end.
-const hertzDate = "github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"
+// hertzDateUpdater is the goroutine that hertz starts once per process to update
+// the Date header; it never exits.
+const hertzDateUpdater = "github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(hertzDate)) }
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction(hertzDateUpdater)) }
 
 func start(t *testing.T, cfg target.Config) *target.Server {
 	t.Helper()
@@ -56,19 +56,19 @@
 	return resp.StatusCode, string(b), err
 }
 
-// until waits for a state that the target reaches by itself.
-func until(t *testing.T, s *target.Server, ok func(target.Counters) bool) {
+// waitForCounters polls the target's counters until ok reports true.
+func waitForCounters(t *testing.T, s *target.Server, ok func(target.Counters) bool) {
 	t.Helper()
 	for !ok(s.Counters()) {
 		select {
 		case <-t.Context().Done():
-			t.Fatal("not reached")
+			t.Fatal("the counters did not reach the expected state")
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-func TestAnswerIncludesWholeAnswersOfCalls(t *testing.T) {
+func TestAnswerContainsCallAnswers(t *testing.T) {
 	is := is.New(t)
 	archive := start(t, target.DefaultConfig("archive.khaosan"))
 	cfg := target.DefaultConfig("feed.khaosan")
@@ -96,15 +96,15 @@
 		_, err = target.Verify([]byte(body), "m2")
 		is.True(err != nil) // another request's answer
 		_, err = target.Verify([]byte(body[:len(body)-1]), "m1"+path)
-		is.True(err != nil) // a fragment
+		is.True(err != nil) // a truncated answer
 		_, err = target.Verify([]byte(strings.Replace(body, `"path":"/photos"`, `"path":"/items"`, 1)), "m1"+path)
-		is.True(err != nil) // a piece of another call's answer
+		is.True(err != nil) // another call's answer
 	}
 	is.Equal(archive.Counters().Runs[" /"]["m1/morning/archive.khaosan/items"], 1)
 	is.Equal(archive.Counters().Runs[" /"]["m1/morning"], 1)
 }
 
-func TestCallsWithAChance(t *testing.T) {
+func TestCallProbability(t *testing.T) {
 	is := is.New(t)
 	archive := start(t, target.DefaultConfig("archive.khaosan"))
 	cfg := target.DefaultConfig("feed.khaosan")
@@ -121,14 +121,14 @@
 		_, err = target.Verify([]byte(body), "a")
 		is.NoErr(err)
 	}
-	made := feed.Counters().Calls // the draws are seeded
+	made := feed.Counters().Calls // the random draws are seeded
 	is.True(made > runs/4 && made < 3*runs/4)
 	lines, err := os.ReadFile(cfg.WorkFile)
 	is.NoErr(err)
 	is.Equal(strings.Count(string(lines), "feed.khaosan\t/\ta\t"), runs)
 }
 
-func TestRequiredCallFailsTheWhole(t *testing.T) {
+func TestRequiredCallFailsRequest(t *testing.T) {
 	for _, tc := range []struct {
 		required bool
 		attempts int
@@ -150,9 +150,9 @@
 	}
 }
 
-func TestWorkStops(t *testing.T) {
+func TestRunCancellation(t *testing.T) {
 	cfg := target.DefaultConfig("archive.khaosan")
-	cfg.ServiceTime = never
+	cfg.ServiceTime = hugeServiceTime
 	t.Run("at the deadline", func(t *testing.T) {
 		is := is.New(t)
 		s := start(t, cfg)
@@ -165,9 +165,9 @@
 		s := start(t, cfg)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _, _, _ = do(ctx, "GET", s.URL()+"/", nil, "") }()
-		until(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
+		waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 		cancel()
-		until(t, s, func(c target.Counters) bool { return c.Cancelled == 1 })
+		waitForCounters(t, s, func(c target.Counters) bool { return c.Cancelled == 1 })
 	})
 	t.Run("but not where cancellation is ignored", func(t *testing.T) {
 		slow := cfg
@@ -176,13 +176,13 @@
 		s := start(t, slow)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _, _, _ = do(ctx, "GET", s.URL()+"/", nil, "") }()
-		until(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
+		waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 		cancel()
-		until(t, s, func(c target.Counters) bool { return c.Useless == 1 })
+		waitForCounters(t, s, func(c target.Counters) bool { return c.Useless == 1 })
 	})
 }
 
-func TestFullSlots(t *testing.T) {
+func TestNoFreeSlot(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		set  func(*target.Config)
@@ -194,13 +194,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			cfg := target.DefaultConfig("archive.khaosan")
-			cfg.Slots, cfg.ServiceTime = 1, never
+			cfg.Slots, cfg.ServiceTime = 1, hugeServiceTime
 			tc.set(&cfg)
 			s := start(t, cfg)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() { _, _, _ = do(ctx, "GET", s.URL()+"/", nil, "") }()
-			until(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
+			waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 			if tc.shed {
 				code, _, err := do(ctx, "GET", s.URL()+"/", nil, "")
 				is.NoErr(err)
@@ -209,7 +209,7 @@
 				return
 			}
 			go func() { _, _, _ = do(ctx, "GET", s.URL()+"/", nil, "") }()
-			until(t, s, func(c target.Counters) bool { return c.Queued == 1 })
+			waitForCounters(t, s, func(c target.Counters) bool { return c.Queued == 1 })
 			is.Equal(s.Counters().Started, int64(1))
 		})
 	}
@@ -226,7 +226,7 @@
 		is.NoErr(err)
 		is.Equal(code, 200)
 	})
-	until(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
+	waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 	code, _, err := do(t.Context(), "POST", s.URL()+"/control/drain", nil, "")
 	is.NoErr(err)
 	is.Equal(code, 204)
@@ -239,7 +239,7 @@
 	is.Equal(s.Counters().AfterDrain, int64(1))
 }
 
-func TestLoadReport(t *testing.T) {
+func TestReportedLoad(t *testing.T) {
 	lie := 0.25
 	for _, tc := range []struct {
 		name string
@@ -248,18 +248,18 @@
 	}{
 		{"true", func(*target.Config) {}, 0.5},
 		{"lying", func(c *target.Config) { c.LoadLie = &lie }, 0.25},
-		{"lagging", func(c *target.Config) { c.LoadLag = never }, 0},
+		{"lagging", func(c *target.Config) { c.LoadLag = hugeServiceTime }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			cfg := target.DefaultConfig("archive.khaosan")
-			cfg.Slots, cfg.ServiceTime = 2, never
+			cfg.Slots, cfg.ServiceTime = 2, hugeServiceTime
 			tc.set(&cfg)
 			s := start(t, cfg)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			go func() { _, _, _ = do(ctx, "GET", s.URL()+"/", nil, "") }()
-			until(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
+			waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 			_, body, err := do(ctx, "GET", s.URL()+"/load", nil, "")
 			is.NoErr(err)
 			var got struct {
@@ -273,20 +273,19 @@
 	}
 }
 
-// Symptom: a marked request breaks the target, and others in flight with it.
-// Events: one call in flight, then one whose mark contains the crash mark.
-// Cause: the crash ends the process; its connections break for all.
+// A request whose mark contains the crash mark resets the connections of all
+// requests in flight, as the crash of a process does.
 func TestCrashBreaksAllConnections(t *testing.T) {
 	is := is.New(t)
 	cfg := target.DefaultConfig("archive.khaosan")
-	cfg.Routes = []target.Route{{Prefix: "/slow", ServiceTime: never}, {Prefix: "/", CrashMark: "poison"}}
+	cfg.Routes = []target.Route{{Prefix: "/slow", ServiceTime: hugeServiceTime}, {Prefix: "/", CrashMark: "poison"}}
 	s := start(t, cfg)
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		_, _, err := do(t.Context(), "POST", s.URL()+"/slow", nil, "bystander")
 		is.True(err != nil)
 	})
-	until(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
+	waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 	_, _, err := do(t.Context(), "POST", s.URL()+"/x", nil, "a poison body")
 	is.True(err != nil)
 	wg.Wait()
@@ -296,10 +295,9 @@
 	is.Equal(s.Counters().Crashes, int64(1))
 }
 
-// Symptom: calls on an old connection never end, calls on new ones do.
-// Events: a connection is used, something between the ends loses track of it.
-// Cause: bytes are dropped both ways, and no end of stream is seen.
-func TestSilentConnection(t *testing.T) {
+// A silenced connection drops bytes in both directions without a FIN, as when a
+// middlebox loses its state: calls on it never end, calls on new connections do.
+func TestSilencedConnectionsCarryNothing(t *testing.T) {
 	is := is.New(t)
 	s := start(t, target.DefaultConfig("archive.khaosan"))
 	code, _, err := do(t.Context(), "GET", s.URL()+"/", nil, "")
@@ -316,7 +314,7 @@
 	_, _, err = do(ctx, "GET", s.URL()+"/", nil, "")
 	is.True(err != nil)
 	is.True(reused)
-	is.Equal(s.Counters().Started, int64(1)) // it never arrived
+	is.Equal(s.Counters().Started, int64(1)) // the request did not arrive
 
 	code, _, err = do(t.Context(), "GET", s.URL()+"/", nil, "")
 	is.NoErr(err)
--- a/bench/standin/target/work.go
+++ b/bench/standin/target/work.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// pace draws service times. Safe for concurrent use.
-type pace struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	dist   string
-	sigma  float64
-	factor float64 // set at run time, 1 is normal
-	cold   float64
-	until  time.Time // end of the cold start
+// serviceTimer draws random service times. Safe for concurrent use.
+type serviceTimer struct {
+	mu         sync.Mutex
+	rng        *rand.Rand
+	dist       string
+	sigma      float64
+	factor     float64 // multiplier set at run time; 1 is normal
+	coldFactor float64
+	coldUntil  time.Time // end of the cold start
 }
 
-func newPace(cfg Config, now time.Time) *pace {
-	p := &pace{
-		rng:    rand.New(rand.NewPCG(cfg.Seed, 1)),
-		dist:   cfg.Dist,
-		sigma:  cfg.Sigma,
-		factor: 1,
-		cold:   cfg.ColdFactor,
+func newServiceTimer(cfg Config, now time.Time) *serviceTimer {
+	p := &serviceTimer{
+		rng:        rand.New(rand.NewPCG(cfg.Seed, 1)),
+		dist:       cfg.Dist,
+		sigma:      cfg.Sigma,
+		factor:     1,
+		coldFactor: cfg.ColdFactor,
 	}
-	p.restart(now, cfg.ColdFor)
+	p.startCold(now, cfg.ColdFor)
 	return p
 }
 
-func (p *pace) restart(now time.Time, coldFor time.Duration) {
+func (p *serviceTimer) startCold(now time.Time, coldFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.until = now.Add(coldFor)
+	p.coldUntil = now.Add(coldFor)
 }
 
-func (p *pace) setFactor(f float64) {
+func (p *serviceTimer) setFactor(f float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.factor = f
 }
 
-// draw returns the time that a run which starts at now takes.
-func (p *pace) draw(now time.Time, mean time.Duration) time.Duration {
+// draw returns the service time of a run that starts at now.
+func (p *serviceTimer) draw(now time.Time, mean time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := float64(mean) * p.factor
@@ -52,17 +52,17 @@
 	case DistExponential:
 		d *= p.rng.ExpFloat64()
 	case DistLognormal:
-		// Shifted by -sigma²/2, so that the mean stays the given one.
+		// Shifted by -sigma²/2 to keep the mean.
 		d *= math.Exp(p.sigma*p.rng.NormFloat64() - p.sigma*p.sigma/2)
 	}
-	if now.Before(p.until) {
-		d *= p.cold
+	if now.Before(p.coldUntil) {
+		d *= p.coldFactor
 	}
 	return time.Duration(d)
 }
 
-// sleep waits for d or for the end of ctx, and reports which.
-func sleep(ctx context.Context, d time.Duration) error {
+// sleepContext waits for d. It returns ctx's cause if ctx is done before.
+func sleepContext(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -73,17 +73,17 @@
 	}
 }
 
-// load is one reading for /load.
+// load is the body of a /load answer.
 type load struct {
 	InFlight    int     `json:"in_flight"`
 	Slots       int     `json:"slots"`
 	Utilization float64 `json:"utilization"`
 }
 
-// loadLog keeps past readings, so that /load can lag.
-type loadLog struct {
-	mu   sync.Mutex
-	past []reading
+// loadHistory keeps past load readings, so that /load can report stale ones.
+type loadHistory struct {
+	mu       sync.Mutex
+	readings []reading
 }
 
 type reading struct {
@@ -91,22 +91,23 @@
 	load load
 }
 
-// add notes a reading and forgets those that nobody can ask for any more.
-func (l *loadLog) add(now time.Time, v load, lag time.Duration) {
+// add appends a reading and removes those that are too old to be reported.
+func (l *loadHistory) add(now time.Time, v load, lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.past = append(l.past, reading{now, v})
-	for len(l.past) > 1 && now.Sub(l.past[1].at) >= lag {
-		l.past = l.past[1:]
+	l.readings = append(l.readings, reading{now, v})
+	for len(l.readings) > 1 && now.Sub(l.readings[1].at) >= lag {
+		l.readings = l.readings[1:]
 	}
 }
 
-// at returns the newest reading that is at least lag old, or else the oldest.
-func (l *loadLog) at(now time.Time, lag time.Duration) load {
+// at returns the newest reading that is at least lag old, or the oldest one if
+// there is none.
+func (l *loadHistory) at(now time.Time, lag time.Duration) load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var v load
-	for i, r := range l.past {
+	for i, r := range l.readings {
 		if i > 0 && now.Sub(r.at) < lag {
 			break
 		}
--- a/bench/standin/target/work_test.go
+++ b/bench/standin/target/work_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-func TestDraw(t *testing.T) {
+func TestServiceTimeMean(t *testing.T) {
 	const draws, mean = 20_000, 10 * time.Millisecond
 	now := time.Unix(0, 0)
 	for _, tc := range []struct {
 		dist   string
 		factor float64
 		at     time.Time
-		want   time.Duration // of the mean
+		want   time.Duration // expected mean
 	}{
 		{DistFixed, 1, now.Add(time.Hour), mean},
 		{DistExponential, 1, now.Add(time.Hour), mean},
@@ -26,7 +26,7 @@
 	} {
 		cfg := DefaultConfig("archive.khaosan")
 		cfg.Dist, cfg.Seed, cfg.ColdFor, cfg.ColdFactor = tc.dist, 1, time.Minute, 5
-		p := newPace(cfg, now)
+		p := newServiceTimer(cfg, now)
 		p.setFactor(tc.factor)
 		var sum time.Duration
 		for range draws {
@@ -37,16 +37,16 @@
 	}
 }
 
-func TestLoadLags(t *testing.T) {
+func TestLoadHistoryLag(t *testing.T) {
 	is := is.New(t)
-	var l loadLog
+	var l loadHistory
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	is.Equal(l.at(at(0), 3*time.Second), load{})
 	for s := range 10 {
 		l.add(at(s), load{InFlight: s}, 3*time.Second)
 	}
 	is.Equal(l.at(at(9), 3*time.Second).InFlight, 6)
-	is.True(len(l.past) <= 5) // old readings are forgotten
+	is.True(len(l.readings) <= 5) // old readings are removed
 }
 
 func TestLoadConfig(t *testing.T) {
