--- a/bench/command/command.go
+++ b/bench/command/command.go
@@ -1,5 +1,5 @@
-// Package command is what the main functions under bench/cmd share: the command
-// line, signals and exit codes.
+// Package command holds the code that the main functions under bench/cmd share:
+// command-line parsing, signal handling and exit codes.
 package command
 
 import (
@@ -14,13 +14,14 @@
 
 // Exit codes.
 const (
-	ExitFailed = 1 // run failed; the reason is on standard error
-	ExitUsage  = 2 // the command line can't be used
+	ExitFailed = 1 // run failed; the error is on standard error
+	ExitUsage  = 2 // invalid command line
 )
 
-// Main is a command's main function. It reads the command line into options,
-// whose fields have go-flags' tags, and calls run once, on the calling goroutine.
-// The context ends with SIGTERM or SIGINT. It ends the process unless all is well.
+// Main implements a command's main function. It parses the command line into
+// Options, whose fields have go-flags tags, and calls run once on the calling
+// goroutine. SIGTERM or SIGINT cancels the context. Main exits the process with one
+// of the codes above on failure and returns on success.
 func Main[Options any](run func(context.Context, Options) error) {
 	var o Options
 	if _, err := flags.Parse(&o); err != nil {
