--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -1,9 +1,8 @@
-// Package deploy describes the brief's two deployments for runs of real
-// processes: instances, availability zones, and what the stand-in targets do
-// for each kind of request. The services' declarations themselves are the
-// configuration sets under examples/.
+// Package deploy describes two example deployments for runs of real processes:
+// instances, availability zones and how the stand-in targets handle each kind of
+// request. The services are declared in the configuration sets under examples/.
 //
-// Its functions are pure and return values that their caller owns.
+// All functions are pure, and callers may modify the returned values.
 package deploy
 
 import (
@@ -14,19 +13,20 @@
 	"peardrift/bench/standin/target"
 )
 
-// Deployment is one tenant's fleet.
+// Deployment describes the fleet of one tenant.
 type Deployment struct {
 	Tenant   string
 	Region   string
 	Zones    []string
 	Services []Service
-	// Load is the mix that callers send at rate 1: multiply the rates.
+	// Load is the callers' traffic mix at scale 1; scale it by multiplying the
+	// rates.
 	Load []client.Class
-	// Main names the class of Load that the main job shows in full.
+	// Main names the class of Load that the main job reports in detail.
 	Main string
 }
 
-// Service is one service's targets.
+// Service describes the targets of one service.
 type Service struct {
 	Name    string
 	Targets int
@@ -34,23 +34,23 @@
 	Routes  []target.Route
 }
 
-// FullName is the name by which callers address a service.
+// FullName returns the name that callers use for a service: "service.tenant".
 func (d Deployment) FullName(s Service) string { return s.Name + "." + d.Tenant }
 
-// Instance names the i-th target of a service and its zone.
+// Instance returns the name and the zone of the i-th target of a service.
 func (d Deployment) Instance(s Service, i int) (name, zone string) {
 	return fmt.Sprintf("%s-%s-%d", d.Tenant, s.Name, i+1), d.Zones[i%len(d.Zones)]
 }
 
-// rate makes an open loop of one phase.
-func rate(perSecond float64) []client.Phase {
+// singlePhase returns a single phase of one second with a mean arrival rate per second.
+func singlePhase(perSecond float64) []client.Phase {
 	return []client.Phase{{For: time.Second, Rate: perSecond}}
 }
 
 // All returns both deployments.
 func All() []Deployment { return []Deployment{Khaosan(), Kalahari()} }
 
-// Khaosan is the news deployment: four availability zones in Bangkok.
+// Khaosan returns the news deployment: four availability zones in Bangkok.
 func Khaosan() Deployment {
 	get := func(svc, path string) target.Call {
 		return target.Call{Service: svc + ".khaosan", Method: "GET", Path: path, Required: true}
@@ -85,17 +85,18 @@
 			}},
 		},
 		Load: []client.Class{
-			{Name: "morning-feed", Host: "feed.khaosan", Path: "/feed", Phases: rate(60)},
-			{Name: "headlines", Host: "feed.khaosan", Path: "/headlines", Phases: rate(40)},
-			{Name: "notice-status", Host: "notices.khaosan", Path: "/notices/status", Phases: rate(30)},
-			{Name: "notice-publish", Method: "POST", Host: "notices.khaosan", Path: "/notices", Key: true, Body: 600, Phases: rate(4)},
-			{Name: "notice-acknowledge", Method: "POST", Host: "notices.khaosan", Path: "/acknowledgements", Key: true, Body: 60, Phases: rate(10)},
-			{Name: "gallery-upload", Method: "POST", Host: "media.khaosan", Path: "/galleries", Body: 300_000, Phases: rate(3)},
+			{Name: "morning-feed", Host: "feed.khaosan", Path: "/feed", Phases: singlePhase(60)},
+			{Name: "headlines", Host: "feed.khaosan", Path: "/headlines", Phases: singlePhase(40)},
+			{Name: "notice-status", Host: "notices.khaosan", Path: "/notices/status", Phases: singlePhase(30)},
+			{Name: "notice-publish", Method: "POST", Host: "notices.khaosan", Path: "/notices", Key: true, Body: 600, Phases: singlePhase(4)},
+			{Name: "notice-acknowledge", Method: "POST", Host: "notices.khaosan", Path: "/acknowledgements", Key: true, Body: 60, Phases: singlePhase(10)},
+			{Name: "gallery-upload", Method: "POST", Host: "media.khaosan", Path: "/galleries", Body: 300_000, Phases: singlePhase(3)},
 		},
 	}
 }
 
-// Kalahari is the claims deployment: three availability zones in Khomas.
+// Kalahari returns the insurance claims deployment: three availability zones in
+// Khomas.
 func Kalahari() Deployment {
 	call := func(method, svc, path string) target.Call {
 		return target.Call{Service: svc + ".kalahari", Method: method, Path: path, Required: true}
@@ -125,11 +126,11 @@
 			}},
 		},
 		Load: []client.Class{
-			{Name: "claim-status", Host: "claimtrack.kalahari", Path: "/claims/c", Phases: rate(60)},
-			{Name: "policy-lookup", Host: "policydesk.kalahari", Path: "/policies/p", Phases: rate(20)},
-			{Name: "clerk-review", Host: "policydesk.kalahari", Path: "/reviews/r", Phases: rate(15)},
-			{Name: "payout-approval", Method: "POST", Host: "claimtrack.kalahari", Path: "/payouts", Key: true, Body: 200, Phases: rate(8)},
-			{Name: "photo-upload", Method: "POST", Host: "evidencebox.kalahari", Path: "/photos", Body: 400_000, Phases: rate(4)},
+			{Name: "claim-status", Host: "claimtrack.kalahari", Path: "/claims/c", Phases: singlePhase(60)},
+			{Name: "policy-lookup", Host: "policydesk.kalahari", Path: "/policies/p", Phases: singlePhase(20)},
+			{Name: "clerk-review", Host: "policydesk.kalahari", Path: "/reviews/r", Phases: singlePhase(15)},
+			{Name: "payout-approval", Method: "POST", Host: "claimtrack.kalahari", Path: "/payouts", Key: true, Body: 200, Phases: singlePhase(8)},
+			{Name: "photo-upload", Method: "POST", Host: "evidencebox.kalahari", Path: "/photos", Body: 400_000, Phases: singlePhase(4)},
 		},
 	}
 }
