--- a/bench/standin/platform/platform_test.go
+++ b/bench/standin/platform/platform_test.go
@@ -176,7 +176,7 @@
 
 // A delayed write takes effect after its caller timed out, so a read in between
 // does not see it. Cancelling a call does not cancel its write.
-func TestDelayedWriteTakesEffectAfterCallerTimeout(t *testing.T) {
+func TestWriteTakesEffectAfterItsCallerLeft(t *testing.T) {
 	is, e := is.New(t), start(t)
 	e.SetFaults(platform.Faults{DelayApplyMS: 300})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/bench/standin/target/server.go
+++ b/bench/standin/target/server.go
@@ -31,7 +31,7 @@
 	runsFile     *os.File // nil: not written
 	workFile     *os.File // nil: not written
 	caller       *caller
-	drainStart   atomic.Pointer[time.Time] // since when it drains
+	drainStart   atomic.Pointer[time.Time] // start of the drain; nil: not draining
 
 	mu         sync.Mutex
 	runCtx     context.Context // ends with a crash or Close
