--- a/bench/badinput/doc.go
+++ b/bench/badinput/doc.go
@@ -1,4 +1,4 @@
-// Package badinput holds tests of what a real peardriftd does with settings it
-// can't use and with requests that nobody should send: a typed error, and the
-// process serves on or ends before it has announced anything.
+// Package badinput tests how a real peardriftd handles invalid settings and
+// malformed or hostile requests: it returns a typed error and keeps serving or, for
+// settings, exits before it has announced itself.
 package badinput
--- a/bench/badinput/flood_test.go
+++ b/bench/badinput/flood_test.go
@@ -15,8 +15,8 @@
 	"peardrift/internal/settings"
 )
 
-// hold opens connections that say nothing.
-func hold(t *testing.T, addr string, n int) (release func()) {
+// openIdleConns opens n connections that send nothing.
+func openIdleConns(t *testing.T, addr string, n int) (release func()) {
 	t.Helper()
 	var conns []net.Conn
 	for range n {
@@ -33,8 +33,8 @@
 	}
 }
 
-// withFiles returns the programs with a node that may open so many files.
-func withFiles(t *testing.T, files int) harness.Bins {
+// limitOpenFiles returns the binaries with a node that may open only this many files.
+func limitOpenFiles(t *testing.T, files int) harness.Bins {
 	t.Helper()
 	_, bins := harnesstest.Programs(t)
 	script := "#!/bin/sh\nulimit -n " + strconv.Itoa(files) + "\nexec " + bins.Node + " \"$@\"\n"
@@ -45,40 +45,39 @@
 	return bins
 }
 
-// Symptom: a flood of idle connections cuts a node off: other nodes take its
-// healthy target for gone, and operators can't look. Events: callers open as many
-// connections as the settings allow, and send nothing. Cause: one bound for the
-// connections of all listeners.
-func TestIdleCallersKeepNobodyElseAway(t *testing.T) {
-	const most = 16
-	h, _ := oneNode(t, func(s *settings.Settings) { s.Traffic.MaxConnections = most })
-	defer hold(t, h.Addr.Callers, 4*most)()
+// Guards against idle caller connections making a node unreachable for other nodes,
+// which consider its healthy target gone, and for operators: callers open as many
+// connections as allowed, and one limit covers the connections of all listeners.
+func TestIdleCallersDoNotBlockOtherListeners(t *testing.T) {
+	const maxConns = 16
+	h, _ := startServingNode(t, func(s *settings.Settings) { s.Traffic.MaxConnections = maxConns })
+	defer openIdleConns(t, h.Addr.Callers, 4*maxConns)()
 	for addr, want := range map[string]int{h.Addr.Nodes: http.StatusBadRequest, h.Addr.Egress: http.StatusOK} {
-		code, _, _ := raw(t, addr, goodRequest)
+		code, _, _ := exchange(t, addr, goodRequest)
 		is.New(t).Equal(code, want)
 	}
-	code, _, _ := raw(t, h.Addr.Ops, "GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n")
+	code, _, _ := exchange(t, h.Addr.Ops, "GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n")
 	is.New(t).Equal(code, http.StatusOK)
 }
 
-// Symptom: a node looks ready, and nobody gets an answer from it ever again.
-// Events: more connections are opened than the process may open files, and closed
-// again. Cause: the server took the failed accept for its listener's end.
-func TestNodeOutlastsAShortageOfFileDescriptors(t *testing.T) {
+// Guards against a node that looks ready but never answers again: more connections
+// are opened than the process may open files, and the server takes the failed
+// accept for a closed listener.
+func TestNodeSurvivesFileDescriptorExhaustion(t *testing.T) {
 	const files = 128
-	for _, face := range []string{"callers", "control"} {
-		t.Run(face, func(t *testing.T) {
-			f, _ := emptyNode(t, withFiles(t, files))
-			serveSet(t, f)
+	for _, listener := range []string{"callers", "control"} {
+		t.Run(listener, func(t *testing.T) {
+			f, _ := startNode(t, limitOpenFiles(t, files))
+			applySet(t, f)
 			h := f.Hosts[0]
-			addr := map[string]string{"callers": h.Addr.Callers, "control": h.Addr.Control}[face]
-			hold(t, addr, 2*files)()
-			// The node sees the connections' ends one after the other.
-			await(t, func() bool {
-				code, _, _ := raw(t, h.Addr.Callers, goodRequest)
+			addr := map[string]string{"callers": h.Addr.Callers, "control": h.Addr.Control}[listener]
+			openIdleConns(t, addr, 2*files)()
+			// The node notices the closed connections one by one.
+			waitUntil(t, func() bool {
+				code, _, _ := exchange(t, h.Addr.Callers, goodRequest)
 				return code == http.StatusOK
 			})
-			await(t, func() bool {
+			waitUntil(t, func() bool {
 				_, code, _ := f.Tool(t.Context(), "status", "--node", h.Addr.Control)
 				return code == 0
 			})
--- a/bench/badinput/requests_test.go
+++ b/bench/badinput/requests_test.go
@@ -20,43 +20,44 @@
 	"peardrift/internal/settings"
 )
 
-// recorder is the own target of the node under test; it keeps the headers that
-// reached it.
-type recorder struct {
-	mu   sync.Mutex
-	last http.Header
-	runs int
+// recordingTarget is the target of the node under test; it counts requests and
+// records the headers of the last one.
+type recordingTarget struct {
+	mu         sync.Mutex
+	lastHeader http.Header
+	runs       int
 }
 
-func (r *recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *recordingTarget) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if strings.HasPrefix(req.URL.Path, "/health") || req.URL.Path == "/load" {
 		return
 	}
 	_, _ = io.Copy(io.Discard, req.Body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last = req.Header.Clone()
+	r.lastHeader = req.Header.Clone()
 	r.runs++
 }
 
-func (r *recorder) count() int {
+func (r *recordingTarget) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs
 }
 
-// oneNode starts a node for notices.khaosan beside the recorder, with its
-// settings changed by tune, and applies the set.
-func oneNode(t *testing.T, tune ...func(*settings.Settings)) (*harness.Host, *recorder) {
+// startServingNode starts a node for notices.khaosan with a recording target and
+// settings modified by tune, applies the configuration set and waits until the node
+// is ready.
+func startServingNode(t *testing.T, tune ...func(*settings.Settings)) (*harness.Host, *recordingTarget) {
 	t.Helper()
 	_, bins := harnesstest.Programs(t)
-	f, rec := emptyNode(t, bins, tune...)
-	serveSet(t, f)
+	f, rec := startNode(t, bins, tune...)
+	applySet(t, f)
 	return f.Hosts[0], rec
 }
 
-// serveSet applies the set and waits until the node serves it.
-func serveSet(t *testing.T, f *harness.Fleet) {
+// applySet applies the configuration set and waits until the node is ready.
+func applySet(t *testing.T, f *harness.Fleet) {
 	t.Helper()
 	root, _ := harnesstest.Programs(t)
 	if err := f.Apply(t.Context(), root, deploy.Khaosan().Tenant, 0); err != nil {
@@ -67,10 +68,10 @@
 	}
 }
 
-// emptyNode is oneNode without a set, by the given programs.
-func emptyNode(t *testing.T, bins harness.Bins, tune ...func(*settings.Settings)) (*harness.Fleet, *recorder) {
+// startNode starts the same node from the given binaries, without a configuration set.
+func startNode(t *testing.T, bins harness.Bins, tune ...func(*settings.Settings)) (*harness.Fleet, *recordingTarget) {
 	t.Helper()
-	rec := &recorder{}
+	rec := &recordingTarget{}
 	target := httptest.NewServer(rec)
 	t.Cleanup(target.Close)
 	f, err := harness.New(bins)
@@ -97,21 +98,21 @@
 
 const (
 	goodRequest = "GET /notices/status HTTP/1.1\r\nHost: notices.khaosan\r\n\r\n"
-	// rawTime bounds a raw exchange; a node that answers nothing and holds the
-	// connection open longer is a fault.
-	rawTime = 15 * time.Second
+	// exchangeTimeout bounds an exchange; a node that neither answers nor closes the
+	// connection within it is faulty.
+	exchangeTimeout = 15 * time.Second
 )
 
-// raw sends bytes and returns the answer's status and head, or 0 if the
-// connection was closed without an answer.
-func raw(t *testing.T, addr, text string) (int, http.Header, string) {
+// exchange sends raw bytes and returns the response's status, header and body;
+// the status is 0 if the connection was closed without a response.
+func exchange(t *testing.T, addr, text string) (int, http.Header, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(rawTime))
+	_ = c.SetDeadline(time.Now().Add(exchangeTimeout))
 	_, _ = io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
@@ -125,31 +126,30 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-// between is a call as nodes send it, but for the headers given, which come in
-// place of its own, and without a trace.
-func between(headers string) string {
+// nodeRequest returns a call as sent between nodes, with the given headers replacing
+// the defaults and without a Traceparent.
+func nodeRequest(headers string) string {
 	text := "GET /notices/status HTTP/1.1\r\nHost: notices.khaosan\r\n" + headers
-	for _, own := range []string{"Tenant: khaosan", "Class: notice-status", "Importance: 20", "Deadline-Ms: 500", "Allowance: 0", "Depth: 0"} {
-		name, _, _ := strings.Cut(own, ":")
+	for _, header := range []string{"Tenant: khaosan", "Class: notice-status", "Importance: 20", "Deadline-Ms: 500", "Allowance: 0", "Depth: 0"} {
+		name, _, _ := strings.Cut(header, ":")
 		if !strings.Contains(headers, "Peardrift-"+name+":") {
-			text += "Peardrift-" + own + "\r\n"
+			text += "Peardrift-" + header + "\r\n"
 		}
 	}
 	return text + "\r\n"
 }
 
-// Symptom: one bad request takes a node down, or reaches the target as if it
-// were a good one. Events: a malformed, oversize or hostile request comes in on
-// any face. Cause: a check that is missing or made too late.
-func TestBadRequestsAreAnsweredAndTheNodeServesOn(t *testing.T) {
-	h, rec := oneNode(t)
+// Guards against a malformed, oversized or hostile request on any listener crashing
+// a node or reaching the target because a check is missing or comes too late.
+func TestBadRequestsAreRejected(t *testing.T) {
+	h, rec := startServingNode(t)
 	long := strings.Repeat("x", 300<<10)
 	post := func(path, headers, body string) string {
 		return "POST " + path + " HTTP/1.1\r\nHost: notices.khaosan\r\n" + headers + "\r\n" + body
 	}
 	for _, tt := range []struct {
 		name, addr, text string
-		status           []int // any of them; 0 is a closed connection
+		status           []int // accepted values; 0: connection closed
 		code             string
 	}{
 		{"no HTTP", h.Addr.Callers, "NONSENSE\r\n\r\n", []int{0, 400}, ""},
@@ -169,11 +169,11 @@
 		{"a body too large", h.Addr.Callers, post("/notices", fmt.Sprintf("Idempotency-Key: e\r\nContent-Length: %d\r\n", len(long)), long), []int{413}, "request-too-large"},
 		{"a chunked body too large", h.Addr.Callers, post("/notices", "Idempotency-Key: f\r\nTransfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long)), []int{0, 400, 413}, ""},
 		{"a node's call without its headers", h.Addr.Nodes, goodRequest, []int{400}, "protocol"},
-		{"an importance that no class can have", h.Addr.Nodes, between("Peardrift-Importance: 101\r\n"), []int{400}, "protocol"},
-		{"a deadline in the past", h.Addr.Nodes, between("Peardrift-Deadline-Ms: -1\r\n"), []int{400}, "protocol"},
-		{"an allowance without end", h.Addr.Nodes, between("Peardrift-Allowance: 999999999999999999999\r\n"), []int{400}, "protocol"},
-		{"a chain without end", h.Addr.Nodes, between("Peardrift-Depth: 33\r\n"), []int{400}, "protocol"},
-		{"a node's call without a trace", h.Addr.Nodes, between(""), []int{400}, "protocol"},
+		{"an importance that no class can have", h.Addr.Nodes, nodeRequest("Peardrift-Importance: 101\r\n"), []int{400}, "protocol"},
+		{"a deadline in the past", h.Addr.Nodes, nodeRequest("Peardrift-Deadline-Ms: -1\r\n"), []int{400}, "protocol"},
+		{"an allowance without end", h.Addr.Nodes, nodeRequest("Peardrift-Allowance: 999999999999999999999\r\n"), []int{400}, "protocol"},
+		{"a chain without end", h.Addr.Nodes, nodeRequest("Peardrift-Depth: 33\r\n"), []int{400}, "protocol"},
+		{"a node's call without a trace", h.Addr.Nodes, nodeRequest(""), []int{400}, "protocol"},
 		{"a target's call of a service that isn't there", h.Addr.Egress, "GET / HTTP/1.1\r\nHost: nowhere.khaosan\r\n\r\n", []int{404}, "unknown-service"},
 		{"a target's call with a trace of nobody's", h.Addr.Egress, "GET /nothing HTTP/1.1\r\nHost: notices.khaosan\r\nTraceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01\r\n\r\n", []int{404}, "unknown-class"},
 		{"a target's call with a broken trace", h.Addr.Egress, "GET /nothing HTTP/1.1\r\nHost: notices.khaosan\r\nTraceparent: 00-zz\r\n\r\n", []int{404}, "unknown-class"},
@@ -188,58 +188,57 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			before := rec.count()
-			code, head, body := raw(t, tt.addr, tt.text)
+			code, head, body := exchange(t, tt.addr, tt.text)
 			t.Log(code, head.Get("Content-Type"), body)
-			is.True(oneOf(code, tt.status))
+			is.True(containsCode(code, tt.status))
 			if tt.code != "" {
 				is.Equal(head.Get("Content-Type"), "application/problem+json")
 				is.True(strings.Contains(body, "urn:peardrift:problem:"+tt.code))
 			}
-			is.Equal(rec.count(), before) // it ran nowhere
-			good, _, _ := raw(t, h.Addr.Callers, goodRequest)
-			is.Equal(good, 200) // the node serves on
+			is.Equal(rec.count(), before) // did not reach the target
+			good, _, _ := exchange(t, h.Addr.Callers, goodRequest)
+			is.Equal(good, 200) // the node still serves
 			is.True(!h.Node.Ended())
 		})
 	}
 }
 
-// Symptom: a caller raises its own importance, or takes part in another
-// request. Events: it sends the headers by which nodes speak to each other, and
-// a traceparent of its choice. Cause: a face for callers that lets them pass.
-func TestInternalHeadersFromOutsideAreStripped(t *testing.T) {
+// Guards against a caller raising its importance or joining another request's
+// trace: it sends headers reserved for nodes, or its own traceparent, and the
+// caller listener passes them on.
+func TestInternalHeadersFromCallersAreStripped(t *testing.T) {
 	is := is.New(t)
-	h, rec := oneNode(t)
-	const chosen = "0af7651916cd43dd8448eb211c80319c"
-	code, head, _ := raw(t, h.Addr.Callers, "GET /notices/status HTTP/1.1\r\nHost: notices.khaosan\r\n"+
+	h, rec := startServingNode(t)
+	const callerTraceID = "0af7651916cd43dd8448eb211c80319c"
+	code, head, _ := exchange(t, h.Addr.Callers, "GET /notices/status HTTP/1.1\r\nHost: notices.khaosan\r\n"+
 		"Peardrift-Importance: 100\r\npeardrift-tenant: kalahari\r\nPEARDRIFT-ALLOWANCE: 1000\r\nPeardrift-Depth: 3\r\n"+
 		"Peardrift-Deadline-Ms: 3600000\r\nPeardrift-Class: notice-publish\r\nPeardrift-Anything: 1\r\n"+
-		"Traceparent: 00-"+chosen+"-b7ad6b7169203331-01\r\nBaggage: a=b\r\nX-Own: kept\r\n\r\n")
+		"Traceparent: 00-"+callerTraceID+"-b7ad6b7169203331-01\r\nBaggage: a=b\r\nX-Own: kept\r\n\r\n")
 	is.Equal(code, 200)
-	is.True(head.Get("Peardrift-Request") != chosen)
+	is.True(head.Get("Peardrift-Request") != callerTraceID)
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	for name := range rec.last {
+	for name := range rec.lastHeader {
 		is.True(!strings.HasPrefix(strings.ToLower(name), "peardrift-"))
 	}
-	is.True(!strings.Contains(rec.last.Get("Traceparent"), chosen))
-	is.Equal(rec.last.Get("Baggage"), "")
-	is.Equal(rec.last.Get("X-Own"), "kept")
-	is.Equal(rec.last.Get("X-Request-Deadline-Ms") < "500", true) // the class allows 500 ms
+	is.True(!strings.Contains(rec.lastHeader.Get("Traceparent"), callerTraceID))
+	is.Equal(rec.lastHeader.Get("Baggage"), "")
+	is.Equal(rec.lastHeader.Get("X-Own"), "kept")
+	is.Equal(rec.lastHeader.Get("X-Request-Deadline-Ms") < "500", true) // the class allows 500 ms
 }
 
-// Symptom: a client that sends its upload in chunks can't publish a notice.
-// Events: an at-most-once request comes with a short body of unstated length.
-// Cause: each such body was taken for one too long to hold.
-func TestShortChunkedBodyIsHeldWhole(t *testing.T) {
+// Guards against rejecting at-most-once requests with a short chunked body: every
+// body without a Content-Length was treated as too long to buffer.
+func TestShortChunkedBodyIsBuffered(t *testing.T) {
 	is := is.New(t)
-	h, rec := oneNode(t)
-	code, _, _ := raw(t, h.Addr.Callers, "POST /notices HTTP/1.1\r\nHost: notices.khaosan\r\nIdempotency-Key: k\r\n"+
+	h, rec := startServingNode(t)
+	code, _, _ := exchange(t, h.Addr.Callers, "POST /notices HTTP/1.1\r\nHost: notices.khaosan\r\nIdempotency-Key: k\r\n"+
 		"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	is.Equal(code, 200)
-	is.Equal(rec.last.Get("Content-Length"), "5")
+	is.Equal(rec.lastHeader.Get("Content-Length"), "5")
 }
 
-func oneOf(code int, codes []int) bool {
+func containsCode(code int, codes []int) bool {
 	for _, c := range codes {
 		if c == code {
 			return true
--- a/bench/badinput/settings_test.go
+++ b/bench/badinput/settings_test.go
@@ -18,9 +18,9 @@
 	"peardrift/internal/daemon"
 )
 
-// usable are settings that a node starts with; PLATFORM stands for the URL of
-// the platform, BUSY for an address that is taken.
-const usable = `node:
+// validSettings are settings that a node starts with. PLATFORM is a placeholder for
+// the URL of the platform, and BUSY, in test cases, for an address in use.
+const validSettings = `node:
   name: feed-1
   region: bangkok
   zone: bkk-a
@@ -42,16 +42,14 @@
   secretKey: bench
 `
 
-// endTime is more than a process takes that ends by itself, also on a machine that
-// is busy with much else. It is less than the longest announcement of a leave, so
-// that what ends within it did not sit one out.
-const endTime = 50 * time.Second
+// exitTimeout exceeds the time that a process needs to exit by itself, even on a
+// busy machine. It is shorter than the longest Announce setting of 1 minute, so that
+// a process that exits within it did not wait for the announcement to end.
+const exitTimeout = 50 * time.Second
 
-// Symptom: a node whose settings can't be used is known to other nodes, and
-// they call it. Events: it announces itself, then fails to open a listener, or
-// ends at a later check. Cause: announcing before everything has been opened
-// and checked.
-func TestUnusableSettingsEndBeforeAnythingIsAnnounced(t *testing.T) {
+// Guards against other nodes calling a node with invalid settings: it announces
+// itself before all listeners are open and all settings are checked, then fails.
+func TestInvalidSettingsFailBeforeAnnouncing(t *testing.T) {
 	_, bins := harnesstest.Programs(t)
 	plat := platform.New()
 	if err := plat.Start("127.0.0.1:0"); err != nil {
@@ -84,8 +82,8 @@
 			is := is.New(t)
 			file := filepath.Join(t.TempDir(), "settings.yaml")
 			if tt.old != "" {
-				text := strings.Replace(usable, tt.old, tt.new, 1)
-				is.True(text != usable)
+				text := strings.Replace(validSettings, tt.old, tt.new, 1)
+				is.True(text != validSettings)
 				text = strings.NewReplacer("PLATFORM", plat.URL(), "BUSY", busy.Addr().String()).Replace(text)
 				is.NoErr(os.WriteFile(file, []byte(text), 0o600))
 			}
@@ -93,18 +91,17 @@
 			is.Equal(code, tt.exit)
 			is.True(strings.Contains(stderr, tt.says))
 			c := plat.Counters()
-			is.Equal(c.Reads+c.Writes, int64(0)) // announced nowhere
+			is.Equal(c.Reads+c.Writes, int64(0)) // nothing was announced
 		})
 	}
 }
 
-// Symptom: an operator frees one port after the other, with a failed start
-// between. Events: two of a node's addresses are taken. Cause: the first that
-// could not be opened ended the start, and the failure didn't name its setting.
-func TestAllBusyPortsAreNamedWithTheirSettings(t *testing.T) {
+// Guards against reporting only the first port in use, without its setting, so that
+// an operator with two ports in use needs a failed start for each.
+func TestAllBusyPortsAreReported(t *testing.T) {
 	is := is.New(t)
 	_, bins := harnesstest.Programs(t)
-	text := strings.ReplaceAll(usable, "PLATFORM", "http://127.0.0.1:9")
+	text := strings.ReplaceAll(validSettings, "PLATFORM", "http://127.0.0.1:9")
 	for _, key := range []string{"nodes", "control"} {
 		busy, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
@@ -121,7 +118,7 @@
 
 func runNode(t *testing.T, bin, file string) (code int, stderr string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), endTime)
+	ctx, cancel := context.WithTimeout(t.Context(), exitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, bin, "--settings", file)
 	var out bytes.Buffer
