--- a/bench/pages/doc.go
+++ b/bench/pages/doc.go
@@ -1,4 +1,4 @@
-// Package pages holds the project's pages to what they point at: links lead to
-// pages and headings that are there, and files and tests that a page names are
-// in the tree.
+// Package pages checks the references in the project's Markdown pages: links must
+// resolve to existing pages and headings, and files and tests named in a page must
+// exist in the source tree.
 package pages
