--- a/bench/e2e/cancel_test.go
+++ b/bench/e2e/cancel_test.go
@@ -14,61 +14,59 @@
 	"peardrift/bench/standin/target"
 )
 
-// Symptom: after callers have gone away, others get parts of their answers, or
-// targets go on working for nobody.
-// Events: calls are canceled at any moment, in the midst of a chain and of
-// answers on their way, while others go on over the same connections.
-// Cause: a connection is reused with bytes of an old answer on it; the end of a
-// call is not passed down.
+// Guards against two faults when calls are cancelled at any moment while others use
+// the same connections: a connection is reused with bytes of an old answer on it,
+// so that another caller gets them, or the cancellation is not propagated down the
+// chain and targets continue useless work.
 func TestCanceledCallsDisturbNobody(t *testing.T) {
 	is := is.New(t)
-	c := newCluster(t, threeServicesWithin(never))
-	c.tune = eager
-	slow := func(cfg target.Config) target.Config { // canceled while it works, now and then
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	c.tuneEngine = retryBrokenPeersAtOnce
+	slow := func(cfg target.Config) target.Config { // slow enough to be cancelled during some runs
 		cfg.ServiceTime, cfg.Dist = 2*time.Millisecond, target.DistExponential
 		return cfg
 	}
-	c.add("feed-1", slow(chainConfig("feed.khaosan", 100, target.Call{Service: "archive.khaosan", Path: "/a", Required: true})), nil)
-	c.add("archive-1", slow(chainConfig("archive.khaosan", 100, target.Call{Service: "media.khaosan", Path: "/m", Required: true})), nil)
-	c.add("media-1", slow(chainConfig("media.khaosan", 70_000)), nil) // streamed
+	c.addHost("feed-1", slow(chainConfig("feed.khaosan", 100, target.Call{Service: "archive.khaosan", Path: "/a", Required: true})), nil)
+	c.addHost("archive-1", slow(chainConfig("archive.khaosan", 100, target.Call{Service: "media.khaosan", Path: "/m", Required: true})), nil)
+	c.addHost("media-1", slow(chainConfig("media.khaosan", 70_000)), nil) // streamed
 	c.publish()
 	q := query{method: "GET", host: "feed.khaosan", path: "/x"}
 	stop := make(chan struct{})
-	var fleeting, lasting sync.WaitGroup
+	var cancelling, completing sync.WaitGroup
 	for w := range 3 {
-		fleeting.Go(func() {
+		cancelling.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
 					return
 				default:
-					c.abandon(q, fmt.Sprintf("gone-%d-%d", w, n), time.Duration(n%40)*500*time.Microsecond)
+					c.sendAndCancel(q, fmt.Sprintf("gone-%d-%d", w, n), time.Duration(n%40)*500*time.Microsecond)
 				}
 			}
 		})
 	}
 	for w := range 3 {
-		lasting.Go(func() {
+		completing.Go(func() {
 			for n := range 8 {
-				to, err := c.ask(c.hosts[w%3], q, fmt.Sprintf("stays-%d-%d", w, n))
+				to, err := c.sendQuery(c.hosts[w%3], q, fmt.Sprintf("stays-%d-%d", w, n))
 				is.NoErr(err)
 				is.Equal(to.outcome, "completed")
 			}
 		})
 	}
-	lasting.Wait()
+	completing.Wait()
 	close(stop)
-	fleeting.Wait()
-	c.settle()
+	cancelling.Wait()
+	c.waitIdle()
 	for _, h := range c.hosts {
 		n := h.counters()
 		is.Equal(n.Started, n.Finished+n.Cancelled+n.Failed)
 	}
 }
 
-// abandon sends a query and goes away after a while, also in the midst of the
-// answer.
-func (c *cluster) abandon(q query, mark string, after time.Duration) {
+// sendAndCancel sends a query and cancels it after a delay, possibly while the answer
+// is being received.
+func (c *cluster) sendAndCancel(q query, mark string, after time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+c.hosts[0].links.entry.Addr()+q.path, nil)
@@ -77,7 +75,7 @@
 	}
 	req.Host = q.host
 	req.Header.Set("X-Mark", mark)
-	resp, err := oneShot.Do(req)
+	resp, err := noRetryClient.Do(req)
 	if err != nil {
 		return
 	}
@@ -85,17 +83,16 @@
 	_, _ = io.Copy(io.Discard, resp.Body)
 }
 
-// Symptom: a target works to the end for a caller that has gone.
-// Events: the caller goes away while the last service of a chain works.
-// Cause: the end of the call is not passed down the chain.
+// Guards against a target finishing useless work: the caller disconnects while the
+// last service of a chain runs, and the cancellation is not propagated down.
 func TestCancelReachesTheLastService(t *testing.T) {
 	is := is.New(t)
-	c := newCluster(t, threeServicesWithin(never))
-	c.add("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "archive.khaosan", Path: "/a", Required: true}), nil)
-	c.add("archive-1", chainConfig("archive.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), nil)
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	c.addHost("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "archive.khaosan", Path: "/a", Required: true}), nil)
+	c.addHost("archive-1", chainConfig("archive.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), nil)
 	last := chainConfig("media.khaosan", 10)
-	last.ServiceTime = never
-	c.add("media-1", last, nil)
+	last.ServiceTime = noDeadline
+	c.addHost("media-1", last, nil)
 	c.publish()
 	gone := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -103,29 +100,30 @@
 		defer close(gone)
 		req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+c.hosts[0].entry.Addr()+"/x", nil)
 		req.Host = "feed.khaosan"
-		if resp, err := oneShot.Do(req); err == nil {
+		if resp, err := noRetryClient.Do(req); err == nil {
 			_ = resp.Body.Close()
 		}
 	}()
 	await(t, "the last service works", func() bool { return c.hosts[2].counters().InFlight == 1 })
 	cancel()
 	<-gone
-	c.settle()
+	c.waitIdle()
 	is.Equal(c.hosts[2].counters().Cancelled, int64(1))
 }
 
-// Guards against "failed" being said while a call below, given up by its target, runs on.
+// Guards against reporting "failed" while a downstream call that the target timed
+// out is still running.
 func TestFailureWithACallUnderWayIsInDoubt(t *testing.T) {
 	is := is.New(t)
-	c := newCluster(t, threeServicesWithin(never))
-	hasty := chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true})
-	hasty.CallTimeout = 250 * time.Millisecond // in which the call gets to its target
-	c.add("feed-1", hasty, nil)
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	shortTimeout := chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true})
+	shortTimeout.CallTimeout = 250 * time.Millisecond // long enough for the call to reach its target
+	c.addHost("feed-1", shortTimeout, nil)
 	slow := chainConfig("media.khaosan", 10)
 	slow.ServiceTime, slow.IgnoreCancel = 2*time.Second, true
-	c.add("media-1", slow, nil)
+	c.addHost("media-1", slow, nil)
 	c.publish()
-	to, err := c.ask(c.hosts[0], query{method: "POST", host: "feed.khaosan", path: "/x"}, "mark")
+	to, err := c.sendQuery(c.hosts[0], query{method: "POST", host: "feed.khaosan", path: "/x"}, "mark")
 	is.NoErr(err)
 	is.Equal(to.outcome, "unknown")
 }
--- a/bench/e2e/chain_test.go
+++ b/bench/e2e/chain_test.go
@@ -16,7 +16,7 @@
 	"peardrift/internal/core/request"
 )
 
-// threeServices is a chain feed -> archive -> media.
+// threeServices returns the configuration of the chain feed -> archive -> media.
 func threeServices() *confset.Index { return threeServicesWithin(2 * time.Second) }
 
 func threeServicesWithin(deadline time.Duration) *confset.Index {
@@ -48,9 +48,9 @@
 
 // startChain starts one host of each service; media's answers have size bytes.
 func (c *cluster) startChain(size int) {
-	c.add("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "archive.khaosan", Path: "/a", Required: true}), nil)
-	c.add("archive-1", chainConfig("archive.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), nil)
-	c.add("media-1", chainConfig("media.khaosan", size), nil)
+	c.addHost("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "archive.khaosan", Path: "/a", Required: true}), nil)
+	c.addHost("archive-1", chainConfig("archive.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), nil)
+	c.addHost("media-1", chainConfig("media.khaosan", size), nil)
 	c.publish()
 }
 
@@ -119,19 +119,17 @@
 	}
 }
 
-// Symptom: a service is refused as "no-target" for good, though all its targets
-// run.
-// Events: its targets crash and are started again; meanwhile their nodes refuse
-// calls as not ready. Cause: "not ready" is taken for the word of a target that
-// leaves, which holds for the rest of its node's life.
+// Guards against a service being refused with "no-target" permanently: its targets
+// restart after a crash, meanwhile their nodes refuse calls as not ready, and
+// callers take that for a leaving target, which stays excluded until its node ends.
 func TestNotReadyTargetIsCalledAgain(t *testing.T) {
 	is := is.New(t)
 	c := startChain(t)
-	c.hosts[2].down = true
+	c.hosts[2].targetDown = true
 	c.publish()
 	resp, _ := call(t, c, "GET", "media.khaosan", "/m", "down", nil, nil)
 	is.Equal(resp.Header.Get("Peardrift-Outcome"), "refused")
-	c.hosts[2].down = false
+	c.hosts[2].targetDown = false
 	c.publish()
 	await(t, "the target is called again", func() bool {
 		resp, _ := call(t, c, "GET", "media.khaosan", "/m", "up", nil, nil)
@@ -139,23 +137,21 @@
 	})
 }
 
-// Symptom: an upload is answered as unknown, or its target takes the rest of it for
-// the whole.
-// Events: the first target that it is sent to refuses it, as it leaves, when part of
-// the body has been sent. Cause: the upload is sent on to another target, although
-// its body is gone.
+// Guards against an upload ending as unknown, or its remainder being accepted as
+// the whole body: a leaving target refuses it after part of the body has been sent,
+// and the upload is retried on another target although that part is gone.
 func TestRefusedUploadIsNotSentOn(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
-	c.add("feed-1", chainConfig("feed.khaosan", 10), nil)
+	c.addHost("feed-1", chainConfig("feed.khaosan", 10), nil)
 	for n := range 2 {
-		c.add(fmt.Sprintf("media-%d", n), chainConfig("media.khaosan", 10), nil)
+		c.addHost(fmt.Sprintf("media-%d", n), chainConfig("media.khaosan", 10), nil)
 	}
-	c.hosts[1].leaves = true
+	c.hosts[1].targetLeaving = true
 	refused := 0
 	for n := range 20 {
-		c.publish() // as seen by all others anew
-		to, err := c.ask(c.hosts[0], query{method: "POST", host: "media.khaosan", path: "/m", body: 300_000}, fmt.Sprint("mark-", n))
+		c.publish() // resets what other nodes have learned about the target
+		to, err := c.sendQuery(c.hosts[0], query{method: "POST", host: "media.khaosan", path: "/m", body: 300_000}, fmt.Sprint("mark-", n))
 		is.NoErr(err)
 		if to.outcome == "refused" {
 			is.Equal(to.code, "draining")
--- a/bench/e2e/cluster_test.go
+++ b/bench/e2e/cluster_test.go
@@ -1,5 +1,6 @@
-// Package e2e_test runs real engines and real HTTP between stand-in targets in
-// one process, with views published by the test in the place of control.
+// Package e2e_test runs real data-plane engines over real HTTP between stand-in
+// targets in one process. The tests publish the views in place of the control
+// plane.
 package e2e_test
 
 import (
@@ -22,53 +23,53 @@
 
 // host is one instance: a target and its node.
 type host struct {
-	name   string
-	svc    request.Service
-	down   bool // its node sees that the target takes no calls
-	leaves bool // its node knows that the target leaves, and others don't yet
-	target *target.Server
-	engine *dataplane.Engine
-	nodes  *hertzhttp.Server
-	egress *hertzhttp.Server
-	entry  *hertzhttp.Server
-	links  links
+	name          string
+	svc           request.Service
+	targetDown    bool // the node considers the target down
+	targetLeaving bool // the node knows that the target is leaving; other nodes don't yet
+	target        *target.Server
+	engine        *dataplane.Engine
+	nodes         *hertzhttp.Server
+	egress        *hertzhttp.Server
+	entry         *hertzhttp.Server
+	links         hostLinks
 }
 
-// links are the networks around a host, by who connects to whom.
-type links struct {
-	entry  *link.Link // a caller to the face for callers
-	node   *link.Link // other nodes to the face for nodes
-	target *link.Link // the node to its target
-	egress *link.Link // the target to its node
+// hostLinks are the network links of a host, by connecting and accepting side.
+type hostLinks struct {
+	entry  *link.Link // callers to the node's caller listener
+	node   *link.Link // other nodes to the node's peer listener
+	target *link.Link // the node to its target's listener
+	egress *link.Link // the target to the node's egress listener
 }
 
 type cluster struct {
-	t     *testing.T
-	hosts []*host
-	idx   *confset.Index
-	gen   uint64
-	tune  func(*dataplane.Config)                       // may be nil
-	wrap  func(dataplane.Transport) dataplane.Transport // may be nil
-	local func(*hertzhttp.ClientConfig)                 // of clients of targets; may be nil
-	bare  bool                                          // answers of earlier calls are not kept
-	obs   dataplane.Observer                            // of all engines; may be nil
+	t                *testing.T
+	hosts            []*host
+	index            *confset.Index
+	gen              uint64
+	tuneEngine       func(*dataplane.Config)                       // may be nil
+	wrapTransport    func(dataplane.Transport) dataplane.Transport // may be nil
+	tuneTargetClient func(*hertzhttp.ClientConfig)                 // for the clients that call targets; may be nil
+	answersNotKept   bool                                          // answers of completed calls are not kept for repeats
+	observer         dataplane.Observer                            // for all engines; may be nil
 }
 
-// claimAll runs every request: claims have tests of their own.
-type claimAll struct{}
+// noClaims runs every request without a claim; claims are tested separately.
+type noClaims struct{}
 
-func (claimAll) Do(ctx context.Context, _ claims.Request, run func(context.Context) claims.Result) claims.Result {
+func (noClaims) Do(ctx context.Context, _ claims.Request, run func(context.Context) claims.Result) claims.Result {
 	return run(ctx)
 }
 
-func (claimAll) Explain(_ context.Context, _ claims.Request, refusal *status.Error) claims.Result {
+func (noClaims) Explain(_ context.Context, _ claims.Request, refusal *status.Error) claims.Result {
 	return claims.Failure(refusal)
 }
 
-func newCluster(t *testing.T, idx *confset.Index) *cluster { return &cluster{t: t, idx: idx} }
+func newCluster(t *testing.T, idx *confset.Index) *cluster { return &cluster{t: t, index: idx} }
 
-// add starts an instance of a service.
-func (c *cluster) add(name string, cfg target.Config, cl dataplane.Claims) *host {
+// addHost starts a host: a stand-in target and its node.
+func (c *cluster) addHost(name string, cfg target.Config, cl dataplane.Claims) *host {
 	h := &host{name: name, svc: request.Service(cfg.Service)}
 	var relay relayHandler
 	h.egress = c.listen(relay.serve)
@@ -79,16 +80,16 @@
 		c.t.Fatal(err)
 	}
 	c.t.Cleanup(func() { _ = h.target.Close() })
-	c.join(h, h.target.Addr(), cl)
+	c.addNode(h, h.target.Addr(), cl)
 	relay.h = h.engine.ServeTarget
 	return h
 }
 
-// join starts a node beside the target at an address.
-func (c *cluster) join(h *host, target string, cl dataplane.Claims) {
+// addNode starts a node for the target at an address.
+func (c *cluster) addNode(h *host, target string, cl dataplane.Claims) {
 	h.links.target = c.link(target)
 	if cl == nil {
-		cl = claimAll{}
+		cl = noClaims{}
 	}
 	h.engine = c.engine(h, cl)
 	h.nodes = c.listen(h.engine.ServeNode)
@@ -105,13 +106,13 @@
 		Target: h.links.target.Addr(),
 	}
 	dc := dataplane.DefaultConfig()
-	if c.tune != nil {
-		c.tune(&dc)
+	if c.tuneEngine != nil {
+		c.tuneEngine(&dc)
 	}
 	cc := hertzhttp.DefaultClientConfig()
 	toTarget := cc
-	if c.local != nil {
-		c.local(&toTarget)
+	if c.tuneTargetClient != nil {
+		c.tuneTargetClient(&toTarget)
 	}
 	local := hertzhttp.NewClient(toTarget)
 	cc.Prober = dataplane.Prober{}
@@ -120,10 +121,10 @@
 		peers.Close()
 		local.Close()
 	})
-	if c.wrap != nil {
-		return dataplane.New(dc, self, c.wrap(peers), c.wrap(local), cl, c.obs)
+	if c.wrapTransport != nil {
+		return dataplane.New(dc, self, c.wrapTransport(peers), c.wrapTransport(local), cl, c.observer)
 	}
-	return dataplane.New(dc, self, peers, local, cl, c.obs)
+	return dataplane.New(dc, self, peers, local, cl, c.observer)
 }
 
 func (c *cluster) link(to string) *link.Link {
@@ -135,7 +136,7 @@
 	return l
 }
 
-// relayHandler lets a listener start before its engine is there.
+// relayHandler lets a listener start before its engine exists.
 type relayHandler struct{ h hertzhttp.Handler }
 
 func (r *relayHandler) serve(ctx context.Context, c *app.RequestContext) { r.h(ctx, c) }
@@ -154,25 +155,25 @@
 	return s
 }
 
-// publish gives all engines the view of all hosts.
+// publish publishes a view of all hosts to every engine.
 func (c *cluster) publish() {
 	c.gen++
 	peers := map[request.Service][]dataplane.Peer{}
 	for _, h := range c.hosts {
-		info, _ := c.idx.Service(h.svc)
+		info, _ := c.index.Service(h.svc)
 		peers[h.svc] = append(peers[h.svc], dataplane.Peer{
 			Target: route.Target{ID: request.TargetIDOf(h.name), Incarnation: 1, Region: "r", Zone: "z", Slots: info.Slots, Conns: info.Connections},
 			Addr:   h.links.node.Addr(),
 		})
 	}
 	v := dataplane.View{
-		Gen: c.gen, Index: c.idx, Ready: true,
+		Gen: c.gen, Index: c.index, Ready: true,
 		Peers:   func(s request.Service) []dataplane.Peer { return peers[s] },
 		Callers: func(request.Service) int { return 0 },
 	}
 	for _, h := range c.hosts {
 		own := v
-		own.TargetUp, own.Leaving = !h.down, h.leaves
+		own.TargetUp, own.Leaving = !h.targetDown, h.targetLeaving
 		h.engine.Publish(&own)
 	}
 }
--- a/bench/e2e/cut_test.go
+++ b/bench/e2e/cut_test.go
@@ -16,25 +16,25 @@
 // query is a request as a caller sends it.
 type query struct {
 	method, host, path string
-	keyed              bool // sends its mark as the key of at-most-once classes
+	keyed              bool // sends its mark as the Idempotency-Key
 	body               int
 	chunked            bool // sends the body without its length
 }
 
-// told is what the caller of a query learned.
-type told struct {
-	outcome string // as the node says; empty if the answer broke off
+// reportedResult is the result of a query as reported to its caller.
+type reportedResult struct {
+	outcome string // from the node's header; empty if the connection broke
 	code    string
 	answer  target.Answer
 }
 
-// oneShot never sends a request twice: net/http repeats a request only on a
-// connection that had carried another.
-var oneShot = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
+// noRetryClient never sends a request twice: net/http retries only requests on a
+// reused connection.
+var noRetryClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-// ask sends a query through a host's entry. The error tells of a false or
-// partial answer.
-func (c *cluster) ask(entry *host, q query, mark string) (told, error) {
+// sendQuery sends a query through a host's entry listener. It returns an error for a
+// wrong or partial answer.
+func (c *cluster) sendQuery(entry *host, q query, mark string) (reportedResult, error) {
 	c.t.Helper()
 	var body io.Reader = bytes.NewReader(make([]byte, q.body))
 	if q.chunked {
@@ -49,31 +49,31 @@
 	if q.keyed {
 		req.Header.Set("Idempotency-Key", mark)
 	}
-	resp, err := oneShot.Do(req)
+	resp, err := noRetryClient.Do(req)
 	if err != nil {
-		return told{}, nil
+		return reportedResult{}, nil
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return told{}, nil // the break was visible
+		return reportedResult{}, nil // the break was visible
 	}
-	to := told{outcome: resp.Header.Get("Peardrift-Outcome"), code: resp.Header.Get("Peardrift-Code")}
+	to := reportedResult{outcome: resp.Header.Get("Peardrift-Outcome"), code: resp.Header.Get("Peardrift-Code")}
 	if resp.StatusCode != http.StatusOK {
-		if to.outcome == "completed" && !(c.bare && to.code == "completed-answer-not-kept") {
+		if to.outcome == "completed" && !(c.answersNotKept && to.code == "completed-answer-not-kept") {
 			return to, fmt.Errorf("completed with status %d: %s", resp.StatusCode, b)
 		}
 		return to, nil
 	}
 	to.answer, err = target.Verify(b, mark)
 	if err != nil || to.outcome != "completed" || to.answer.Service != q.host || to.answer.Received != int64(q.body) {
-		return to, fmt.Errorf("false answer, outcome %q: %w", to.outcome, err)
+		return to, fmt.Errorf("wrong answer, outcome %q: %w", to.outcome, err)
 	}
 	return to, nil
 }
 
-// settle waits until nothing runs anywhere.
-func (c *cluster) settle() {
+// waitIdle waits until no engine or target has requests in flight.
+func (c *cluster) waitIdle() {
 	c.t.Helper()
 	await(c.t, "nothing in flight", func() bool {
 		for _, h := range c.hosts {
@@ -88,7 +88,7 @@
 	})
 }
 
-// counters returns the target's; none of a scripted one.
+// counters returns the target's counters; zero for a scripted target.
 func (h *host) counters() target.Counters {
 	if h.target == nil {
 		return target.Counters{}
@@ -96,16 +96,16 @@
 	return h.target.Counters()
 }
 
-// runs counts the runs begun so far, on all targets.
-func (c *cluster) runs() (n int64) {
+// totalRuns counts the runs started so far on all targets.
+func (c *cluster) totalRuns() (n int64) {
 	for _, h := range c.hosts {
 		n += h.counters().Started
 	}
 	return n
 }
 
-// ranAt counts the runs of a mark on the targets of a service.
-func (c *cluster) ranAt(svc, mark string) (n int) {
+// runsOf counts the runs of a mark on the targets of a service.
+func (c *cluster) runsOf(svc, mark string) (n int) {
 	for _, h := range c.hosts {
 		if string(h.svc) != svc {
 			continue
@@ -117,28 +117,28 @@
 	return n
 }
 
-const patience = 20 * time.Second // that only a fault outlasts
+const awaitTimeout = 20 * time.Second // exceeded only if there is a fault
 
-// await polls for a condition.
+// await polls until ok reports true and fails the test on timeout.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-// eager makes an engine go back to a peer at once after a break, so that each
-// cut of an enumeration meets its connection.
-func eager(c *dataplane.Config) {
+// retryBrokenPeersAtOnce makes an engine call a peer again immediately after its
+// connection broke, so that each enumerated cut hits its connection.
+func retryBrokenPeersAtOnce(c *dataplane.Config) {
 	c.Route.BreakTime, c.Route.BreakMax = time.Nanosecond, time.Nanosecond
 	c.Route.EjectAfter, c.Route.EjectErrors = 1<<30, 2
 }
 
-// points returns about most places of a message of n bytes, with its ends and,
-// byte by byte, the place where its head ends.
-func points(n, head, most int) []int {
+// cutOffsets returns about most offsets in a message of n bytes, including both ends
+// and every byte around the end of its head.
+func cutOffsets(n, head, most int) []int {
 	var at []int
 	for i := 0; i < n; i++ {
 		if i == 0 || i == n-1 || i%max(1, n/most) == 0 || i >= head-3 && i <= head+1 {
@@ -148,18 +148,16 @@
 	return at
 }
 
-// hop is a connection on a query's way.
+// hop is a connection on the path of a query.
 type hop struct {
 	name string
 	link *link.Link
 }
 
-// Symptom: a caller is told "not run" of a request that ran, or gets a part of
-// an answer, another's, or a second run that nobody asked for.
-// Events: at any byte of the request or the answer, on any connection of its
-// way, the connection breaks or the process behind it dies.
-// Cause: some step takes a break for proof that nothing happened, or passes on
-// what it has.
+// Guards against a request that ran being reported as not run, a partial or wrong
+// answer, or an unrequested second run: a connection on the path breaks, or the
+// process behind it dies, at any byte of the request or the answer, and some hop
+// takes the break as proof that nothing ran or forwards a truncated message.
 func TestCutBetweenAnyTwoSteps(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -176,14 +174,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, threeServices())
-			c.tune = eager
+			c.tuneEngine = retryBrokenPeersAtOnce
 			c.startChain(tt.size)
 			for _, hop := range tt.hops(c.hosts[0], c.hosts[1], c.hosts[2]) {
 				for _, w := range []link.Way{link.Request, link.Answer} {
 					for _, how := range []link.How{link.Reset, link.Finish, link.Kill} {
 						t.Run(fmt.Sprintf("%s/%s/%s", hop.name, w, how), func(t *testing.T) {
 							c.t = t
-							if err := c.cutEverywhere(hop.link, w, how, tt.q); err != nil {
+							if err := c.testCuts(hop.link, w, how, tt.q); err != nil {
 								t.Fatal(err)
 							}
 						})
@@ -209,66 +207,66 @@
 	}
 }
 
-// cutEverywhere sends the query again and again, with the cut one step later
-// each time, and returns the first falsehood.
-func (c *cluster) cutEverywhere(l *link.Link, w link.Way, how link.How, q query) error {
+// testCuts sends the query repeatedly, with a cut at a later offset each time, and
+// returns the first violation.
+func (c *cluster) testCuts(l *link.Link, w link.Way, how link.How, q query) error {
 	const cuts = 4
 	size := c.measure(l, w, q)
-	struck := 0
-	for _, at := range points(size, headOf(q, size), cuts) {
+	hits := 0
+	for _, at := range cutOffsets(size, estimateHeadSize(q, size), cuts) {
 		mark := fmt.Sprintf("%s-%s-%s-%d", c.t.Name(), w, how, at)
-		before := c.runs()
-		strike := l.Arm(link.Cut{Way: w, After: at, How: how})
-		to, err := c.ask(c.hosts[0], q, mark)
-		c.settle()
+		before := c.totalRuns()
+		cutDone := l.Arm(link.Cut{Way: w, After: at, How: how})
+		to, err := c.sendQuery(c.hosts[0], q, mark)
+		c.waitIdle()
 		select {
-		case <-strike:
-			struck++
-		default: // some header's value was shorter this time
+		case <-cutDone:
+			hits++
+		default: // a header value was shorter this time, so the cut was not reached
 		}
 		if err == nil {
-			err = c.judge(q, to, mark, c.runs()-before)
+			err = c.checkOutcome(q, to, mark, c.totalRuns()-before)
 		}
 		if err != nil {
 			return fmt.Errorf("cut after byte %d: %w", at, err)
 		}
-		c.recover(l, q, mark+"-after")
+		c.restore(l, q, mark+"-after")
 	}
-	if struck == 0 {
-		c.t.Fatal("no cut met a connection")
+	if hits == 0 {
+		c.t.Fatal("no cut hit a connection")
 	}
 	return nil
 }
 
-// headOf guesses where a message's head ends; the enumeration is denser there.
-func headOf(q query, size int) int {
+// estimateHeadSize estimates where a message's head ends; offsets are denser there.
+func estimateHeadSize(q query, size int) int {
 	if q.body > 0 && size > q.body {
 		return size - q.body
 	}
 	return min(size, 400)
 }
 
-// measure returns how many bytes a query moves on a link.
+// measure returns the number of bytes that a query transfers over a link.
 func (c *cluster) measure(l *link.Link, w link.Way, q query) int {
-	c.recover(l, q, "measure")
+	c.restore(l, q, "measure")
 	if err := l.Disarm(); err != nil {
 		c.t.Fatal(err)
 	}
-	if _, err := c.ask(c.hosts[0], q, c.t.Name()+"-measure"); err != nil {
+	if _, err := c.sendQuery(c.hosts[0], q, c.t.Name()+"-measure"); err != nil {
 		c.t.Fatal(err)
 	}
-	c.settle()
+	c.waitIdle()
 	return l.Passed(w)
 }
 
-// judge holds what a caller was told against what ran.
-func (c *cluster) judge(q query, to told, mark string, ran int64) error {
-	const services, allowance = 3, 2 // of threeServices
+// checkOutcome checks the result reported to the caller against the runs.
+func (c *cluster) checkOutcome(q query, to reportedResult, mark string, ran int64) error {
+	const services, allowance = 3, 2 // see threeServices
 	switch {
 	case ran > services+allowance:
-		return fmt.Errorf("%d runs, over the allowance of the chain", ran)
-	case q.method == "POST" && c.ranAt(q.host, mark) > 1:
-		return fmt.Errorf("ran twice, told %q", to.outcome)
+		return fmt.Errorf("%d runs exceed the chain's retry allowance", ran)
+	case q.method == "POST" && c.runsOf(q.host, mark) > 1:
+		return fmt.Errorf("ran twice, reported %q", to.outcome)
 	case to.outcome == "refused" && ran != 0:
 		return fmt.Errorf("refused as %s, but %d runs", to.code, ran)
 	case (to.outcome == "completed" || to.outcome == "failed") && ran == 0:
@@ -277,8 +275,8 @@
 	return nil
 }
 
-// recover mends the link and waits until a query completes again.
-func (c *cluster) recover(l *link.Link, q query, mark string) {
+// restore disarms the link and waits until a query completes again.
+func (c *cluster) restore(l *link.Link, q query, mark string) {
 	c.t.Helper()
 	if err := l.Disarm(); err != nil {
 		c.t.Fatal(err)
@@ -286,8 +284,8 @@
 	n := 0
 	await(c.t, "a query completes again", func() bool {
 		n++
-		to, err := c.ask(c.hosts[0], q, fmt.Sprintf("%s-%d", mark, n))
+		to, err := c.sendQuery(c.hosts[0], q, fmt.Sprintf("%s-%d", mark, n))
 		return err == nil && to.outcome == "completed"
 	})
-	c.settle()
+	c.waitIdle()
 }
--- a/bench/e2e/framing_test.go
+++ b/bench/e2e/framing_test.go
@@ -16,11 +16,10 @@
 	"peardrift/internal/link"
 )
 
-// Symptom: a caller's body is run as a request of its own.
-// Events: a request's chunked body is broken off by bytes that look like another
-// request; the first is refused. Cause: the connection is read on, although nobody
-// knows where the next request on it begins.
-func TestNothingIsReadAfterABrokenBody(t *testing.T) {
+// Guards against request smuggling: a malformed chunked body contains bytes that
+// look like another request, the first request is refused, and the node continues
+// to read the connection although the start of the next request is unknown.
+func TestConnectionIsClosedAfterMalformedBody(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: media.khaosan\r\n\r\n"
 	for name, body := range map[string]string{
 		"no chunk":     "zz\r\n" + hidden,
@@ -31,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, threeServices())
-			c.add("media-1", chainConfig("media.khaosan", 10), nil)
+			c.addHost("media-1", chainConfig("media.khaosan", 10), nil)
 			c.publish()
 			conn, err := net.Dial("tcp", c.hosts[0].entry.Addr())
 			is.NoErr(err)
@@ -39,65 +38,63 @@
 			_, err = io.WriteString(conn, "POST /m HTTP/1.1\r\nHost: media.khaosan\r\nTransfer-Encoding: chunked\r\n\r\n"+body)
 			is.NoErr(err)
 			_, _ = io.ReadAll(conn) // until the node closes it
-			is.Equal(c.runs(), int64(0))
+			is.Equal(c.totalRuns(), int64(0))
 		})
 	}
 }
 
-// Symptom: a target runs a body of any length. Events: one that doesn't state its
-// length turns out longer than its class allows. Cause: only stated lengths are
-// looked at.
+// Guards against a target running a body longer than its class allows because only
+// Content-Length is checked, which a chunked body lacks.
 func TestChunkedBodyIsBounded(t *testing.T) {
 	is := is.New(t)
-	const most = 100_000
+	const maxBody = 100_000
 	c := newCluster(t, confset.NewIndex(confset.Set{Tenant: "khaosan", Version: 1, Share: 1, Services: []confset.Service{
 		{Name: "media", Slots: 190, Connections: 1250, Classes: []confset.Class{
-			{Name: "media", Path: "/", Importance: 10, Deadline: 2 * time.Second, MaxBody: most},
+			{Name: "media", Path: "/", Importance: 10, Deadline: 2 * time.Second, MaxBody: maxBody},
 		}},
 	}}))
-	c.add("media-1", chainConfig("media.khaosan", 10), nil)
+	c.addHost("media-1", chainConfig("media.khaosan", 10), nil)
 	c.publish()
-	q := query{method: http.MethodPost, host: "media.khaosan", path: "/m", body: most, chunked: true}
-	to, err := c.ask(c.hosts[0], q, "fits")
+	q := query{method: http.MethodPost, host: "media.khaosan", path: "/m", body: maxBody, chunked: true}
+	to, err := c.sendQuery(c.hosts[0], q, "fits")
 	is.NoErr(err)
 	is.Equal(to.outcome, "completed")
-	q.body = 3 * most
-	to, err = c.ask(c.hosts[0], q, "too long")
+	q.body = 3 * maxBody
+	to, err = c.sendQuery(c.hosts[0], q, "too long")
 	is.NoErr(err)
 	is.True(to.outcome != "completed")
-	c.settle()
+	c.waitIdle()
 	is.Equal(c.hosts[0].counters().Finished, int64(1))
 }
 
-// Symptom: a payout's caller gets a part of the answer as a whole one, and so does
-// each that asks again. Events: the target's answer, too long to be held, breaks off.
-// Cause: what came of it is recorded.
+// Guards against a truncated answer being recorded and replayed to repeats as a
+// whole one: the target's answer, too long to be buffered, breaks off.
 func TestBrokenAnswerIsNotRecorded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
-	c.add("media-1", chainConfig("media.khaosan", 500_000), nil)
+	c.addHost("media-1", chainConfig("media.khaosan", 500_000), nil)
 	c.publish()
 	c.hosts[0].links.target.Arm(link.Cut{Way: link.Answer, After: 250_000, How: link.Reset})
-	to, err := c.ask(c.hosts[0], query{method: http.MethodPost, host: "media.khaosan", path: "/pay", keyed: true, body: 10}, "broken")
+	to, err := c.sendQuery(c.hosts[0], query{method: http.MethodPost, host: "media.khaosan", path: "/pay", keyed: true, body: 10}, "broken")
 	is.NoErr(err)
 	is.Equal(to.outcome, "unknown")
 }
 
-// hops collects what engines tell of calls. Safe for concurrent use.
-type hops struct {
+// hopRecorder records the hops that engines report. Safe for concurrent use.
+type hopRecorder struct {
 	mu  sync.Mutex
 	all []dataplane.Hop
 }
 
 // Hop implements dataplane.Observer.
-func (h *hops) Hop(hop *dataplane.Hop) {
+func (h *hopRecorder) Hop(hop *dataplane.Hop) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.all = append(h.all, *hop)
 }
 
-// outcomes returns those of the hops of a kind.
-func (h *hops) outcomes(kind dataplane.HopKind) (os []request.Outcome) {
+// outcomes returns the outcomes of all hops of a kind.
+func (h *hopRecorder) outcomes(kind dataplane.HopKind) (os []request.Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, hop := range h.all {
@@ -108,19 +105,19 @@
 	return os
 }
 
-// Symptom: metrics, logs and traces call requests completed whose callers got half
-// an answer. Events: a long answer of a target breaks off. Cause: its head was whole.
+// Guards against metrics, logs and traces reporting a request as completed whose
+// answer broke off after a complete head.
 func TestBrokenStreamIsSeenAsUnknown(t *testing.T) {
 	is := is.New(t)
-	seen := &hops{}
+	seen := &hopRecorder{}
 	c := newCluster(t, threeServices())
-	c.obs = seen
-	c.add("media-1", chainConfig("media.khaosan", 1_000_000), nil)
+	c.observer = seen
+	c.addHost("media-1", chainConfig("media.khaosan", 1_000_000), nil)
 	c.publish()
 	c.hosts[0].links.target.Arm(link.Cut{Way: link.Answer, After: 500_000, How: link.Reset})
-	to, err := c.ask(c.hosts[0], query{method: http.MethodGet, host: "media.khaosan", path: "/m"}, "broken")
+	to, err := c.sendQuery(c.hosts[0], query{method: http.MethodGet, host: "media.khaosan", path: "/m"}, "broken")
 	is.NoErr(err)
-	is.Equal(to.outcome, "") // it broke visibly
+	is.Equal(to.outcome, "") // the caller saw the connection break
 	for _, kind := range []dataplane.HopKind{dataplane.HopServe, dataplane.HopEntry} {
 		await(t, "the hop has ended", func() bool { return len(seen.outcomes(kind)) > 0 })
 		is.Equal(seen.outcomes(kind), []request.Outcome{request.Unknown})
--- a/bench/e2e/payments_test.go
+++ b/bench/e2e/payments_test.go
@@ -19,19 +19,19 @@
 	"peardrift/internal/link"
 )
 
-// payments is a cluster whose at-most-once calls go to two hosts of media, with
-// claims at a stand-in platform. Requests enter at three nodes.
+// payments is a cluster of three nodes whose at-most-once calls go to two hosts of
+// media, with claims stored in a platform stand-in. Requests enter at all nodes.
 type payments struct {
 	*cluster
 	platform *platform.Server
 }
 
-var approval = query{method: "POST", host: "media.khaosan", path: "/pay", keyed: true, body: 200}
+var paymentQuery = query{method: "POST", host: "media.khaosan", path: "/pay", keyed: true, body: 200}
 
-// startPayments starts the cluster; with naive set, calls run without claims.
+// startPayments starts the cluster; naive runs calls without claims.
 func startPayments(t *testing.T, naive bool) *payments {
 	p := &payments{cluster: newCluster(t, threeServices()), platform: platform.New()}
-	p.tune = eager
+	p.tuneEngine = retryBrokenPeersAtOnce
 	if err := p.platform.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -40,17 +40,17 @@
 		if naive {
 			return nil
 		}
-		return p.claims(t)
+		return p.newClaims(t)
 	}
-	p.add("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), own())
-	p.add("media-1", chainConfig("media.khaosan", 100), own())
-	p.add("media-2", chainConfig("media.khaosan", 100), own())
+	p.addHost("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), own())
+	p.addHost("media-1", chainConfig("media.khaosan", 100), own())
+	p.addHost("media-2", chainConfig("media.khaosan", 100), own())
 	p.publish()
 	return p
 }
 
-// claims returns the claims of one node.
-func (p *payments) claims(t *testing.T) *claims.Runner {
+// newClaims returns a claims runner for one node.
+func (p *payments) newClaims(t *testing.T) *claims.Runner {
 	cfg := awscall.DefaultConfig()
 	cfg.Endpoint, cfg.AccessKey, cfg.SecretKey = p.platform.URL(), "access", "secret"
 	table := awstable.New(cfg, "peardrift")
@@ -65,15 +65,15 @@
 	return claims.New(claims.OwnRows{Table: table}, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
 }
 
-// send sends the approval of a key through one entry and holds what it is told
-// against the runs there were before.
-func (p *payments) send(entry *host, key string) (told, error) {
-	before := p.ranAt(approval.host, key)
-	to, err := p.ask(entry, approval, key)
-	switch after := p.ranAt(approval.host, key); {
+// sendAndCheck sends the payment of a key through one entry node and checks the
+// reported result against the number of runs.
+func (p *payments) sendAndCheck(entry *host, key string) (reportedResult, error) {
+	before := p.runsOf(paymentQuery.host, key)
+	to, err := p.sendQuery(entry, paymentQuery, key)
+	switch after := p.runsOf(paymentQuery.host, key); {
 	case err != nil:
 	case after > 1:
-		err = fmt.Errorf("ran %d times, told %q", after, to.outcome)
+		err = fmt.Errorf("ran %d times, reported %q", after, to.outcome)
 	case to.outcome == "refused" && before > 0:
 		err = fmt.Errorf("refused as %s, but it had run", to.code)
 	case to.outcome == "completed" && after == 0:
@@ -82,19 +82,19 @@
 	return to, err
 }
 
-// resend sends a key through all entries at once, and returns how many were
-// told that it completed.
-func (p *payments) resend(key string) (completed int, err error) {
+// resendEverywhere sends a key twice through every entry node concurrently and
+// returns how many senders were told that it completed.
+func (p *payments) resendEverywhere(key string) (completed int, err error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, h := range p.hosts {
 		for range 2 {
 			wg.Go(func() {
-				to, fault := p.send(h, key)
+				to, sendErr := p.sendAndCheck(h, key)
 				mu.Lock()
 				defer mu.Unlock()
-				if fault != nil {
-					err = fault
+				if sendErr != nil {
+					err = sendErr
 				}
 				if to.outcome == "completed" {
 					completed++
@@ -106,11 +106,11 @@
 	return completed, err
 }
 
-// completes resends a key until all are told that it completed.
-func (p *payments) completes(key string) {
+// awaitCompleted resends a key until all senders are told that it completed.
+func (p *payments) awaitCompleted(key string) {
 	p.t.Helper()
-	await(p.t, "all are told the outcome", func() bool {
-		n, err := p.resend(key)
+	await(p.t, "all senders are told that it completed", func() bool {
+		n, err := p.resendEverywhere(key)
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -118,31 +118,31 @@
 	})
 }
 
-// place is a hop of an approval, at either target.
-type place struct {
+// cutPoint is a hop of a payment, with the links to both targets.
+type cutPoint struct {
 	name  string
 	links []*link.Link
-	// known: a cut here leaves the target's answer with its node, so repeats
-	// must come to hear of it.
-	known bool
+	// answerKept reports that the target's node has the answer despite a cut at this
+	// hop, so that repeats must eventually get its outcome.
+	answerKept bool
 }
 
-func (p *payments) places() []place {
+func (p *payments) cutPoints() []cutPoint {
 	a, b := p.hosts[1].links, p.hosts[2].links
-	return []place{
+	return []cutPoint{
 		{"caller to entry", []*link.Link{p.hosts[0].links.entry}, true},
 		{"entry to node", []*link.Link{a.node, b.node}, true},
 		{"node to target", []*link.Link{a.target, b.target}, false},
 	}
 }
 
-// lose sends a key while a cut waits at a place, mends it, and sends the key
-// again through all entries.
-func (p *payments) lose(pl place, cut link.Cut, key string) error {
+// cutAndResend sends a key with a cut armed at a hop, disarms it and resends the key
+// through all entry nodes.
+func (p *payments) cutAndResend(pl cutPoint, cut link.Cut, key string) error {
 	for _, l := range pl.links {
 		l.Arm(cut)
 	}
-	_, err := p.send(p.hosts[0], key)
+	_, err := p.sendAndCheck(p.hosts[0], key)
 	if err != nil {
 		return err
 	}
@@ -151,28 +151,27 @@
 			return err
 		}
 	}
-	if _, err = p.resend(key); err != nil {
+	if _, err = p.resendEverywhere(key); err != nil {
 		return err
 	}
-	p.settle()
-	if pl.known {
-		p.completes(key)
+	p.waitIdle()
+	if pl.answerKept {
+		p.awaitCompleted(key)
 	}
 	return nil
 }
 
-// Symptom: a payout is approved twice.
-// Events: its answer is lost, or its request is cut, at any step; the caller
-// sends it again through all other nodes at once.
-// Cause: a node takes a call for the first of its key without asking the others.
+// Guards against a payment running twice: its request or answer is cut at any hop,
+// the caller resends it through all nodes at once, and a node treats the call as
+// the first of its key without checking with the others.
 func TestResentPayoutRunsOnce(t *testing.T) {
 	p := startPayments(t, false)
-	for _, pl := range p.places() {
+	for _, pl := range p.cutPoints() {
 		for _, w := range []link.Way{link.Request, link.Answer} {
 			for _, after := range []int{0, 100, 300, 600} {
 				t.Run(fmt.Sprintf("%s/%s/%d", pl.name, w, after), func(t *testing.T) {
 					p.t = t
-					if err := p.lose(pl, link.Cut{Way: w, After: after}, t.Name()); err != nil {
+					if err := p.cutAndResend(pl, link.Cut{Way: w, After: after}, t.Name()); err != nil {
 						t.Fatal(err)
 					}
 				})
@@ -183,36 +182,34 @@
 
 func TestWithoutClaimsAPayoutRunsTwice(t *testing.T) {
 	p := startPayments(t, true)
-	err := p.lose(p.places()[1], link.Cut{Way: link.Answer}, "key")
+	err := p.cutAndResend(p.cutPoints()[1], link.Cut{Way: link.Answer}, "key")
 	if err == nil {
-		t.Fatal("not found")
+		t.Fatal("the second run was not detected")
 	}
 	t.Log(err)
 }
 
-// Symptom: a payout runs twice, or never again, or is said not to have run.
-// Events: the platform applies writes and their answers are lost.
-// Cause: a lost answer is taken as written, or as not written.
+// Guards against a payment running twice, becoming impossible to run or being
+// reported as not run: the platform applies writes but loses their answers, and a
+// lost answer is taken as proof that the write did or did not happen.
 func TestWritesAppliedWithAnswerLost(t *testing.T) {
 	p := startPayments(t, false)
 	for every := 1; every <= 3; every++ {
 		p.platform.SetFaults(platform.Faults{LoseAnswerEvery: every})
 		for n := range 5 {
 			key := fmt.Sprintf("key-%d-%d", every, n)
-			if _, err := p.resend(key); err != nil {
+			if _, err := p.resendEverywhere(key); err != nil {
 				t.Fatal(err)
 			}
-			p.completes(key)
+			p.awaitCompleted(key)
 		}
 	}
 	is.New(t).True(p.platform.Counters().Lost > 0)
 }
 
-// Symptom: during an outage of the platform a payout runs without a claim, or
-// reads fail too, or a caller is told that an approved payout never ran.
-// Events: the platform goes down after a payout has run, and comes back.
-// Cause: calls that need no claim wait for the platform, or an unread key is
-// taken for a free one.
+// Guards against three faults while the platform is down: a payment runs without a
+// claim, reads fail because calls without a claim wait for the platform, or a
+// completed payment is reported as not run because an unread key is taken as free.
 func TestPlatformOutage(t *testing.T) {
 	for name, outage := range map[string]platform.Faults{
 		"down": {Down: true}, "slow": {DelayMS: 2000}, "late": {DelayApplyMS: 2000}, "no writes": {RefuseWrites: true}, "throttled": {Throttle: true},
@@ -220,56 +217,55 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := startPayments(t, false)
-			p.completes("before")
+			p.awaitCompleted("before")
 			p.platform.SetFaults(outage)
-			n, err := p.resend("during")
+			n, err := p.resendEverywhere("during")
 			is.NoErr(err)
 			is.Equal(n, 0)
-			is.Equal(p.ranAt(approval.host, "during"), 0)
-			_, err = p.resend("before") // never "refused": it has run
+			is.Equal(p.runsOf(paymentQuery.host, "during"), 0)
+			_, err = p.resendEverywhere("before") // never "refused": it has run
 			is.NoErr(err)
 			for _, h := range p.hosts {
-				to, err := p.ask(h, query{method: "GET", host: "feed.khaosan", path: "/x"}, "read")
+				to, err := p.sendQuery(h, query{method: "GET", host: "feed.khaosan", path: "/x"}, "read")
 				is.NoErr(err)
 				is.Equal(to.outcome, "completed")
 			}
 			p.platform.SetFaults(platform.Faults{})
-			p.completes("before")
-			p.completes("during")
+			p.awaitCompleted("before")
+			p.awaitCompleted("during")
 		})
 	}
 }
 
-func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
+func TestReusedKeyIsRefused(t *testing.T) {
 	is := is.New(t)
 	p := startPayments(t, false)
-	p.completes("key")
-	other := approval
+	p.awaitCompleted("key")
+	other := paymentQuery
 	other.body++
 	for _, h := range p.hosts {
-		to, err := p.ask(h, other, "key")
+		to, err := p.sendQuery(h, other, "key")
 		is.NoErr(err)
 		is.Equal(to.code, "idempotency-key-reused")
 		is.Equal(to.outcome, "refused")
 	}
-	is.Equal(p.ranAt(approval.host, "key"), 1)
+	is.Equal(p.runsOf(paymentQuery.host, "key"), 1)
 }
 
-// Symptom: a caller is told "not run" of a payout that ran.
-// Events: the payout runs and its answer is lost; the caller sends it again when
-// all targets leave, so that no node claims its key. Cause: a refusal speaks of
-// its own call only.
-func TestRefusalOfAKeyThatRanIsItsOutcome(t *testing.T) {
+// Guards against a payment that ran being reported as not run: its answer is lost,
+// the caller resends it while all targets are leaving, so that no node claims the
+// key, and the refusal reflects only the repeated call.
+func TestRepeatOfCompletedKeyReportsItsOutcome(t *testing.T) {
 	is := is.New(t)
 	p := startPayments(t, false)
-	p.completes("key")
-	p.hosts[1].leaves, p.hosts[2].leaves = true, true
+	p.awaitCompleted("key")
+	p.hosts[1].targetLeaving, p.hosts[2].targetLeaving = true, true
 	p.publish()
 	for _, h := range p.hosts {
-		to, err := p.send(h, "key")
+		to, err := p.sendAndCheck(h, "key")
 		is.NoErr(err)
 		is.Equal(to.outcome, "completed")
-		to, err = p.send(h, "another "+h.name)
+		to, err = p.sendAndCheck(h, "another "+h.name)
 		is.NoErr(err)
 		is.Equal(to.outcome, "refused")
 	}
--- a/bench/e2e/shared_test.go
+++ b/bench/e2e/shared_test.go
@@ -25,26 +25,27 @@
 	"peardrift/internal/port"
 )
 
-// batching is payments whose claims share rows, over net/rpc between the nodes.
-type batching struct {
+// sharedPayments is a payments cluster whose claims share table rows; nodes exchange
+// them over net/rpc.
+type sharedPayments struct {
 	*payments
 	control []*link.Link // to each node's control listener
 	rows    []*shared.Rows
-	meter   *rpc.Meter // of what went between the nodes
+	meter   *rpc.Meter // bytes exchanged between the nodes
 }
 
-// startBatching starts them; all dated keys share rows.
-func startBatching(t *testing.T) *batching {
-	b := &batching{payments: &payments{cluster: newCluster(t, threeServices()), platform: platform.New()}, meter: &rpc.Meter{}}
-	b.tune, b.bare = eager, true
+// startSharedPayments starts the cluster; all keys with a UUIDv7 share rows.
+func startSharedPayments(t *testing.T) *sharedPayments {
+	b := &sharedPayments{payments: &payments{cluster: newCluster(t, threeServices()), platform: platform.New()}, meter: &rpc.Meter{}}
+	b.tuneEngine, b.answersNotKept = retryBrokenPeersAtOnce, true
 	if err := b.platform.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = b.platform.Close() })
-	b.announce()
-	b.add("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), b.node("feed-1"))
-	b.add("media-1", chainConfig("media.khaosan", 100), b.node("media-1"))
-	b.add("media-2", chainConfig("media.khaosan", 100), b.node("media-2"))
+	b.writeLayout()
+	b.addHost("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), b.newNodeClaims("feed-1"))
+	b.addHost("media-1", chainConfig("media.khaosan", 100), b.newNodeClaims("media-1"))
+	b.addHost("media-2", chainConfig("media.khaosan", 100), b.newNodeClaims("media-2"))
 	var ms []shared.Member
 	for i, h := range b.hosts {
 		ms = append(ms, shared.Member{ID: uint64(request.TargetIDOf(h.name)), Addr: b.control[i].Addr()})
@@ -56,7 +57,7 @@
 	return b
 }
 
-func (b *batching) table() *awstable.Table {
+func (b *sharedPayments) table() *awstable.Table {
 	cfg := awscall.DefaultConfig()
 	cfg.Endpoint, cfg.AccessKey, cfg.SecretKey = b.platform.URL(), "access", "secret"
 	table := awstable.New(cfg, "peardrift")
@@ -64,8 +65,8 @@
 	return table
 }
 
-// announce writes a layout that holds for all keys, before any is used.
-func (b *batching) announce() {
+// writeLayout writes a layout that applies to all keys, before any key is used.
+func (b *sharedPayments) writeLayout() {
 	cfg := batch.DefaultConfig()
 	value, err := batch.Layouts{{From: 1, Slot: cfg.Slot, Shards: cfg.Shards}}.Encode()
 	if err != nil {
@@ -77,8 +78,9 @@
 	}
 }
 
-// node returns the claims of one node and starts its control server.
-func (b *batching) node(name string) *claims.Runner {
+// newNodeClaims returns a claims runner for one node and starts the node's control
+// server.
+func (b *sharedPayments) newNodeClaims(name string) *claims.Runner {
 	pool, err := ants.NewPool(64, ants.WithNonblocking(true))
 	if err != nil {
 		b.t.Fatal(err)
@@ -98,7 +100,7 @@
 	b.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		_, _ = runner.Close(ctx), rows.Close(ctx) // what a test left undone ends with it
+		_, _ = runner.Close(ctx), rows.Close(ctx) // work that a test left pending is dropped
 		server.Close()
 		peers.Close()
 		pool.Release()
@@ -108,20 +110,19 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Symptom: a payout is approved twice, or its repeat is told that it did not run.
-// Events: its claim goes to another node that batches the row; the op or its
-// answer is cut at any step, or the whole call is; the caller sends it again
-// through all nodes at once.
-// Cause: a lost answer between nodes taken for a claim that was not written.
+// Guards against a payment running twice or its repeat being reported as not run:
+// the claim goes to the node that batches the row, the operation, its answer or the
+// call is cut at any hop, and a lost answer between nodes is taken as proof that
+// the claim was not written. The caller resends through all nodes at once.
 func TestResentPayoutOfASharedRowRunsOnce(t *testing.T) {
-	b := startBatching(t)
-	places := append(b.places(), place{"node to batching node", b.control, true})
+	b := startSharedPayments(t)
+	places := append(b.cutPoints(), cutPoint{"node to batching node", b.control, true})
 	for _, pl := range places {
 		for _, w := range []link.Way{link.Request, link.Answer} {
 			for _, after := range []int{0, 2, 100, 300} {
 				t.Run(fmt.Sprintf("%s/%s/%d", pl.name, w, after), func(t *testing.T) {
 					b.t = t
-					if err := b.lose(pl, link.Cut{Way: w, After: after}, newKey()); err != nil {
+					if err := b.cutAndResend(pl, link.Cut{Way: w, After: after}, newKey()); err != nil {
 						t.Fatal(err)
 					}
 				})
@@ -134,28 +135,28 @@
 }
 
 func TestSharedRowsWithAnswersLostAndInAnOutage(t *testing.T) {
-	b := startBatching(t)
+	b := startSharedPayments(t)
 	for every := 1; every <= 3; every++ {
 		b.platform.SetFaults(platform.Faults{LoseAnswerEvery: every})
 		for range 5 {
 			key := newKey()
-			if _, err := b.resend(key); err != nil {
+			if _, err := b.resendEverywhere(key); err != nil {
 				t.Fatal(err)
 			}
-			b.settle()
+			b.waitIdle()
 			b.platform.SetFaults(platform.Faults{})
-			b.completes(key)
+			b.awaitCompleted(key)
 			b.platform.SetFaults(platform.Faults{LoseAnswerEvery: every})
 		}
 	}
 	b.platform.SetFaults(platform.Faults{Down: true})
 	key := newKey()
 	for _, h := range b.hosts {
-		to, err := b.send(h, key)
+		to, err := b.sendAndCheck(h, key)
 		if err != nil || to.outcome == "completed" {
-			t.Fatalf("told %v in an outage, %v", to, err)
+			t.Fatalf("reported %v in an outage, %v", to, err)
 		}
 	}
 	b.platform.SetFaults(platform.Faults{})
-	b.completes(key)
+	b.awaitCompleted(key)
 }
--- a/bench/e2e/silent_test.go
+++ b/bench/e2e/silent_test.go
@@ -15,24 +15,22 @@
 	"peardrift/internal/link"
 )
 
-// never is a deadline that no test reaches: what ends a call is not it.
-const never = time.Hour
+// noDeadline is a deadline that no test reaches, so that it never ends a call.
+const noDeadline = time.Hour
 
-// startSilent starts the chain with calls that nothing bounds but the watch on
-// connections.
-func startSilent(t *testing.T, size int) *cluster {
-	c := newCluster(t, threeServicesWithin(never))
-	c.tune = eager
-	c.local = func(cc *hertzhttp.ClientConfig) { cc.GiveUp = time.Second }
+// startChainWithoutDeadlines starts the chain with calls that only the detection of
+// dead connections bounds.
+func startChainWithoutDeadlines(t *testing.T, size int) *cluster {
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	c.tuneEngine = retryBrokenPeersAtOnce
+	c.tuneTargetClient = func(cc *hertzhttp.ClientConfig) { cc.GiveUp = time.Second }
 	c.startChain(size)
 	return c
 }
 
-// Symptom: a call hangs on a connection that carries nothing any more, until
-// its deadline, while others to the same peer are answered.
-// Events: something between two nodes, or a node and its target, loses track of
-// a connection before the request has arrived, in its middle, before the answer
-// or in its middle. Cause: silence looks like work that takes long.
+// Guards against a call hanging until its deadline on a connection that silently
+// drops all traffic, before or during the request or the answer, between two nodes
+// or a node and its target: silence looks the same as a long run.
 func TestSilentConnectionEndsItsCall(t *testing.T) {
 	upload := query{method: "POST", host: "media.khaosan", path: "/m", body: 300_000}
 	small := query{method: "POST", host: "media.khaosan", path: "/m", body: 300}
@@ -50,25 +48,25 @@
 		{"half the answer's head", small, 300, link.Cut{Way: link.Answer, After: 100}, 1},
 		{"half a large answer", small, 1_000_000, link.Cut{Way: link.Answer, After: 500_000}, 1},
 	} {
-		for _, beside := range []string{"node", "target"} {
-			t.Run(tt.name+" of a "+beside, func(t *testing.T) {
+		for _, peerKind := range []string{"node", "target"} {
+			t.Run(tt.name+" of a "+peerKind, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				c := startSilent(t, tt.size)
+				c := startChainWithoutDeadlines(t, tt.size)
 				l := c.hosts[2].links.node
-				if beside == "target" {
+				if peerKind == "target" {
 					l = c.hosts[2].links.target
 				}
-				c.recover(l, tt.q, "before")
-				before := c.runs()
-				strike := l.Arm(link.Cut{Way: tt.cut.Way, After: tt.cut.After, How: link.Silence})
-				to, err := c.ask(c.hosts[0], tt.q, "lost")
+				c.restore(l, tt.q, "before")
+				before := c.totalRuns()
+				cutDone := l.Arm(link.Cut{Way: tt.cut.Way, After: tt.cut.After, How: link.Silence})
+				to, err := c.sendQuery(c.hosts[0], tt.q, "lost")
 				is.NoErr(err)
 				is.True(to.outcome != "completed" && to.outcome != "refused")
-				<-strike
-				is.Equal(c.runs()-before, tt.runs)
+				<-cutDone
+				is.Equal(c.totalRuns()-before, tt.runs)
 				is.NoErr(l.Disarm())
-				to, err = c.ask(c.hosts[0], tt.q, "after")
+				to, err = c.sendQuery(c.hosts[0], tt.q, "after")
 				is.NoErr(err)
 				is.Equal(to.outcome, "completed")
 			})
@@ -76,24 +74,22 @@
 	}
 }
 
-// Symptom: one call after the other is lost on old connections, long after the
-// first was found dead.
-// Events: all open connections to a node go silent at once, most of them idle;
-// requests that may not run twice follow one by one. Cause: each connection is
-// found out by a call of its own.
+// Guards against losing one call per connection: all open connections to a node go
+// silent at once, most of them idle, and each is detected as dead only by a call
+// that may not be retried.
 func TestOneLostCallCondemnsIdleConnections(t *testing.T) {
 	is := is.New(t)
-	c := startSilent(t, 300)
+	c := startChainWithoutDeadlines(t, 300)
 	q := query{method: "POST", host: "media.khaosan", path: "/m", body: 10}
 	var wg sync.WaitGroup
 	for n := range 20 {
-		wg.Go(func() { _, _ = c.ask(c.hosts[0], q, fmt.Sprint("warm-", n)) })
+		wg.Go(func() { _, _ = c.sendQuery(c.hosts[0], q, fmt.Sprint("warm-", n)) })
 	}
 	wg.Wait()
 	c.hosts[2].links.node.Break(link.Silence)
 	lost := 0
 	for n := range 20 {
-		to, err := c.ask(c.hosts[0], q, fmt.Sprint("mark-", n))
+		to, err := c.sendQuery(c.hosts[0], q, fmt.Sprint("mark-", n))
 		is.NoErr(err)
 		if to.outcome != "completed" {
 			lost++
@@ -103,21 +99,20 @@
 	is.Equal(lost, 1)
 }
 
-// Symptom: while a call sits on a connection that may be dead, each idle one
-// swallows a further call.
-// Events: all open connections to a target go silent; a target can't be asked
-// what it has in hand. Cause: connections are closed only when they are known to
-// be dead.
+// Guards against idle connections swallowing one call each while a call waits on a
+// connection that may be dead: all connections to a target go silent, a target
+// can't be asked for its calls in flight, and connections are closed only once they
+// are known to be dead.
 func TestDoubtfulCallKeepsOthersOffIdleConnections(t *testing.T) {
 	is := is.New(t)
-	c := newCluster(t, threeServicesWithin(never))
-	c.tune = eager
-	c.local = func(cc *hertzhttp.ClientConfig) { cc.GiveUp, cc.IdleTimeout = never, never }
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	c.tuneEngine = retryBrokenPeersAtOnce
+	c.tuneTargetClient = func(cc *hertzhttp.ClientConfig) { cc.GiveUp, cc.IdleTimeout = noDeadline, noDeadline }
 	c.startChain(300)
 	q := query{method: "POST", host: "media.khaosan", path: "/m", body: 10}
 	var wg sync.WaitGroup
 	for n := range 10 {
-		wg.Go(func() { _, _ = c.ask(c.hosts[0], q, fmt.Sprint("warm-", n)) })
+		wg.Go(func() { _, _ = c.sendQuery(c.hosts[0], q, fmt.Sprint("warm-", n)) })
 	}
 	wg.Wait()
 	l := c.hosts[2].links.target
@@ -125,37 +120,36 @@
 	silent := l.Open()
 	stuck := make(chan struct{})
 	go func() {
-		_, _ = c.ask(c.hosts[0], q, "stuck")
+		_, _ = c.sendQuery(c.hosts[0], q, "stuck")
 		close(stuck)
 	}()
 	await(t, "idle connections are closed", func() bool { return l.Open() < silent })
 	for n := range 10 {
-		to, err := c.ask(c.hosts[0], q, fmt.Sprint("mark-", n))
+		to, err := c.sendQuery(c.hosts[0], q, fmt.Sprint("mark-", n))
 		is.NoErr(err)
 		is.Equal(to.outcome, "completed")
 	}
 	select {
 	case <-stuck:
-		t.Fatal("the call ended, though nothing bounds it here")
+		t.Fatal("the call ended, but nothing bounds it in this test")
 	default:
 	}
 }
 
-// Symptom: requests that take long are cut off as lost.
-// Events: a target works for longer than a connection may be silent.
-// Cause: the watch on connections takes silence for death.
+// Guards against aborting a long run as lost: a target works for longer than a
+// connection may be silent, and the silence is taken for a dead connection.
 func TestSlowCallIsNotTakenForLost(t *testing.T) {
 	is := is.New(t)
-	c := newCluster(t, threeServicesWithin(never))
-	c.add("feed-1", chainConfig("feed.khaosan", 10), nil)
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	c.addHost("feed-1", chainConfig("feed.khaosan", 10), nil)
 	slow := chainConfig("media.khaosan", 10)
 	slow.ServiceTime = 4 * time.Second
-	c.add("media-1", slow, nil)
+	c.addHost("media-1", slow, nil)
 	c.publish()
 	var wg sync.WaitGroup
 	for n := range 5 {
 		wg.Go(func() {
-			to, err := c.ask(c.hosts[0], query{method: "POST", host: "media.khaosan", path: "/m"}, fmt.Sprint("mark-", n))
+			to, err := c.sendQuery(c.hosts[0], query{method: "POST", host: "media.khaosan", path: "/m"}, fmt.Sprint("mark-", n))
 			is.NoErr(err)
 			is.Equal(to.outcome, "completed")
 		})
@@ -164,13 +158,10 @@
 	is.Equal(c.hosts[1].target.Counters().Started, int64(5))
 }
 
-// Symptom: a target's slots fill up with calls whose callers were told long ago
-// that they are lost, until the calls' deadlines.
-// Events: a connection between two nodes loses track in the middle of an upload,
-// or of an answer that is longer than what the network holds. The calling node
-// finds out and closes its end; the callee's node never sees that.
-// Cause: a node that waits for its caller's bytes can't tell a slow caller from
-// one that has given up.
+// Guards against calls holding a target's slots until their deadlines after the
+// caller gave up: a connection between two nodes dies during an upload, or an answer
+// longer than the network's buffers. The calling node closes its end, but the
+// callee's node never sees that and can't tell a slow caller from a lost one.
 func TestLostCallerFreesTheSlot(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -185,38 +176,37 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			c := newCluster(t, threeServicesWithin(never))
-			c.tune = func(dc *dataplane.Config) { dc.UploadTimeout, dc.AbandonAfter = never, abandonAfter }
+			c := newCluster(t, threeServicesWithin(noDeadline))
+			c.tuneEngine = func(dc *dataplane.Config) { dc.UploadTimeout, dc.AbandonAfter = noDeadline, testAbandonAfter }
 			c.startChain(32 << 20)
-			strike := c.hosts[2].links.node.Arm(tt.cut)
-			to, err := c.ask(c.hosts[0], tt.q, "lost")
+			cutDone := c.hosts[2].links.node.Arm(tt.cut)
+			to, err := c.sendQuery(c.hosts[0], tt.q, "lost")
 			is.NoErr(err)
 			is.True(to.outcome != "completed" && to.outcome != "refused")
-			<-strike
+			<-cutDone
 			await(t, "the slot is free", func() bool { return c.hosts[2].engine.GateStats().Running == 0 })
 		})
 	}
 }
 
-// abandonAfter is how soon nodes in these tests give up a call that its caller
-// doesn't ask for any more; callers ask every 2 s at the latest.
-const abandonAfter = 3 * time.Second
+// testAbandonAfter is how long nodes in these tests keep a call that its caller
+// no longer asks about; callers ask at least every 2 s.
+const testAbandonAfter = 3 * time.Second
 
-// Symptom: uploads of slow phones break.
-// Events: a caller pauses in the middle of an upload for longer than nodes wait
-// for the word of a caller. Cause: the callee's node takes the pause for the loss
-// of the call, though the calling node has asked for it all the time.
+// Guards against aborting slow uploads: a caller pauses during an upload for longer
+// than AbandonAfter, and the callee's node treats the call as lost although the
+// calling node has kept asking about it.
 func TestPausedUploadIsNotAbandoned(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := newCluster(t, threeServicesWithin(never))
-	c.tune = func(dc *dataplane.Config) { dc.AbandonAfter = abandonAfter }
+	c := newCluster(t, threeServicesWithin(noDeadline))
+	c.tuneEngine = func(dc *dataplane.Config) { dc.AbandonAfter = testAbandonAfter }
 	c.startChain(300)
 	const half = 150_000
 	body, feed := io.Pipe()
 	go func() {
 		_, _ = feed.Write(make([]byte, half))
-		time.Sleep(2 * abandonAfter)
+		time.Sleep(2 * testAbandonAfter)
 		_, _ = feed.Write(make([]byte, half))
 		_ = feed.Close()
 	}()
--- a/bench/e2e/suspect_test.go
+++ b/bench/e2e/suspect_test.go
@@ -11,8 +11,8 @@
 	"peardrift/internal/core/suspect"
 )
 
-// blame makes a host's node know of crashes with requests for paths in flight.
-func (h *host) blame(crashes int, paths ...string) {
+// reportCrashes reports crashes with requests for paths in flight to a host's node.
+func (h *host) reportCrashes(crashes int, paths ...string) {
 	for n := range crashes {
 		r := suspect.Report{Crash: suspect.CrashID{Target: request.TargetIDOf(paths[0]), Incarnation: uint64(n)}, InFlight: len(paths)}
 		for _, path := range paths {
@@ -24,19 +24,18 @@
 	}
 }
 
-// Symptom: a caller drops an innocent request for good.
-// Events: it was in flight at two crashes, and is sent again while another
-// suspect runs on the target. Cause: the refusal that only asks it to wait had the
-// code of the final one, which is for the request that crashes targets.
+// Guards against a caller giving up an innocent request: it was in flight at two
+// crashes and is resent while another suspect runs on the target, and the temporary
+// refusal has the code of the final one, meant for requests that crash targets.
 func TestRefusalOfAWaitingSuspectIsForNow(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
-	c.add("feed-1", chainConfig("feed.khaosan", 10), nil)
+	c.addHost("feed-1", chainConfig("feed.khaosan", 10), nil)
 	cfg := chainConfig("media.khaosan", 10)
 	cfg.ServiceTime = time.Second
-	media := c.add("media-1", cfg, nil)
+	media := c.addHost("media-1", cfg, nil)
 	c.publish()
-	media.blame(2, "/first", "/second")
+	media.reportCrashes(2, "/first", "/second")
 	first := make(chan string)
 	go func() {
 		resp, _ := call(t, c, http.MethodGet, "media.khaosan", "/first", "one", nil, nil)
@@ -50,11 +49,11 @@
 	is.Equal(resp.Header.Get("Retry-After"), "1")
 	is.Equal(<-first, "completed")
 	is.Equal(media.counters().Started, int64(1))
-	to, err := c.ask(c.hosts[0], query{method: http.MethodGet, host: "media.khaosan", path: "/second"}, "again")
+	to, err := c.sendQuery(c.hosts[0], query{method: http.MethodGet, host: "media.khaosan", path: "/second"}, "again")
 	is.NoErr(err)
 	is.Equal(to.outcome, "completed")
 
-	media.blame(3, "/culprit")
+	media.reportCrashes(3, "/culprit")
 	resp, _ = call(t, c, http.MethodGet, "media.khaosan", "/culprit", "three", nil, nil)
 	is.Equal(resp.Header.Get("Peardrift-Code"), "suspected-of-crashing-targets")
 	is.Equal(resp.Header.Get("Retry-After"), "")
--- a/bench/e2e/unsafe_transport_test.go
+++ b/bench/e2e/unsafe_transport_test.go
@@ -11,10 +11,10 @@
 	"peardrift/internal/link"
 )
 
-// trusting takes a broken connection for proof that nothing ran.
-type trusting struct{ dataplane.Transport }
+// assumeNotSent treats a broken connection as proof that nothing ran.
+type assumeNotSent struct{ dataplane.Transport }
 
-func (n trusting) Do(ctx context.Context, addr string, req *protocol.Request, resp *protocol.Response) (hertzhttp.Result, error) {
+func (n assumeNotSent) Do(ctx context.Context, addr string, req *protocol.Request, resp *protocol.Response) (hertzhttp.Result, error) {
 	res, err := n.Transport.Do(ctx, addr, req, resp)
 	if err != nil {
 		res.Sent = false
@@ -22,10 +22,10 @@
 	return res, err
 }
 
-// repeating sends a call again when its connection breaks, as HTTP clients do.
-type repeating struct{ dataplane.Transport }
+// retryOnBreak retries a call when its connection breaks, as HTTP clients do.
+type retryOnBreak struct{ dataplane.Transport }
 
-func (n repeating) Do(ctx context.Context, addr string, req *protocol.Request, resp *protocol.Response) (hertzhttp.Result, error) {
+func (n retryOnBreak) Do(ctx context.Context, addr string, req *protocol.Request, resp *protocol.Response) (hertzhttp.Result, error) {
 	res, err := n.Transport.Do(ctx, addr, req, resp)
 	if err != nil {
 		return n.Transport.Do(ctx, addr, req, resp)
@@ -33,25 +33,25 @@
 	return res, err
 }
 
-// The enumeration of cuts finds each of these, so that its silence about the
-// real client means something.
+// Checks that the enumeration of cuts detects unsafe transports, so that its
+// passing with the real client is meaningful.
 func TestNaiveTransportsAreFound(t *testing.T) {
 	for name, wrap := range map[string]func(dataplane.Transport) dataplane.Transport{
-		"a break proves that nothing ran": func(tr dataplane.Transport) dataplane.Transport { return trusting{tr} },
-		"a break is repeated":             func(tr dataplane.Transport) dataplane.Transport { return repeating{tr} },
+		"a break proves that nothing ran": func(tr dataplane.Transport) dataplane.Transport { return assumeNotSent{tr} },
+		"a break is repeated":             func(tr dataplane.Transport) dataplane.Transport { return retryOnBreak{tr} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, threeServices())
-			c.tune, c.wrap = eager, wrap
+			c.tuneEngine, c.wrapTransport = retryBrokenPeersAtOnce, wrap
 			c.startChain(300)
 			q := query{method: "POST", host: "media.khaosan", path: "/pay", keyed: true, body: 300}
 			for _, l := range []*link.Link{c.hosts[2].links.node, c.hosts[2].links.target} {
-				err := c.cutEverywhere(l, link.Answer, link.Reset, q)
+				err := c.testCuts(l, link.Answer, link.Reset, q)
 				if err == nil {
-					t.Fatal("not found")
+					t.Fatal("no violation detected")
 				}
 				t.Log(err)
-				c.recover(l, q, "next")
+				c.restore(l, q, "next")
 			}
 		})
 	}
