--- a/bench/badinput/requests_test.go
+++ b/bench/badinput/requests_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// startNode starts the same node from the given binaries, without a configuration set.
+// startNode starts the same node from the given binaries, without a configuration
+// set.
 func startNode(t *testing.T, bins harness.Bins, tune ...func(*settings.Settings)) (*harness.Fleet, *recordingTarget) {
 	t.Helper()
 	rec := &recordingTarget{}
--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s-%s-%d", d.Tenant, s.Name, i+1), d.Zones[i%len(d.Zones)]
 }
 
-// singlePhase returns a single phase of one second with a mean arrival rate per second.
+// singlePhase returns one phase of one second with a mean arrival rate.
 func singlePhase(perSecond float64) []client.Phase {
 	return []client.Phase{{For: time.Second, Rate: perSecond}}
 }
