--- a/bench/e2e/cluster_test.go
+++ b/bench/e2e/cluster_test.go
@@ -13,11 +13,11 @@
 	"peardrift/bench/standin/target"
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/claims"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/route"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 	"peardrift/internal/status"
 )
 
@@ -37,16 +37,16 @@
 
 // hostLinks are the network links of a host, by connecting and accepting side.
 type hostLinks struct {
-	entry  *link.Link // callers to the node's caller listener
-	node   *link.Link // other nodes to the node's peer listener
-	target *link.Link // the node to its target's listener
-	egress *link.Link // the target to the node's egress listener
+	entry  *faultproxy.Proxy // callers to the node's caller listener
+	node   *faultproxy.Proxy // other nodes to the node's peer listener
+	target *faultproxy.Proxy // the node to its target's listener
+	egress *faultproxy.Proxy // the target to the node's egress listener
 }
 
 type cluster struct {
 	t                *testing.T
 	hosts            []*host
-	index            *confset.Index
+	index            *configset.Index
 	gen              uint64
 	tuneEngine       func(*dataplane.Config)                       // may be nil
 	wrapTransport    func(dataplane.Transport) dataplane.Transport // may be nil
@@ -66,7 +66,7 @@
 	return claims.Failure(refusal)
 }
 
-func newCluster(t *testing.T, idx *confset.Index) *cluster { return &cluster{t: t, index: idx} }
+func newCluster(t *testing.T, idx *configset.Index) *cluster { return &cluster{t: t, index: idx} }
 
 // addHost starts a host: a stand-in target and its node.
 func (c *cluster) addHost(name string, cfg target.Config, cl dataplane.Claims) *host {
@@ -102,7 +102,7 @@
 func (c *cluster) engine(h *host, cl dataplane.Claims) *dataplane.Engine {
 	self := dataplane.Self{
 		Name: h.name, ID: request.TargetIDOf(h.name), Service: h.svc, Tenant: "khaosan",
-		Place:  route.Place{Caller: uint64(request.TargetIDOf(h.name)), Region: "r", Zone: "z"},
+		Place:  route.Locality{Caller: uint64(request.TargetIDOf(h.name)), Region: "r", Zone: "z"},
 		Target: h.links.target.Addr(),
 	}
 	dc := dataplane.DefaultConfig()
@@ -127,8 +127,8 @@
 	return dataplane.New(dc, self, peers, local, cl, c.observer)
 }
 
-func (c *cluster) link(to string) *link.Link {
-	l, err := link.Listen(to)
+func (c *cluster) link(to string) *faultproxy.Proxy {
+	l, err := faultproxy.Listen(to)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/bench/e2e/cut_test.go
+++ b/bench/e2e/cut_test.go
@@ -10,7 +10,7 @@
 
 	"peardrift/bench/standin/target"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // query is a request as a caller sends it.
@@ -151,7 +151,7 @@
 // hop is a connection on the path of a query.
 type hop struct {
 	name string
-	link *link.Link
+	link *faultproxy.Proxy
 }
 
 // Guards against a request that ran being reported as not run, a partial or wrong
@@ -177,8 +177,8 @@
 			c.tuneEngine = retryBrokenPeersAtOnce
 			c.startChain(tt.size)
 			for _, hop := range tt.hops(c.hosts[0], c.hosts[1], c.hosts[2]) {
-				for _, w := range []link.Way{link.Request, link.Answer} {
-					for _, how := range []link.How{link.Reset, link.Finish, link.Kill} {
+				for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
+					for _, how := range []faultproxy.Fault{faultproxy.Reset, faultproxy.CloseGracefully, faultproxy.Kill} {
 						t.Run(fmt.Sprintf("%s/%s/%s", hop.name, w, how), func(t *testing.T) {
 							c.t = t
 							if err := c.testCuts(hop.link, w, how, tt.q); err != nil {
@@ -209,14 +209,14 @@
 
 // testCuts sends the query repeatedly, with a cut at a later offset each time, and
 // returns the first violation.
-func (c *cluster) testCuts(l *link.Link, w link.Way, how link.How, q query) error {
+func (c *cluster) testCuts(l *faultproxy.Proxy, w faultproxy.Direction, how faultproxy.Fault, q query) error {
 	const cuts = 4
 	size := c.measure(l, w, q)
 	hits := 0
 	for _, at := range cutOffsets(size, estimateHeadSize(q, size), cuts) {
 		mark := fmt.Sprintf("%s-%s-%s-%d", c.t.Name(), w, how, at)
 		before := c.totalRuns()
-		cutDone := l.Arm(link.Cut{Way: w, After: at, How: how})
+		cutDone := l.Arm(faultproxy.Cut{Direction: w, After: at, Fault: how})
 		to, err := c.sendQuery(c.hosts[0], q, mark)
 		c.waitIdle()
 		select {
@@ -247,7 +247,7 @@
 }
 
 // measure returns the number of bytes that a query transfers over a link.
-func (c *cluster) measure(l *link.Link, w link.Way, q query) int {
+func (c *cluster) measure(l *faultproxy.Proxy, w faultproxy.Direction, q query) int {
 	c.restore(l, q, "measure")
 	if err := l.Disarm(); err != nil {
 		c.t.Fatal(err)
@@ -256,7 +256,7 @@
 		c.t.Fatal(err)
 	}
 	c.waitIdle()
-	return l.Passed(w)
+	return l.PassedBytes(w)
 }
 
 // checkOutcome checks the result reported to the caller against the runs.
@@ -276,7 +276,7 @@
 }
 
 // restore disarms the link and waits until a query completes again.
-func (c *cluster) restore(l *link.Link, q query, mark string) {
+func (c *cluster) restore(l *faultproxy.Proxy, q query, mark string) {
 	c.t.Helper()
 	if err := l.Disarm(); err != nil {
 		c.t.Fatal(err)
--- a/bench/e2e/payments_test.go
+++ b/bench/e2e/payments_test.go
@@ -16,7 +16,7 @@
 	"peardrift/internal/adapter/awstable/awscall"
 	"peardrift/internal/claims"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // payments is a cluster of three nodes whose at-most-once calls go to two hosts of
@@ -62,7 +62,7 @@
 		pool.Release()
 		table.Close()
 	})
-	return claims.New(claims.OwnRows{Table: table}, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
+	return claims.New(claims.SingleRows{Table: table}, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
 }
 
 // sendAndCheck sends the payment of a key through one entry node and checks the
@@ -121,7 +121,7 @@
 // cutPoint is a hop of a payment, with the links to both targets.
 type cutPoint struct {
 	name  string
-	links []*link.Link
+	links []*faultproxy.Proxy
 	// answerKept reports that the target's node has the answer despite a cut at this
 	// hop, so that repeats must eventually get its outcome.
 	answerKept bool
@@ -130,15 +130,15 @@
 func (p *payments) cutPoints() []cutPoint {
 	a, b := p.hosts[1].links, p.hosts[2].links
 	return []cutPoint{
-		{"caller to entry", []*link.Link{p.hosts[0].links.entry}, true},
-		{"entry to node", []*link.Link{a.node, b.node}, true},
-		{"node to target", []*link.Link{a.target, b.target}, false},
+		{"caller to entry", []*faultproxy.Proxy{p.hosts[0].links.entry}, true},
+		{"entry to node", []*faultproxy.Proxy{a.node, b.node}, true},
+		{"node to target", []*faultproxy.Proxy{a.target, b.target}, false},
 	}
 }
 
 // cutAndResend sends a key with a cut armed at a hop, disarms it and resends the key
 // through all entry nodes.
-func (p *payments) cutAndResend(pl cutPoint, cut link.Cut, key string) error {
+func (p *payments) cutAndResend(pl cutPoint, cut faultproxy.Cut, key string) error {
 	for _, l := range pl.links {
 		l.Arm(cut)
 	}
@@ -167,11 +167,11 @@
 func TestResentPayoutRunsOnce(t *testing.T) {
 	p := startPayments(t, false)
 	for _, pl := range p.cutPoints() {
-		for _, w := range []link.Way{link.Request, link.Answer} {
+		for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
 			for _, after := range []int{0, 100, 300, 600} {
 				t.Run(fmt.Sprintf("%s/%s/%d", pl.name, w, after), func(t *testing.T) {
 					p.t = t
-					if err := p.cutAndResend(pl, link.Cut{Way: w, After: after}, t.Name()); err != nil {
+					if err := p.cutAndResend(pl, faultproxy.Cut{Direction: w, After: after}, t.Name()); err != nil {
 						t.Fatal(err)
 					}
 				})
@@ -182,7 +182,7 @@
 
 func TestWithoutClaimsAPayoutRunsTwice(t *testing.T) {
 	p := startPayments(t, true)
-	err := p.cutAndResend(p.cutPoints()[1], link.Cut{Way: link.Answer}, "key")
+	err := p.cutAndResend(p.cutPoints()[1], faultproxy.Cut{Direction: faultproxy.Answer}, "key")
 	if err == nil {
 		t.Fatal("the second run was not detected")
 	}
--- a/bench/e2e/shared_test.go
+++ b/bench/e2e/shared_test.go
@@ -18,10 +18,10 @@
 	"peardrift/internal/adapter/awstable/awscall"
 	"peardrift/internal/adapter/rpc"
 	"peardrift/internal/claims"
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 	"peardrift/internal/core/claim/batch"
 	"peardrift/internal/core/request"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 	"peardrift/internal/port"
 )
 
@@ -29,8 +29,8 @@
 // them over net/rpc.
 type sharedPayments struct {
 	*payments
-	control []*link.Link // to each node's control listener
-	rows    []*shared.Rows
+	control []*faultproxy.Proxy // to each node's control listener
+	rows    []*sharedrows.Rows
 	meter   *rpc.Meter // bytes exchanged between the nodes
 }
 
@@ -46,9 +46,9 @@
 	b.addHost("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), b.newNodeClaims("feed-1"))
 	b.addHost("media-1", chainConfig("media.khaosan", 100), b.newNodeClaims("media-1"))
 	b.addHost("media-2", chainConfig("media.khaosan", 100), b.newNodeClaims("media-2"))
-	var ms []shared.Member
+	var ms []sharedrows.Member
 	for i, h := range b.hosts {
-		ms = append(ms, shared.Member{ID: uint64(request.TargetIDOf(h.name)), Addr: b.control[i].Addr()})
+		ms = append(ms, sharedrows.Member{ID: uint64(request.TargetIDOf(h.name)), Addr: b.control[i].Addr()})
 	}
 	for _, r := range b.rows {
 		r.SetMembers(ms)
@@ -86,7 +86,7 @@
 		b.t.Fatal(err)
 	}
 	peers, server := rpc.NewClaimPeers(rpc.DefaultConfig()), rpc.NewServer(rpc.DefaultConfig(), b.meter)
-	rows := shared.New(b.table(), peers, uint64(request.TargetIDOf(name)), pool, shared.DefaultConfig(), tally.NoopScope)
+	rows := sharedrows.New(b.table(), peers, uint64(request.TargetIDOf(name)), pool, sharedrows.DefaultConfig(), tally.NoopScope)
 	if err := server.Register(rpc.ClaimsName, rpc.NewClaimsService(rows.Serve, b.meter)); err != nil {
 		b.t.Fatal(err)
 	}
@@ -118,11 +118,11 @@
 	b := startSharedPayments(t)
 	places := append(b.cutPoints(), cutPoint{"node to batching node", b.control, true})
 	for _, pl := range places {
-		for _, w := range []link.Way{link.Request, link.Answer} {
+		for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
 			for _, after := range []int{0, 2, 100, 300} {
 				t.Run(fmt.Sprintf("%s/%s/%d", pl.name, w, after), func(t *testing.T) {
 					b.t = t
-					if err := b.cutAndResend(pl, link.Cut{Way: w, After: after}, newKey()); err != nil {
+					if err := b.cutAndResend(pl, faultproxy.Cut{Direction: w, After: after}, newKey()); err != nil {
 						t.Fatal(err)
 					}
 				})
--- a/bench/replay/core.go
+++ b/bench/replay/core.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"peardrift/internal/core/admission"
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/route"
 	"peardrift/internal/status"
@@ -40,7 +40,7 @@
 		cfg.MaxWait = time.Nanosecond
 	}
 	if !n.sim.policy.Level {
-		cfg.StandFor = math.MaxInt64 // a standing queue is never detected
+		cfg.StandingDelay = math.MaxInt64 // a standing queue is never detected
 	}
 	g := &coreGate{node: n, core: admission.New(cfg, n.sim.rng), tickAt: math.MaxInt64}
 	return g
@@ -52,7 +52,7 @@
 		Priority: g.priority(a),
 		Tenant:   g.node.sim.tenantIndex(a.call.root.class.Tenant),
 		Deadline: a.call.deadline,
-		Deep:     g.node.sim.policy.DeepFirst && g.node.sim.policy.Order && a.call.depth > 0,
+		Nested:   g.node.sim.policy.DeepFirst && g.node.sim.policy.Order && a.call.depth > 0,
 	}, g.actions[:0])
 	g.apply(a, d)
 	g.applyActions(actions)
@@ -125,7 +125,7 @@
 
 func (g *coreGate) feedback(a *attempt) calleeFeedback {
 	x := calleeFeedback{
-		level:    g.core.LevelOf(g.node.sim.tenantIndex(a.call.root.class.Tenant)),
+		level:    g.core.TenantLevel(g.node.sim.tenantIndex(a.call.root.class.Tenant)),
 		inFlight: g.node.target.load(),
 		limit:    g.node.target.slots,
 	}
@@ -136,8 +136,8 @@
 }
 
 // earlyWork identifies a request's class and tenant to a node's early.Chain.
-func earlyWork(t *rootRequest) early.Work {
-	return early.Work{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
+func earlyWork(t *rootRequest) earlyrefusal.WorkKey {
+	return earlyrefusal.WorkKey{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
 }
 
 // tenantIndex returns the index of a tenant, as the admission core expects it.
@@ -167,9 +167,9 @@
 func newRouter(n *node, svc *service) *router {
 	r := &router{node: n, service: svc, cfg: route.DefaultConfig(), knownGeneration: -1}
 	if n.sim.policy.Platform {
-		r.cfg.Floor, r.cfg.ZoneGap = platformFloor, platformZoneGap
+		r.cfg.MinHotLoad, r.cfg.ZoneGap = platformFloor, platformZoneGap
 	}
-	r.table = route.NewTable(&r.cfg, route.Place{Caller: uint64(n.id), Zone: zoneName(n.zone)}, n.sim.rng)
+	r.table = route.NewTable(&r.cfg, route.Locality{Caller: uint64(n.id), Zone: zoneName(n.zone)}, n.sim.rng)
 	return r
 }
 
@@ -235,9 +235,9 @@
 	case r.outcome == request.Completed:
 		return route.Success
 	case r.code == status.CodeConnectionLost && !r.fromDownstream:
-		return route.Broken
+		return route.ConnectionFailed
 	case r.outcome == request.Refused && r.code == status.CodeDraining:
-		return route.Leaves
+		return route.Draining
 	case r.outcome == request.Refused:
 		return route.Shed
 	case r.code == status.CodeTargetFailed && !r.fromDownstream, r.code == status.CodeDeadlineExceeded && !r.hasResponse:
--- a/bench/replay/node.go
+++ b/bench/replay/node.go
@@ -1,7 +1,7 @@
 package replay
 
 import (
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -17,8 +17,8 @@
 	gate       gate
 	target     target
 	outbounds  map[string]*outbound
-	levels     *early.Table
-	chain      *early.Chain
+	levels     *earlyrefusal.Table
+	chain      *earlyrefusal.Chain
 	inFlight   map[uint64]*attempt // received calls that have not ended
 	entryCalls map[uint64]*call    // root requests that entered at this node
 	draining   bool
@@ -57,7 +57,7 @@
 func (n *node) admit(a *attempt) {
 	a.admitted = true
 	n.sim.recorder.countDecision(decisionAdmit)
-	n.chain.Served(n.sim.now, earlyWork(a.call.root))
+	n.chain.RecordRequest(n.sim.now, earlyWork(a.call.root))
 	n.submit(a)
 }
 
@@ -100,7 +100,7 @@
 			c.cancel()
 		}
 	}
-	r.callsMade = a.allowance.Made()
+	r.callsMade = a.allowance.AttemptsMade()
 	r.unspentAllowance = a.allowance.Close()
 	r.feedback = n.gate.feedback(a)
 	if a.abandoned {
--- a/bench/replay/outbound.go
+++ b/bench/replay/outbound.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -26,14 +26,14 @@
 	router   *router // nil: pickLessLoaded
 	budget   retry.ServiceBudget
 	decider  *retry.Decider
-	costs    map[string]*retry.Cost
+	costs    map[string]*retry.CallCount
 }
 
 func (n *node) outbound(name string) *outbound {
 	if o := n.outbounds[name]; o != nil {
 		return o
 	}
-	o := &outbound{node: n, service: n.sim.service(name), inFlight: map[*node]int{}, costs: map[string]*retry.Cost{}}
+	o := &outbound{node: n, service: n.sim.service(name), inFlight: map[*node]int{}, costs: map[string]*retry.CallCount{}}
 	o.budget = retry.NewServiceBudget(&n.sim.retryCfg, n.sim.now)
 	o.decider = retry.NewDecider(&n.sim.retryCfg, n.sim.rng)
 	if n.sim.policy.CorePick {
@@ -57,8 +57,8 @@
 	return result{outcome: c.reportableOutcome(request.Refused), code: status.CodeOverloaded, retryAfter: v.RetryAfter}, false
 }
 
-func (o *outbound) key(c *call) early.Key {
-	return early.Key{Service: request.Service(o.service.spec.Name), Class: request.Class(c.root.class.Name),
+func (o *outbound) key(c *call) earlyrefusal.Key {
+	return earlyrefusal.Key{Service: request.Service(o.service.spec.Name), Class: request.Class(c.root.class.Name),
 		Tenant: request.Tenant(c.root.class.Tenant)}
 }
 
@@ -90,10 +90,10 @@
 	return a
 }
 
-func (o *outbound) cost(c *call) *retry.Cost {
+func (o *outbound) cost(c *call) *retry.CallCount {
 	k := o.costs[c.root.class.Name]
 	if k == nil {
-		k = &retry.Cost{}
+		k = &retry.CallCount{}
 		o.costs[c.root.class.Name] = k
 	}
 	return k
@@ -125,9 +125,9 @@
 	}
 	c := a.call
 	if r.hasResponse {
-		o.node.levels.Learn(o.node.sim.now, o.key(c), early.Report{Target: a.callee.id, Own: r.feedback.level, Chain: r.feedback.chainLevel, Slots: r.feedback.limit})
+		o.node.levels.Learn(o.node.sim.now, o.key(c), earlyrefusal.Report{Target: a.callee.id, Own: r.feedback.level, Chain: r.feedback.chainLevel, Slots: r.feedback.limit})
 	}
-	c.allowance.Settle(&c.retryState, &a.grant, retry.Answer{Outcome: r.outcome, Unspent: r.unspentAllowance, Made: r.callsMade})
+	c.allowance.Settle(&c.retryState, &a.grant, retry.Answer{Outcome: r.outcome, Unspent: r.unspentAllowance, AttemptsMade: r.callsMade})
 	if r.outcome == request.Completed {
 		o.cost(c).Observe(&o.node.sim.retryCfg, r.callsMade)
 	}
@@ -159,11 +159,11 @@
 	sim := o.node.sim
 	res := retry.Result{
 		Outcome: r.outcome, Code: r.code, Deadline: c.deadline, Attempts: c.retryState.Attempts(),
-		Priority: sim.priority(c.root, o.service), Level: o.node.levels.Level(sim.now, o.key(c)), Left: c.allowance.Left(), Below: o.cost(c).Below(),
+		Priority: sim.priority(c.root, o.service), Level: o.node.levels.Level(sim.now, o.key(c)), AllowanceLeft: c.allowance.Left(), CallsBelow: o.cost(c).Below(),
 		MayHaveRun: c.retryState.MayHaveRun(), AtMostOnce: c.root.class.AtMostOnce, Idempotent: !c.root.class.AtMostOnce,
 	}
 	if !sim.policy.Allowance {
-		res.Left = retry.MaxAllowance
+		res.AllowanceLeft = retry.MaxAllowance
 	}
 	budget := &o.budget
 	if !sim.policy.ServiceBudget {
--- a/bench/replay/simulation.go
+++ b/bench/replay/simulation.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"peardrift/bench/replay/workload"
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -42,15 +42,15 @@
 	aggressiveFraction float64
 	clientTimeout      time.Duration // for one attempt
 	retryCfg           retry.Config
-	earlyCfg           early.Config
+	earlyCfg           earlyrefusal.Config
 	recorder           *recorder
 }
 
 func newSimulation(d *workload.Deployment, p Policy, h workload.Header, seed uint64) *simulation {
 	sim := &simulation{deployment: d, policy: p, aggressiveFraction: h.Hard, rng: rand.New(rand.NewPCG(seed, 0x3c0e)),
-		retryCfg: retry.DefaultConfig(), earlyCfg: early.DefaultConfig()}
+		retryCfg: retry.DefaultConfig(), earlyCfg: earlyrefusal.DefaultConfig()}
 	if p.Platform {
-		sim.retryCfg.CallRatio, sim.retryCfg.RefusedFree = 0, true
+		sim.retryCfg.CallRatio, sim.retryCfg.FreeRefusals = 0, true
 		sim.retryCfg.FleetBudget, sim.retryCfg.FleetWindow = platformRetryBudget, platformRetryWindow
 	}
 	sim.clientTimeout = time.Duration(float64(d.Timeout) / max(1, h.Hasty))
@@ -91,8 +91,8 @@
 	n.inFlight = map[uint64]*attempt{}
 	n.entryCalls = map[uint64]*call{}
 	n.outbounds = map[string]*outbound{}
-	n.levels = early.NewTable(&n.sim.earlyCfg, n.sim.rng)
-	n.chain = early.NewChain(&n.sim.earlyCfg, n.levels)
+	n.levels = earlyrefusal.NewTable(&n.sim.earlyCfg, n.sim.rng)
+	n.chain = earlyrefusal.NewChain(&n.sim.earlyCfg, n.levels)
 	n.gate = newGate(n)
 }
 
--- a/bench/scale/config.go
+++ b/bench/scale/config.go
@@ -9,8 +9,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"peardrift/internal/core/confset"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configset"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 )
@@ -18,22 +18,22 @@
 // platform simulates the platform with the accepted sets. Nodes run in parallel and only
 // read it while the clock advances.
 type platform struct {
-	sets   []confset.Set // newest set of each tenant, the base of its next version
-	heads  map[request.Tenant]confset.Head
-	bodies map[confset.Head][]byte
+	sets   []configset.Set // newest set of each tenant, the base of its next version
+	heads  map[request.Tenant]configset.Head
+	bodies map[configset.Head][]byte
 	down   bool
 }
 
 // nodeConfig is a node's configuration state machine with its pending operations.
 type nodeConfig struct {
-	state         *inforce.State
+	state         *configsync.State
 	factsVersion  uint64              // version of the facts processed last
 	lastAskID     uint64              // ID of the last ask received
 	pendingAsks   map[uint64]envelope // asks received and not answered, by ID
-	pendingReads  []func() []inforce.Action
-	peersView     *member.View     // view from which the peers were taken
-	platformCalls int              // number of platform reads
-	deferred      []inforce.Action // actions from piggybacked answers, for the next tick
+	pendingReads  []func() []configsync.Action
+	peersView     *member.View        // view from which the peers were taken
+	platformCalls int                 // number of platform reads
+	deferred      []configsync.Action // actions from piggybacked answers, for the next tick
 }
 
 // Size of each tenant's set. 22 services per tenant is the mean of 760 services in 34
@@ -46,7 +46,7 @@
 // Configure accepts a set for each of the given number of tenants and runs the fleet
 // until all nodes have them in force, for at most limit.
 func (f *Fleet) Configure(tenants int, limit time.Duration) error {
-	f.platform = &platform{heads: make(map[request.Tenant]confset.Head), bodies: make(map[confset.Head][]byte)}
+	f.platform = &platform{heads: make(map[request.Tenant]configset.Head), bodies: make(map[configset.Head][]byte)}
 	for i := range tenants {
 		f.platform.sets = append(f.platform.sets, newSet(i))
 		if _, err := f.Accept(i, 0); err != nil {
@@ -63,15 +63,15 @@
 	return nil
 }
 
-func newSet(i int) confset.Set {
+func newSet(i int) configset.Set {
 	tenant := request.Tenant(fmt.Sprintf("tenant-%d", i))
-	set := confset.Set{Tenant: tenant, Share: 0.01}
+	set := configset.Set{Tenant: tenant, Share: 0.01}
 	for j := range servicesPerTenant {
-		svc := confset.Service{Name: fmt.Sprintf("service-%d", j), Slots: 100, Connections: 1000}
+		svc := configset.Service{Name: fmt.Sprintf("service-%d", j), Slots: 100, Connections: 1000}
 		for k := range classesPerService {
-			svc.Classes = append(svc.Classes, confset.Class{
+			svc.Classes = append(svc.Classes, configset.Class{
 				Name: request.Class(fmt.Sprintf("class-%d", k)), Method: "POST", Path: fmt.Sprintf("/resource-%d", k),
-				Deadline: time.Second, Attempts: 1, MaxBody: confset.DefaultMaxBody,
+				Deadline: time.Second, Attempts: 1, MaxBody: configset.DefaultMaxBody,
 			})
 		}
 		set.Services = append(set.Services, svc)
@@ -80,19 +80,19 @@
 }
 
 // Accept accepts a new version of a tenant's set, in which one service differs.
-func (f *Fleet) Accept(tenant, change int) (confset.Head, error) {
+func (f *Fleet) Accept(tenant, change int) (configset.Head, error) {
 	p := f.platform
 	set := p.sets[tenant]
 	set.Version++
 	set.Services = slices.Clone(set.Services)
 	set.Services[change%servicesPerTenant].Slots++
-	packed, err := confset.Pack(set)
+	packed, err := configset.Pack(set)
 	if err != nil {
-		return confset.Head{}, err
+		return configset.Head{}, err
 	}
 	body, err := packed.Bytes()
 	if err != nil {
-		return confset.Head{}, err
+		return configset.Head{}, err
 	}
 	p.sets[tenant] = set
 	p.heads[set.Tenant] = packed.Head()
@@ -101,25 +101,25 @@
 }
 
 func (f *Fleet) addConfig(n *Node) {
-	self := inforce.Peer{ID: n.Rec.ID, Region: n.Rec.Region, Addr: n.Rec.Control}
+	self := configsync.Peer{ID: n.Rec.ID, Region: n.Rec.Region, Addr: n.Rec.ControlAddr}
 	rng := rand.New(rand.NewPCG(uint64(n.Rec.ID), 3))
 	n.config = &nodeConfig{
-		state:       inforce.New(inforce.DefaultConfig(), self, rng, f.Now),
+		state:       configsync.New(configsync.DefaultConfig(), self, rng, f.Now),
 		pendingAsks: make(map[uint64]envelope),
 	}
 	n.config.state.SetBudget(n.State.Budget())
-	n.State.Carry(n.config)
+	n.State.SetPiggybackHandler(n.config)
 }
 
-// Ask, Answer and Take piggyback configuration messages on heartbeats.
-func (c *nodeConfig) Ask(room int) []byte { return c.state.RideAsk(room) }
+// Request, Answer and Take piggyback configuration messages on heartbeats.
+func (c *nodeConfig) Request(room int) []byte { return c.state.PiggybackQuery(room) }
 
-func (c *nodeConfig) Answer(question []byte, room int) []byte {
-	return c.state.RideAnswer(question, room)
+func (c *nodeConfig) Reply(question []byte, room int) []byte {
+	return c.state.PiggybackAnswer(question, room)
 }
 
-func (c *nodeConfig) Take(now time.Duration, answer []byte) {
-	c.deferred = append(c.deferred, c.state.RideTake(now, answer)...)
+func (c *nodeConfig) HandleReply(now time.Duration, answer []byte) {
+	c.deferred = append(c.deferred, c.state.HandlePiggyback(now, answer)...)
 }
 
 // tickConfig does what a node's control goroutine does after a membership tick. All nodes
@@ -141,7 +141,7 @@
 	if v := n.State.FactsVersion(); v != c.factsVersion {
 		c.factsVersion = v
 		for _, fact := range n.State.Facts(member.ConfigHead) {
-			if h, err := inforce.HeadOf(fact.Key, fact.Version, fact.Value); err == nil {
+			if h, err := configsync.HeadOf(fact.Key, fact.Version, fact.Value); err == nil {
 				f.applyConfigActions(n, c.state.Learn(f.Now, h))
 			}
 		}
@@ -152,8 +152,8 @@
 // sharedPeers holds one node's view of the members as the peer lists that inforce takes.
 type sharedPeers struct {
 	view *member.View
-	all  []inforce.Peer
-	near map[string][]inforce.Peer
+	all  []configsync.Peer
+	near map[string][]configsync.Peer
 }
 
 // updateSharedPeers takes the peer lists from the first live node. It runs between two
@@ -164,42 +164,42 @@
 	if v == f.shared.view {
 		return
 	}
-	f.shared = sharedPeers{view: v, near: make(map[string][]inforce.Peer)}
+	f.shared = sharedPeers{view: v, near: make(map[string][]configsync.Peer)}
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive || m.Status == member.Suspect {
-			f.shared.all = append(f.shared.all, inforce.Peer{ID: m.ID, Region: m.Region, Addr: m.Control})
+			f.shared.all = append(f.shared.all, configsync.Peer{ID: m.ID, Region: m.Region, Addr: m.ControlAddr})
 		}
 		return true
 	})
 	// The order of a view is unspecified. Peers are drawn at random from this list, so
 	// it must have a fixed order.
-	slices.SortFunc(f.shared.all, func(a, b inforce.Peer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(f.shared.all, func(a, b configsync.Peer) int { return cmp.Compare(a.ID, b.ID) })
 	for _, p := range f.shared.all {
 		f.shared.near[p.Region] = append(f.shared.near[p.Region], p)
 	}
 }
 
-func (f *Fleet) applyConfigActions(n *Node, actions []inforce.Action) {
+func (f *Fleet) applyConfigActions(n *Node, actions []configsync.Action) {
 	p, c := f.platform, n.config
 	for _, a := range actions {
 		switch a := a.(type) {
-		case inforce.AskPeer:
+		case configsync.AskPeer:
 			f.sendAsk(n, a)
-		case inforce.Answer:
+		case configsync.Answer:
 			f.sendAnswer(n, a)
-		case inforce.Spread:
-			key, version, value := inforce.FactOf(a.Head)
+		case configsync.GossipHead:
+			key, version, value := configsync.FactOf(a.Head)
 			n.State.PutFact(f.Now, member.Fact{Kind: member.ConfigHead, Key: key, Version: version, Value: value})
-		case inforce.LoadObject:
-			f.readPlatform(c, a.ID, func() []inforce.Action {
+		case configsync.LoadObject:
+			f.readPlatform(c, a.ID, func() []configsync.Action {
 				return c.state.HandleLoaded(f.Now, a.ID, p.bodies[a.Head])
 			})
-		case inforce.ReadHead:
-			f.readPlatform(c, a.ID, func() []inforce.Action {
+		case configsync.ReadHead:
+			f.readPlatform(c, a.ID, func() []configsync.Action {
 				return c.state.HandleHead(f.Now, a.ID, p.heads[a.Tenant])
 			})
-		case inforce.ReadTenants:
-			f.readPlatform(c, a.ID, func() []inforce.Action {
+		case configsync.ReadTenants:
+			f.readPlatform(c, a.ID, func() []configsync.Action {
 				return c.state.HandleTenants(f.Now, a.ID, p.tenants())
 			})
 		}
@@ -207,10 +207,10 @@
 }
 
 // readPlatform starts a read whose outcome is processed at the node's next tick.
-func (f *Fleet) readPlatform(c *nodeConfig, id uint64, outcome func() []inforce.Action) {
+func (f *Fleet) readPlatform(c *nodeConfig, id uint64, outcome func() []configsync.Action) {
 	c.platformCalls++
 	if f.platform.down {
-		outcome = func() []inforce.Action { return c.state.HandleFailure(f.Now, id) }
+		outcome = func() []configsync.Action { return c.state.HandleFailure(f.Now, id) }
 	}
 	c.pendingReads = append(c.pendingReads, outcome)
 }
@@ -224,7 +224,7 @@
 }
 
 // sendAsk sends an ask over a new connection, as a real node does.
-func (f *Fleet) sendAsk(n *Node, a inforce.AskPeer) {
+func (f *Fleet) sendAsk(n *Node, a configsync.AskPeer) {
 	to := f.byAddr[a.To.Addr]
 	if to == nil || to.Down {
 		f.charge(n, 2*packetHeader, 0)
@@ -236,7 +236,7 @@
 	f.send(n, envelope{from: n, to: to, ask: &a.Ask, askID: a.ID, size: size, newConn: true})
 }
 
-func (f *Fleet) sendAnswer(n *Node, a inforce.Answer) {
+func (f *Fleet) sendAnswer(n *Node, a configsync.Answer) {
 	e, ok := n.config.pendingAsks[a.ID]
 	if !ok {
 		return
@@ -293,7 +293,7 @@
 
 // pendingChange is a change that is not in force on all nodes yet.
 type pendingChange struct {
-	head       confset.Head
+	head       configset.Head
 	acceptedAt time.Duration
 }
 
@@ -306,7 +306,7 @@
 	next := f.Now
 	b.Cost = f.measureCosts(d, func() {
 		for ; next <= f.Now && err == nil; next += every {
-			var h confset.Head
+			var h configset.Head
 			h, err = f.Accept(b.Changes%len(f.platform.sets), b.Changes)
 			open = append(open, pendingChange{h, f.Now})
 			b.Changes++
--- a/bench/scale/drain_test.go
+++ b/bench/scale/drain_test.go
@@ -33,7 +33,7 @@
 			for i := range trials {
 				n := f.nextAlive(i * 7)
 				n.State.Leave(f.Now)
-				f.Run(f.Cfg.TickEvery + tt.after)
+				f.Run(f.Cfg.TickInterval + tt.after)
 				n.Down = true
 				took := f.Until(deathTimeout, knowsNotAlive(n))
 				is.True(took.All >= 0)
--- a/bench/scale/fleet.go
+++ b/bench/scale/fleet.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 )
@@ -76,8 +76,8 @@
 	newConn  bool // the message opened a new connection
 
 	// Configuration asks and their answers, see config.go.
-	ask    *inforce.Ask
-	answer *inforce.Reply
+	ask    *configsync.Ask
+	answer *configsync.Reply
 	askID  uint64
 	size   int
 }
@@ -121,7 +121,7 @@
 	for _, r := range records {
 		f.Add(*r)
 	}
-	f.forEachNode(func(n *Node) { n.State.Load(sorted) })
+	f.forEachNode(func(n *Node) { n.State.AddAlive(sorted) })
 	return f
 }
 
@@ -135,8 +135,8 @@
 		Service: request.Service(fmt.Sprintf("service-%03d.tenant-%d", service, service%5)),
 		Tenant:  request.Tenant(fmt.Sprintf("tenant-%d", service%5)),
 		Zone:    f.zones[zone], Region: f.regions[zone*len(f.regions)/len(f.zones)],
-		Data:        fmt.Sprintf("10.%d.%d.%d:8080", zone, i/250%250, i%250),
-		Control:     fmt.Sprintf("10.%d.%d.%d:8081", zone, i/250%250, i%250),
+		DataAddr:    fmt.Sprintf("10.%d.%d.%d:8080", zone, i/250%250, i%250),
+		ControlAddr: fmt.Sprintf("10.%d.%d.%d:8081", zone, i/250%250, i%250),
 		Incarnation: 200_000_000, Slots: 130, Connections: 850,
 	}
 }
@@ -148,9 +148,9 @@
 		rng: rand.New(rand.NewPCG(uint64(r.ID), uint64(r.Incarnation))),
 	}
 	n.State = member.New(f.Cfg, r, n.rng)
-	n.nextTick = f.Now + time.Duration(n.rng.Int64N(int64(f.Cfg.TickEvery)))
+	n.nextTick = f.Now + time.Duration(n.rng.Int64N(int64(f.Cfg.TickInterval)))
 	f.Nodes = append(f.Nodes, n)
-	f.byAddr[r.Control] = n
+	f.byAddr[r.ControlAddr] = n
 	return n
 }
 
@@ -230,7 +230,7 @@
 	clear(n.inbox)
 	n.inbox = n.inbox[:0]
 	if n.nextTick <= f.Now {
-		n.nextTick = f.Now + f.Cfg.TickEvery
+		n.nextTick = f.Now + f.Cfg.TickInterval
 		for _, a := range n.State.Tick(f.Now) {
 			f.applyAction(n, a)
 		}
@@ -245,23 +245,23 @@
 	case member.Exchange:
 		n.lastCallID++
 		n.pendingCalls = append(n.pendingCalls, pendingCall{n.lastCallID, a.To, f.Now + a.Timeout})
-		to := f.byAddr[a.To.Control]
+		to := f.byAddr[a.To.ControlAddr]
 		cost := a.Msg.Size() + rpcRequestOverhead
-		if to == nil || to.Down && !n.conns[a.To.Control] {
+		if to == nil || to.Down && !n.conns[a.To.ControlAddr] {
 			f.charge(n, 2*packetHeader, 0) // a connection attempt without success
 			return
 		}
-		opened := !n.conns[a.To.Control]
+		opened := !n.conns[a.To.ControlAddr]
 		if opened {
 			f.charge(n, connectionCost, 0)
 		}
 		if opened && !a.Once {
-			n.conns[a.To.Control] = true
+			n.conns[a.To.ControlAddr] = true
 		}
 		f.charge(n, cost, 1)
 		f.send(n, envelope{from: n, to: to, callID: n.lastCallID, peer: a.To, msg: a.Msg, newConn: opened})
 	case member.Disconnect:
-		delete(n.conns, a.Peer.Control)
+		delete(n.conns, a.Peer.ControlAddr)
 	}
 }
 
@@ -325,7 +325,7 @@
 	for len(n.pendingCalls) > 0 && n.pendingCalls[0].deadline <= f.Now {
 		p := n.pendingCalls[0]
 		n.pendingCalls = slices.Delete(n.pendingCalls, 0, 1)
-		delete(n.conns, p.peer.Control)
+		delete(n.conns, p.peer.ControlAddr)
 		n.State.HandleFailure(f.Now, p.peer)
 	}
 }
--- a/internal/adapter/rpc/claims.go
+++ b/internal/adapter/rpc/claims.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync/atomic"
 
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 )
 
 // ClaimsName is the name of the service that receives other nodes' claims, and
@@ -21,19 +21,19 @@
 // ClaimsService receives claim operations on the rows that this node batches;
 // register it as ClaimsName.
 type ClaimsService struct {
-	serve func(context.Context, *shared.Op) shared.Answer
+	serve func(context.Context, *sharedrows.Op) sharedrows.Answer
 	meter *Meter
 }
 
 // NewClaimsService returns a service that passes ops to serve, on net/rpc's
 // goroutines. Their bytes are excluded from the meter's Take.
-func NewClaimsService(serve func(context.Context, *shared.Op) shared.Answer, meter *Meter) *ClaimsService {
+func NewClaimsService(serve func(context.Context, *sharedrows.Op) sharedrows.Answer, meter *Meter) *ClaimsService {
 	return &ClaimsService{serve: serve, meter: meter}
 }
 
 // Submit is called by net/rpc. It blocks as long as the op's sender waits for
 // the answer.
-func (s *ClaimsService) Submit(in *shared.Op, out *shared.Answer) error {
+func (s *ClaimsService) Submit(in *sharedrows.Op, out *sharedrows.Answer) error {
 	s.meter.Waive(opOverheadBytes + len(in.Row) + len(in.Value))
 	*out = s.serve(context.Background(), in)
 	return nil
@@ -51,7 +51,7 @@
 	oneShot atomic.Bool
 }
 
-var _ shared.Peers = (*ClaimPeers)(nil)
+var _ sharedrows.Peers = (*ClaimPeers)(nil)
 
 // NewClaimPeers returns a sender without connections.
 func NewClaimPeers(cfg Config) *ClaimPeers {
@@ -62,15 +62,15 @@
 func (p *ClaimPeers) SetCount(n int) { p.oneShot.Store(n > maxPooledNodes) }
 
 // Submit implements shared.Peers.
-func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *shared.Op) (shared.Answer, error) {
+func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *sharedrows.Op) (sharedrows.Answer, error) {
 	call := p.pool.Call
 	if p.oneShot.Load() {
 		call = p.pool.CallOnce
 	}
-	var ans shared.Answer
+	var ans sharedrows.Answer
 	if err := call(ctx, addr, submitMethod, op, &ans); err != nil {
 		// After a timeout the connection's goroutine may still be writing to ans.
-		return shared.Answer{}, err
+		return sharedrows.Answer{}, err
 	}
 	return ans, nil
 }
--- a/internal/adapter/yamlset/parse.go
+++ b/internal/adapter/yamlset/parse.go
@@ -11,7 +11,7 @@
 	"github.com/goccy/go-yaml/parser"
 	"github.com/goccy/go-yaml/token"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 )
 
 // Limits of the input.
@@ -33,9 +33,9 @@
 
 // Parse parses a set from its files. The error is Problems if the set is not
 // valid. The set has no version: it gets one when it is accepted.
-func Parse(files ...File) (confset.Set, error) {
+func Parse(files ...File) (configset.Set, error) {
 	if ps := checkSizes(files); len(ps) > 0 {
-		return confset.Set{}, ps
+		return configset.Set{}, ps
 	}
 	docs := make([]*document, len(files))
 	for i, f := range files {
@@ -44,7 +44,7 @@
 	set, problems := merge(docs)
 	problems = append(problems, validate(set, docs)...)
 	if len(problems) > 0 {
-		return confset.Set{}, problems.sorted()
+		return configset.Set{}, problems.sorted()
 	}
 	return set, nil
 }
@@ -129,8 +129,8 @@
 }
 
 // merge combines the declarations of all files into one set.
-func merge(docs []*document) (confset.Set, Problems) {
-	var set confset.Set
+func merge(docs []*document) (configset.Set, Problems) {
+	var set configset.Set
 	var problems Problems
 	var tenantIn, shareIn, organisationsIn *document
 	for _, d := range docs {
@@ -164,10 +164,10 @@
 
 // validate returns the problems of the set as a whole, with the positions of
 // their fields.
-func validate(set confset.Set, docs []*document) Problems {
+func validate(set configset.Set, docs []*document) Problems {
 	var out Problems
 	partial := isPartial(docs)
-	for _, p := range confset.Validate(set) {
+	for _, p := range configset.Validate(set) {
 		if partial && dependsOnOthers(p.Field) {
 			continue
 		}
