--- a/bench/cmd/claims/fleet.go
+++ b/bench/cmd/claims/fleet.go
@@ -15,7 +15,7 @@
 	"peardrift/internal/adapter/awstable/awscall"
 	"peardrift/internal/adapter/rpc"
 	"peardrift/internal/claims"
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 	"peardrift/internal/core/claim/batch"
 	"peardrift/internal/port"
 	"peardrift/internal/status"
@@ -34,7 +34,7 @@
 	pool    *ants.Pool
 	peers   *rpc.ClaimPeers
 	server  *rpc.Server
-	rows    *shared.Rows
+	rows    *sharedrows.Rows
 	control net.Listener
 	claims  *claims.Runner
 }
@@ -50,7 +50,7 @@
 	if err := f.platform.Start("127.0.0.1:0"); err != nil {
 		return nil, status.Wrap(harness.CodeHarness, err, "start the platform")
 	}
-	var ms []shared.Member
+	var ms []sharedrows.Member
 	for i := range o.Nodes {
 		n, err := newNode(f.platform.URL(), uint64(i))
 		if err != nil {
@@ -60,7 +60,7 @@
 			n.peers.SetCount(manyNodes)
 		}
 		f.nodes = append(f.nodes, n)
-		ms = append(ms, shared.Member{ID: uint64(i), Addr: n.control.Addr().String()})
+		ms = append(ms, sharedrows.Member{ID: uint64(i), Addr: n.control.Addr().String()})
 	}
 	for _, n := range f.nodes {
 		n.rows.SetMembers(ms)
@@ -97,7 +97,7 @@
 	if n.pool, err = ants.NewPool(background, ants.WithNonblocking(true)); err != nil {
 		return nil, status.Wrap(harness.CodeHarness, err, "a node's pool")
 	}
-	n.rows = shared.New(n.table, n.peers, id, n.pool, shared.DefaultConfig(), tally.NoopScope)
+	n.rows = sharedrows.New(n.table, n.peers, id, n.pool, sharedrows.DefaultConfig(), tally.NoopScope)
 	n.claims = claims.New(n.rows, n.pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
 	if err := n.server.Register(rpc.ClaimsName, rpc.NewClaimsService(n.rows.Serve, &rpc.Meter{})); err != nil {
 		return nil, err
--- a/bench/e2e/cluster_test.go
+++ b/bench/e2e/cluster_test.go
@@ -12,11 +12,11 @@
 	"peardrift/bench/standin/target"
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/claims"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/route"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 	"peardrift/internal/status"
 )
 
@@ -36,16 +36,16 @@
 
 // links are the networks around a host, by who connects to whom.
 type links struct {
-	entry  *link.Link // a caller to the face for callers
-	node   *link.Link // other nodes to the face for nodes
-	target *link.Link // the node to its target
-	egress *link.Link // the target to its node
+	entry  *faultproxy.Proxy // a caller to the face for callers
+	node   *faultproxy.Proxy // other nodes to the face for nodes
+	target *faultproxy.Proxy // the node to its target
+	egress *faultproxy.Proxy // the target to its node
 }
 
 type cluster struct {
 	t     *testing.T
 	hosts []*host
-	idx   *confset.Index
+	idx   *configset.Index
 	gen   uint64
 	tune  func(*dataplane.Config)                       // may be nil
 	wrap  func(dataplane.Transport) dataplane.Transport // may be nil
@@ -65,7 +65,7 @@
 	return claims.Failure(refusal)
 }
 
-func newCluster(t *testing.T, idx *confset.Index) *cluster { return &cluster{t: t, idx: idx} }
+func newCluster(t *testing.T, idx *configset.Index) *cluster { return &cluster{t: t, idx: idx} }
 
 // add starts an instance of a service.
 func (c *cluster) add(name string, cfg target.Config, cl dataplane.Claims) *host {
@@ -101,7 +101,7 @@
 func (c *cluster) engine(h *host, cl dataplane.Claims) *dataplane.Engine {
 	self := dataplane.Self{
 		Name: h.name, ID: request.TargetIDOf(h.name), Service: h.svc, Tenant: "khaosan",
-		Place:  route.Place{Caller: uint64(request.TargetIDOf(h.name)), Region: "r", Zone: "z"},
+		Place:  route.Locality{Caller: uint64(request.TargetIDOf(h.name)), Region: "r", Zone: "z"},
 		Target: h.links.target.Addr(),
 	}
 	dc := dataplane.DefaultConfig()
@@ -126,8 +126,8 @@
 	return dataplane.New(dc, self, peers, local, cl, c.obs)
 }
 
-func (c *cluster) link(to string) *link.Link {
-	l, err := link.Listen(to)
+func (c *cluster) link(to string) *faultproxy.Proxy {
+	l, err := faultproxy.Listen(to)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/bench/e2e/cut_test.go
+++ b/bench/e2e/cut_test.go
@@ -10,7 +10,7 @@
 
 	"peardrift/bench/standin/target"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // query is a request as a caller sends it.
@@ -151,7 +151,7 @@
 // hop is a connection on a query's way.
 type hop struct {
 	name string
-	link *link.Link
+	link *faultproxy.Proxy
 }
 
 // Symptom: a caller is told "not run" of a request that ran, or gets a part of
@@ -179,8 +179,8 @@
 			c.tune = eager
 			c.startChain(tt.size)
 			for _, hop := range tt.hops(c.hosts[0], c.hosts[1], c.hosts[2]) {
-				for _, w := range []link.Way{link.Request, link.Answer} {
-					for _, how := range []link.How{link.Reset, link.Finish, link.Kill} {
+				for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
+					for _, how := range []faultproxy.Fault{faultproxy.Reset, faultproxy.CloseGracefully, faultproxy.Kill} {
 						t.Run(fmt.Sprintf("%s/%s/%s", hop.name, w, how), func(t *testing.T) {
 							c.t = t
 							if err := c.cutEverywhere(hop.link, w, how, tt.q); err != nil {
@@ -211,14 +211,14 @@
 
 // cutEverywhere sends the query again and again, with the cut one step later
 // each time, and returns the first falsehood.
-func (c *cluster) cutEverywhere(l *link.Link, w link.Way, how link.How, q query) error {
+func (c *cluster) cutEverywhere(l *faultproxy.Proxy, w faultproxy.Direction, how faultproxy.Fault, q query) error {
 	const cuts = 4
 	size := c.measure(l, w, q)
 	struck := 0
 	for _, at := range points(size, headOf(q, size), cuts) {
 		mark := fmt.Sprintf("%s-%s-%s-%d", c.t.Name(), w, how, at)
 		before := c.runs()
-		strike := l.Arm(link.Cut{Way: w, After: at, How: how})
+		strike := l.Arm(faultproxy.Cut{Direction: w, After: at, Fault: how})
 		to, err := c.ask(c.hosts[0], q, mark)
 		c.settle()
 		select {
@@ -249,7 +249,7 @@
 }
 
 // measure returns how many bytes a query moves on a link.
-func (c *cluster) measure(l *link.Link, w link.Way, q query) int {
+func (c *cluster) measure(l *faultproxy.Proxy, w faultproxy.Direction, q query) int {
 	c.recover(l, q, "measure")
 	if err := l.Disarm(); err != nil {
 		c.t.Fatal(err)
@@ -258,7 +258,7 @@
 		c.t.Fatal(err)
 	}
 	c.settle()
-	return l.Passed(w)
+	return l.PassedBytes(w)
 }
 
 // judge holds what a caller was told against what ran.
@@ -278,7 +278,7 @@
 }
 
 // recover mends the link and waits until a query completes again.
-func (c *cluster) recover(l *link.Link, q query, mark string) {
+func (c *cluster) recover(l *faultproxy.Proxy, q query, mark string) {
 	c.t.Helper()
 	if err := l.Disarm(); err != nil {
 		c.t.Fatal(err)
--- a/bench/e2e/framing_test.go
+++ b/bench/e2e/framing_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // Symptom: a caller's body is run as a request of its own.
@@ -50,8 +50,8 @@
 func TestChunkedBodyIsBounded(t *testing.T) {
 	is := is.New(t)
 	const most = 100_000
-	c := newCluster(t, confset.NewIndex(confset.Set{Tenant: "khaosan", Version: 1, Share: 1, Services: []confset.Service{
-		{Name: "media", Slots: 190, Connections: 1250, Classes: []confset.Class{
+	c := newCluster(t, configset.NewIndex(configset.Set{Tenant: "khaosan", Version: 1, Share: 1, Services: []configset.Service{
+		{Name: "media", Slots: 190, Connections: 1250, Classes: []configset.Class{
 			{Name: "media", Path: "/", Importance: 10, Deadline: 2 * time.Second, MaxBody: most},
 		}},
 	}}))
@@ -77,7 +77,7 @@
 	c := newCluster(t, threeServices())
 	c.add("media-1", chainConfig("media.khaosan", 500_000), nil)
 	c.publish()
-	c.hosts[0].links.target.Arm(link.Cut{Way: link.Answer, After: 250_000, How: link.Reset})
+	c.hosts[0].links.target.Arm(faultproxy.Cut{Direction: faultproxy.Answer, After: 250_000, Fault: faultproxy.Reset})
 	to, err := c.ask(c.hosts[0], query{method: http.MethodPost, host: "media.khaosan", path: "/pay", keyed: true, body: 10}, "broken")
 	is.NoErr(err)
 	is.Equal(to.outcome, "unknown")
@@ -117,7 +117,7 @@
 	c.obs = seen
 	c.add("media-1", chainConfig("media.khaosan", 1_000_000), nil)
 	c.publish()
-	c.hosts[0].links.target.Arm(link.Cut{Way: link.Answer, After: 500_000, How: link.Reset})
+	c.hosts[0].links.target.Arm(faultproxy.Cut{Direction: faultproxy.Answer, After: 500_000, Fault: faultproxy.Reset})
 	to, err := c.ask(c.hosts[0], query{method: http.MethodGet, host: "media.khaosan", path: "/m"}, "broken")
 	is.NoErr(err)
 	is.Equal(to.outcome, "") // it broke visibly
--- a/bench/e2e/naive_test.go
+++ b/bench/e2e/naive_test.go
@@ -8,7 +8,7 @@
 
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // trusting takes a broken connection for proof that nothing ran.
@@ -45,8 +45,8 @@
 			c.tune, c.wrap = eager, wrap
 			c.startChain(300)
 			q := query{method: "POST", host: "media.khaosan", path: "/pay", keyed: true, body: 300}
-			for _, l := range []*link.Link{c.hosts[2].links.node, c.hosts[2].links.target} {
-				err := c.cutEverywhere(l, link.Answer, link.Reset, q)
+			for _, l := range []*faultproxy.Proxy{c.hosts[2].links.node, c.hosts[2].links.target} {
+				err := c.cutEverywhere(l, faultproxy.Answer, faultproxy.Reset, q)
 				if err == nil {
 					t.Fatal("not found")
 				}
--- a/bench/e2e/once_test.go
+++ b/bench/e2e/once_test.go
@@ -16,7 +16,7 @@
 	"peardrift/internal/adapter/awstable/awscall"
 	"peardrift/internal/claims"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // payments is a cluster whose at-most-once calls go to two hosts of media, with
@@ -62,7 +62,7 @@
 		pool.Release()
 		table.Close()
 	})
-	return claims.New(claims.OwnRows{Table: table}, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
+	return claims.New(claims.SingleRows{Table: table}, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
 }
 
 // send sends the approval of a key through one entry and holds what it is told
@@ -121,7 +121,7 @@
 // place is a hop of an approval, at either target.
 type place struct {
 	name  string
-	links []*link.Link
+	links []*faultproxy.Proxy
 	// known: a cut here leaves the target's answer with its node, so repeats
 	// must come to hear of it.
 	known bool
@@ -130,15 +130,15 @@
 func (p *payments) places() []place {
 	a, b := p.hosts[1].links, p.hosts[2].links
 	return []place{
-		{"caller to entry", []*link.Link{p.hosts[0].links.entry}, true},
-		{"entry to node", []*link.Link{a.node, b.node}, true},
-		{"node to target", []*link.Link{a.target, b.target}, false},
+		{"caller to entry", []*faultproxy.Proxy{p.hosts[0].links.entry}, true},
+		{"entry to node", []*faultproxy.Proxy{a.node, b.node}, true},
+		{"node to target", []*faultproxy.Proxy{a.target, b.target}, false},
 	}
 }
 
 // lose sends a key while a cut waits at a place, mends it, and sends the key
 // again through all entries.
-func (p *payments) lose(pl place, cut link.Cut, key string) error {
+func (p *payments) lose(pl place, cut faultproxy.Cut, key string) error {
 	for _, l := range pl.links {
 		l.Arm(cut)
 	}
@@ -168,11 +168,11 @@
 func TestResentPayoutRunsOnce(t *testing.T) {
 	p := startPayments(t, false)
 	for _, pl := range p.places() {
-		for _, w := range []link.Way{link.Request, link.Answer} {
+		for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
 			for _, after := range []int{0, 100, 300, 600} {
 				t.Run(fmt.Sprintf("%s/%s/%d", pl.name, w, after), func(t *testing.T) {
 					p.t = t
-					if err := p.lose(pl, link.Cut{Way: w, After: after}, t.Name()); err != nil {
+					if err := p.lose(pl, faultproxy.Cut{Direction: w, After: after}, t.Name()); err != nil {
 						t.Fatal(err)
 					}
 				})
@@ -183,7 +183,7 @@
 
 func TestWithoutClaimsAPayoutRunsTwice(t *testing.T) {
 	p := startPayments(t, true)
-	err := p.lose(p.places()[1], link.Cut{Way: link.Answer}, "key")
+	err := p.lose(p.places()[1], faultproxy.Cut{Direction: faultproxy.Answer}, "key")
 	if err == nil {
 		t.Fatal("not found")
 	}
--- a/bench/e2e/own_test.go
+++ b/bench/e2e/own_test.go
@@ -11,7 +11,7 @@
 
 	"peardrift/bench/standin/target"
 	"peardrift/internal/core/request"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // script answers the requests of one connection to a scripted target. got is
@@ -145,7 +145,7 @@
 	c.publish()
 	for _, chunked := range []bool{false, true} {
 		for _, after := range []int{20_000, 100_000, 399_000} {
-			strike := h.links.entry.Arm(link.Cut{After: after})
+			strike := h.links.entry.Arm(faultproxy.Cut{After: after})
 			q := query{method: "POST", host: "media.khaosan", path: "/m", body: whole, chunked: chunked}
 			if to, err := c.ask(h, q, "cut"); err != nil || to.outcome == "completed" {
 				t.Fatal(to.outcome, err)
--- a/bench/e2e/path_test.go
+++ b/bench/e2e/path_test.go
@@ -12,21 +12,21 @@
 	"github.com/matryer/is"
 
 	"peardrift/bench/standin/target"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
 // threeServices is a chain feed -> archive -> media.
-func threeServices() *confset.Index { return threeServicesWithin(2 * time.Second) }
+func threeServices() *configset.Index { return threeServicesWithin(2 * time.Second) }
 
-func threeServicesWithin(deadline time.Duration) *confset.Index {
-	class := func(name string) []confset.Class {
-		return []confset.Class{
+func threeServicesWithin(deadline time.Duration) *configset.Index {
+	class := func(name string) []configset.Class {
+		return []configset.Class{
 			{Name: request.Class(name), Path: "/", Importance: 10, Deadline: deadline, Attempts: 2, MaxBody: 64 << 20},
-			{Name: "pay", Method: "POST", Path: "/pay", Importance: 90, Deadline: deadline, AtMostOnce: true, Remember: time.Hour, MaxBody: 1 << 10},
+			{Name: "pay", Method: "POST", Path: "/pay", Importance: 90, Deadline: deadline, AtMostOnce: true, KeyRetention: time.Hour, MaxBody: 1 << 10},
 		}
 	}
-	return confset.NewIndex(confset.Set{Tenant: "khaosan", Version: 1, Share: 1, Services: []confset.Service{
+	return configset.NewIndex(configset.Set{Tenant: "khaosan", Version: 1, Share: 1, Services: []configset.Service{
 		{Name: "feed", Slots: 25, Connections: 250, Classes: class("feed-read")},
 		{Name: "archive", Slots: 130, Connections: 850, Classes: class("lookup")},
 		{Name: "media", Slots: 190, Connections: 1250, Classes: class("media")},
--- a/bench/e2e/shared_test.go
+++ b/bench/e2e/shared_test.go
@@ -18,18 +18,18 @@
 	"peardrift/internal/adapter/awstable/awscall"
 	"peardrift/internal/adapter/rpc"
 	"peardrift/internal/claims"
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 	"peardrift/internal/core/claim/batch"
 	"peardrift/internal/core/request"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 	"peardrift/internal/port"
 )
 
 // batching is payments whose claims share rows, over net/rpc between the nodes.
 type batching struct {
 	*payments
-	control []*link.Link // to each node's control listener
-	rows    []*shared.Rows
+	control []*faultproxy.Proxy // to each node's control listener
+	rows    []*sharedrows.Rows
 	meter   *rpc.Meter // of what went between the nodes
 }
 
@@ -45,9 +45,9 @@
 	b.add("feed-1", chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true}), b.node("feed-1"))
 	b.add("media-1", chainConfig("media.khaosan", 100), b.node("media-1"))
 	b.add("media-2", chainConfig("media.khaosan", 100), b.node("media-2"))
-	var ms []shared.Member
+	var ms []sharedrows.Member
 	for i, h := range b.hosts {
-		ms = append(ms, shared.Member{ID: uint64(request.TargetIDOf(h.name)), Addr: b.control[i].Addr()})
+		ms = append(ms, sharedrows.Member{ID: uint64(request.TargetIDOf(h.name)), Addr: b.control[i].Addr()})
 	}
 	for _, r := range b.rows {
 		r.SetMembers(ms)
@@ -84,7 +84,7 @@
 		b.t.Fatal(err)
 	}
 	peers, server := rpc.NewClaimPeers(rpc.DefaultConfig()), rpc.NewServer(rpc.DefaultConfig(), b.meter)
-	rows := shared.New(b.table(), peers, uint64(request.TargetIDOf(name)), pool, shared.DefaultConfig(), tally.NoopScope)
+	rows := sharedrows.New(b.table(), peers, uint64(request.TargetIDOf(name)), pool, sharedrows.DefaultConfig(), tally.NoopScope)
 	if err := server.Register(rpc.ClaimsName, rpc.NewClaimsService(rows.Serve, b.meter)); err != nil {
 		b.t.Fatal(err)
 	}
@@ -117,11 +117,11 @@
 	b := startBatching(t)
 	places := append(b.places(), place{"node to batching node", b.control, true})
 	for _, pl := range places {
-		for _, w := range []link.Way{link.Request, link.Answer} {
+		for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
 			for _, after := range []int{0, 2, 100, 300} {
 				t.Run(fmt.Sprintf("%s/%s/%d", pl.name, w, after), func(t *testing.T) {
 					b.t = t
-					if err := b.lose(pl, link.Cut{Way: w, After: after}, newKey()); err != nil {
+					if err := b.lose(pl, faultproxy.Cut{Direction: w, After: after}, newKey()); err != nil {
 						t.Fatal(err)
 					}
 				})
--- a/bench/e2e/silent_test.go
+++ b/bench/e2e/silent_test.go
@@ -12,7 +12,7 @@
 	"peardrift/bench/standin/target"
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/dataplane"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // never is a deadline that no test reaches: what ends a call is not it.
@@ -23,7 +23,7 @@
 func startSilent(t *testing.T, size int) *cluster {
 	c := newCluster(t, threeServicesWithin(never))
 	c.tune = eager
-	c.local = func(cc *hertzhttp.ClientConfig) { cc.GiveUp = time.Second }
+	c.local = func(cc *hertzhttp.ClientConfig) { cc.SilenceTimeout = time.Second }
 	c.startChain(size)
 	return c
 }
@@ -40,15 +40,15 @@
 		name string
 		q    query
 		size int
-		cut  link.Cut
+		cut  faultproxy.Cut
 		runs int64
 	}{
-		{"nothing arrives", small, 300, link.Cut{Way: link.Request, After: 0}, 0},
-		{"half the head", small, 300, link.Cut{Way: link.Request, After: 100}, 0},
-		{"half the upload", upload, 300, link.Cut{Way: link.Request, After: 150_000}, 0},
-		{"no answer", small, 300, link.Cut{Way: link.Answer, After: 0}, 1},
-		{"half the answer's head", small, 300, link.Cut{Way: link.Answer, After: 100}, 1},
-		{"half a large answer", small, 1_000_000, link.Cut{Way: link.Answer, After: 500_000}, 1},
+		{"nothing arrives", small, 300, faultproxy.Cut{Direction: faultproxy.Request, After: 0}, 0},
+		{"half the head", small, 300, faultproxy.Cut{Direction: faultproxy.Request, After: 100}, 0},
+		{"half the upload", upload, 300, faultproxy.Cut{Direction: faultproxy.Request, After: 150_000}, 0},
+		{"no answer", small, 300, faultproxy.Cut{Direction: faultproxy.Answer, After: 0}, 1},
+		{"half the answer's head", small, 300, faultproxy.Cut{Direction: faultproxy.Answer, After: 100}, 1},
+		{"half a large answer", small, 1_000_000, faultproxy.Cut{Direction: faultproxy.Answer, After: 500_000}, 1},
 	} {
 		for _, beside := range []string{"node", "target"} {
 			t.Run(tt.name+" of a "+beside, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				}
 				c.recover(l, tt.q, "before")
 				before := c.runs()
-				strike := l.Arm(link.Cut{Way: tt.cut.Way, After: tt.cut.After, How: link.Silence})
+				strike := l.Arm(faultproxy.Cut{Direction: tt.cut.Direction, After: tt.cut.After, Fault: faultproxy.Blackhole})
 				to, err := c.ask(c.hosts[0], tt.q, "lost")
 				is.NoErr(err)
 				is.True(to.outcome != "completed" && to.outcome != "refused")
@@ -90,7 +90,7 @@
 		wg.Go(func() { _, _ = c.ask(c.hosts[0], q, fmt.Sprint("warm-", n)) })
 	}
 	wg.Wait()
-	c.hosts[2].links.node.Break(link.Silence)
+	c.hosts[2].links.node.Break(faultproxy.Blackhole)
 	lost := 0
 	for n := range 20 {
 		to, err := c.ask(c.hosts[0], q, fmt.Sprint("mark-", n))
@@ -112,7 +112,7 @@
 	is := is.New(t)
 	c := newCluster(t, threeServicesWithin(never))
 	c.tune = eager
-	c.local = func(cc *hertzhttp.ClientConfig) { cc.GiveUp, cc.IdleTimeout = never, never }
+	c.local = func(cc *hertzhttp.ClientConfig) { cc.SilenceTimeout, cc.IdleTimeout = never, never }
 	c.startChain(300)
 	q := query{method: "POST", host: "media.khaosan", path: "/m", body: 10}
 	var wg sync.WaitGroup
@@ -121,14 +121,14 @@
 	}
 	wg.Wait()
 	l := c.hosts[2].links.target
-	l.Break(link.Silence)
-	silent := l.Open()
+	l.Break(faultproxy.Blackhole)
+	silent := l.OpenConns()
 	stuck := make(chan struct{})
 	go func() {
 		_, _ = c.ask(c.hosts[0], q, "stuck")
 		close(stuck)
 	}()
-	await(t, "idle connections are closed", func() bool { return l.Open() < silent })
+	await(t, "idle connections are closed", func() bool { return l.OpenConns() < silent })
 	for n := range 10 {
 		to, err := c.ask(c.hosts[0], q, fmt.Sprint("mark-", n))
 		is.NoErr(err)
@@ -175,12 +175,12 @@
 	for _, tt := range []struct {
 		name string
 		q    query
-		cut  link.Cut
+		cut  faultproxy.Cut
 	}{
 		{"half the upload", query{method: "POST", host: "media.khaosan", path: "/m", body: 300_000},
-			link.Cut{Way: link.Request, After: 150_000, How: link.Silence}},
+			faultproxy.Cut{Direction: faultproxy.Request, After: 150_000, Fault: faultproxy.Blackhole}},
 		{"half a large answer", query{method: "GET", host: "media.khaosan", path: "/m"},
-			link.Cut{Way: link.Answer, After: 500_000, How: link.Stall}},
+			faultproxy.Cut{Direction: faultproxy.Answer, After: 500_000, Fault: faultproxy.Stall}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
--- a/bench/e2e/suspect_test.go
+++ b/bench/e2e/suspect_test.go
@@ -16,7 +16,7 @@
 	for n := range crashes {
 		r := suspect.Report{Crash: suspect.CrashID{Target: request.TargetIDOf(paths[0]), Incarnation: uint64(n)}, InFlight: len(paths)}
 		for _, path := range paths {
-			r.Fingerprints = append(r.Fingerprints, suspect.Of(&suspect.Content{
+			r.Fingerprints = append(r.Fingerprints, suspect.FingerprintOf(&suspect.Content{
 				Tenant: "khaosan", Service: h.svc, Method: http.MethodGet, URI: path, Size: -2,
 			}))
 		}
--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -9,7 +9,7 @@
 	"peardrift/bench/deploy"
 	"peardrift/bench/harness"
 	"peardrift/bench/standin/target"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 	"peardrift/internal/settings"
 	"peardrift/internal/status"
 )
@@ -18,7 +18,7 @@
 type Lab struct {
 	Fleet *harness.Fleet
 	// Links are where other nodes reach a host's node.
-	Links map[string]*link.Link
+	Links map[string]*faultproxy.Proxy
 
 	set     string // folder of the configuration set
 	version int64  // of the set that was accepted last
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{Fleet: f, Links: make(map[string]*link.Link), set: filepath.Join(f.Dir, "set"), shared: shared}
+	l := &Lab{Fleet: f, Links: make(map[string]*faultproxy.Proxy), set: filepath.Join(f.Dir, "set"), shared: shared}
 	if err := l.start(ctx); err != nil {
 		l.Close()
 		return nil, err
@@ -109,7 +109,7 @@
 	}
 	var fault error
 	l.Fleet.Tune = func(h *harness.Host, s *settings.Settings) {
-		ln, err := link.Listen(h.Addr.Nodes)
+		ln, err := faultproxy.Listen(h.Addr.Nodes)
 		if err != nil {
 			fault = err
 			return
--- a/bench/faults/pairs.go
+++ b/bench/faults/pairs.go
@@ -7,7 +7,7 @@
 
 	"peardrift/bench/standin/client"
 	"peardrift/bench/standin/platform"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 	"peardrift/internal/status"
 )
 
@@ -40,11 +40,11 @@
 func silentAndKilled(ctx context.Context, l *Lab) (Row, error) {
 	silent, dead := l.host("archive", 1), l.host("archive", 2)
 	return l.play(ctx, l.entries("feed"), func() error {
-		l.Links[silent.Name].Break(link.Silence)
+		l.Links[silent.Name].Break(faultproxy.Blackhole)
 		l.killNode(dead)
 		return nil
 	}, pause(ctx, 2*time.Second), func() error {
-		l.Links[silent.Name].Release()
+		l.Links[silent.Name].CloseSilenced()
 		return firstOf(l.startNode(ctx, dead), l.whole(ctx))
 	})
 }
--- a/bench/faults/process.go
+++ b/bench/faults/process.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"peardrift/bench/harness"
-	"peardrift/internal/link"
+	"peardrift/internal/faultproxy"
 )
 
 // Symptom: requests are lost for long, run twice, or are said not to have run.
@@ -68,12 +68,12 @@
 // Symptom: as above. Events: the open connections to two nodes go silent.
 func nodesSilent(ctx context.Context, l *Lab) (Row, error) {
 	return l.play(ctx, l.entries("feed"), func() error {
-		l.Links[l.host("archive", 1).Name].Break(link.Silence)
-		l.Links[l.host("notices", 1).Name].Break(link.Silence)
+		l.Links[l.host("archive", 1).Name].Break(faultproxy.Blackhole)
+		l.Links[l.host("notices", 1).Name].Break(faultproxy.Blackhole)
 		return nil
 	}, pause(ctx, 2*time.Second), func() error {
-		l.Links[l.host("archive", 1).Name].Release()
-		l.Links[l.host("notices", 1).Name].Release()
+		l.Links[l.host("archive", 1).Name].CloseSilenced()
+		l.Links[l.host("notices", 1).Name].CloseSilenced()
 		return nil
 	})
 }
@@ -81,12 +81,12 @@
 // killNode kills a host's node; its address refuses connections from then on.
 func (l *Lab) killNode(h *harness.Host) {
 	h.Node.Kill()
-	l.Links[h.Name].Break(link.Kill)
+	l.Links[h.Name].Break(faultproxy.Kill)
 }
 
 // startNode starts a host's node again and lets connections to it in.
 func (l *Lab) startNode(ctx context.Context, h *harness.Host) error {
-	l.Links[h.Name].Break(link.Kill) // of one that ended by itself
+	l.Links[h.Name].Break(faultproxy.Kill) // of one that ended by itself
 	if err := l.Fleet.StartNode(h); err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 		}
 		return err == nil
 	})
-	return firstOf(err, l.Links[h.Name].Up())
+	return firstOf(err, l.Links[h.Name].Resume())
 }
 
 // whole waits until all nodes take calls and know each other.
--- a/bench/latency/memory.go
+++ b/bench/latency/memory.go
@@ -90,6 +90,6 @@
 		Service: request.Service(fmt.Sprintf("service%03d.tenant%d", k%targetServices, k%2)),
 		Tenant:  request.Tenant(fmt.Sprintf("tenant%d", k%2)),
 		Zone:    fmt.Sprintf("zone-%d", k%9), Region: fmt.Sprintf("region-%d", k%3),
-		Data: host + ":7401", Control: host + ":7403", Incarnation: incarnation, Slots: 100, Connections: 800,
+		DataAddr: host + ":7401", ControlAddr: host + ":7403", Incarnation: incarnation, Slots: 100, Connections: 800,
 	}
 }
--- a/bench/replay/core.go
+++ b/bench/replay/core.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"peardrift/internal/core/admission"
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/route"
 	"peardrift/internal/status"
@@ -40,7 +40,7 @@
 		cfg.MaxWait = time.Nanosecond
 	}
 	if !n.w.pol.Level {
-		cfg.StandFor = math.MaxInt64 // no queue ever stands for as long
+		cfg.StandingDelay = math.MaxInt64 // no queue ever stands for as long
 	}
 	g := &coreGate{n: n, core: admission.New(cfg, n.w.rng), due: math.MaxInt64}
 	return g
@@ -52,7 +52,7 @@
 		Priority: g.priority(a),
 		Tenant:   g.n.w.tenant(a.call.tree.class.Tenant),
 		Deadline: a.call.deadline,
-		Deep:     g.n.w.pol.DeepFirst && g.n.w.pol.Order && a.call.depth > 0,
+		Nested:   g.n.w.pol.DeepFirst && g.n.w.pol.Order && a.call.depth > 0,
 	}, g.actions[:0])
 	g.settle(a, d)
 	g.act(actions)
@@ -124,7 +124,7 @@
 
 func (g *coreGate) answer(a *attempt) answer {
 	x := answer{
-		own:      g.core.LevelOf(g.n.w.tenant(a.call.tree.class.Tenant)),
+		own:      g.core.TenantLevel(g.n.w.tenant(a.call.tree.class.Tenant)),
 		inFlight: g.n.target.load(),
 		limit:    g.n.target.slots,
 	}
@@ -135,8 +135,8 @@
 }
 
 // workOf is what a request is to the chain of a node.
-func workOf(t *tree) early.Work {
-	return early.Work{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
+func workOf(t *tree) earlyrefusal.WorkKey {
+	return earlyrefusal.WorkKey{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
 }
 
 // tenant is the small index of a tenant.
@@ -166,9 +166,9 @@
 func newRouter(n *node, svc *service) *router {
 	r := &router{n: n, svc: svc, cfg: route.DefaultConfig(), known: -1}
 	if n.w.pol.Platform {
-		r.cfg.Floor, r.cfg.ZoneGap = platformFloor, platformZoneGap
+		r.cfg.MinHotLoad, r.cfg.ZoneGap = platformFloor, platformZoneGap
 	}
-	r.table = route.NewTable(&r.cfg, route.Place{Caller: uint64(n.id), Zone: zoneName(n.zone)}, n.w.rng)
+	r.table = route.NewTable(&r.cfg, route.Locality{Caller: uint64(n.id), Zone: zoneName(n.zone)}, n.w.rng)
 	return r
 }
 
@@ -234,9 +234,9 @@
 	case r.outcome == request.Completed:
 		return route.Success
 	case r.code == status.CodeConnectionLost && !r.below:
-		return route.Broken
+		return route.ConnectionFailed
 	case r.outcome == request.Refused && r.code == status.CodeDraining:
-		return route.Leaves
+		return route.Draining
 	case r.outcome == request.Refused:
 		return route.Shed
 	case r.code == status.CodeTargetFailed && !r.below, r.code == status.CodeDeadlineExceeded && !r.answered:
--- a/bench/replay/node.go
+++ b/bench/replay/node.go
@@ -1,7 +1,7 @@
 package replay
 
 import (
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -17,8 +17,8 @@
 	gate     gate
 	target   target
 	out      map[string]*outbound
-	levels   *early.Table
-	chain    *early.Chain
+	levels   *earlyrefusal.Table
+	chain    *earlyrefusal.Chain
 	live     map[uint64]*attempt // received and not ended
 	entries  map[uint64]*call    // whole requests that entered here
 	draining bool
@@ -57,7 +57,7 @@
 func (n *node) begin(a *attempt) {
 	a.gated = true
 	n.w.m.decide(decidedAdmit)
-	n.chain.Served(n.w.now, workOf(a.call.tree))
+	n.chain.RecordRequest(n.w.now, workOf(a.call.tree))
 	n.offer(a)
 }
 
@@ -100,7 +100,7 @@
 			c.cancel()
 		}
 	}
-	r.made = a.allowance.Made()
+	r.made = a.allowance.AttemptsMade()
 	r.unspent = a.allowance.Close()
 	r.answer = n.gate.answer(a)
 	if a.gone {
--- a/bench/replay/outbound.go
+++ b/bench/replay/outbound.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -26,14 +26,14 @@
 	router   *router // nil: the baseline's pick
 	budget   retry.ServiceBudget
 	decider  *retry.Decider
-	costs    map[string]*retry.Cost
+	costs    map[string]*retry.CallCount
 }
 
 func (n *node) outbound(name string) *outbound {
 	if o := n.out[name]; o != nil {
 		return o
 	}
-	o := &outbound{n: n, svc: n.w.service(name), inFlight: map[*node]int{}, costs: map[string]*retry.Cost{}}
+	o := &outbound{n: n, svc: n.w.service(name), inFlight: map[*node]int{}, costs: map[string]*retry.CallCount{}}
 	o.budget = retry.NewServiceBudget(&n.w.retryCfg, n.w.now)
 	o.decider = retry.NewDecider(&n.w.retryCfg, n.w.rng)
 	if n.w.pol.CorePick {
@@ -56,8 +56,8 @@
 	return result{outcome: c.claim(request.Refused), code: status.CodeOverloaded, retryAfter: v.RetryAfter}, false
 }
 
-func (o *outbound) key(c *call) early.Key {
-	return early.Key{Service: request.Service(o.svc.spec.Name), Class: request.Class(c.tree.class.Name),
+func (o *outbound) key(c *call) earlyrefusal.Key {
+	return earlyrefusal.Key{Service: request.Service(o.svc.spec.Name), Class: request.Class(c.tree.class.Name),
 		Tenant: request.Tenant(c.tree.class.Tenant)}
 }
 
@@ -89,10 +89,10 @@
 	return a
 }
 
-func (o *outbound) cost(c *call) *retry.Cost {
+func (o *outbound) cost(c *call) *retry.CallCount {
 	k := o.costs[c.tree.class.Name]
 	if k == nil {
-		k = &retry.Cost{}
+		k = &retry.CallCount{}
 		o.costs[c.tree.class.Name] = k
 	}
 	return k
@@ -123,9 +123,9 @@
 	}
 	c := a.call
 	if r.answered {
-		o.n.levels.Learn(o.n.w.now, o.key(c), early.Report{Target: a.to.id, Own: r.answer.own, Chain: r.answer.chain, Slots: r.answer.limit})
+		o.n.levels.Learn(o.n.w.now, o.key(c), earlyrefusal.Report{Target: a.to.id, Own: r.answer.own, Chain: r.answer.chain, Slots: r.answer.limit})
 	}
-	c.allowance.Settle(&c.made, &a.grant, retry.Answer{Outcome: r.outcome, Unspent: r.unspent, Made: r.made})
+	c.allowance.Settle(&c.made, &a.grant, retry.Answer{Outcome: r.outcome, Unspent: r.unspent, AttemptsMade: r.made})
 	if r.outcome == request.Completed {
 		o.cost(c).Observe(&o.n.w.retryCfg, r.made)
 	}
@@ -157,11 +157,11 @@
 	w := o.n.w
 	res := retry.Result{
 		Outcome: r.outcome, Code: r.code, Deadline: c.deadline, Attempts: c.made.Attempts(),
-		Priority: w.priority(c.tree, o.svc), Level: o.n.levels.Level(w.now, o.key(c)), Left: c.allowance.Left(), Below: o.cost(c).Below(),
+		Priority: w.priority(c.tree, o.svc), Level: o.n.levels.Level(w.now, o.key(c)), AllowanceLeft: c.allowance.Left(), CallsBelow: o.cost(c).Below(),
 		MayHaveRun: c.made.MayHaveRun(), AtMostOnce: c.tree.class.AtMostOnce, Idempotent: !c.tree.class.AtMostOnce,
 	}
 	if !w.pol.Allowance {
-		res.Left = retry.MaxAllowance
+		res.AllowanceLeft = retry.MaxAllowance
 	}
 	budget := &o.budget
 	if !w.pol.ServiceBudget {
--- a/bench/replay/target.go
+++ b/bench/replay/target.go
@@ -110,7 +110,7 @@
 		o := n.outbound(c.spec.Service)
 		if a.used&o.svc.bit() == 0 {
 			a.used |= o.svc.bit()
-			n.chain.Used(n.w.now, workOf(c.tree), o.key(c))
+			n.chain.RecordCall(n.w.now, workOf(c.tree), o.key(c))
 		}
 	}
 }
--- a/bench/replay/world.go
+++ b/bench/replay/world.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"peardrift/bench/replay/workload"
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -42,15 +42,15 @@
 	hard     float64
 	timeout  time.Duration // of a client's try
 	retryCfg retry.Config
-	earlyCfg early.Config
+	earlyCfg earlyrefusal.Config
 	m        *measures
 }
 
 func newWorld(d *workload.Deployment, p Policy, h workload.Header, seed uint64) *world {
 	w := &world{dep: d, pol: p, hard: h.Hard, rng: rand.New(rand.NewPCG(seed, 0x3c0e)),
-		retryCfg: retry.DefaultConfig(), earlyCfg: early.DefaultConfig()}
+		retryCfg: retry.DefaultConfig(), earlyCfg: earlyrefusal.DefaultConfig()}
 	if p.Platform {
-		w.retryCfg.CallRatio, w.retryCfg.RefusedFree = 0, true
+		w.retryCfg.CallRatio, w.retryCfg.FreeRefusals = 0, true
 		w.retryCfg.FleetBudget, w.retryCfg.FleetWindow = platformRetryBudget, platformRetryWindow
 	}
 	w.timeout = time.Duration(float64(d.Timeout) / max(1, h.Hasty))
@@ -91,8 +91,8 @@
 	n.live = map[uint64]*attempt{}
 	n.entries = map[uint64]*call{}
 	n.out = map[string]*outbound{}
-	n.levels = early.NewTable(&n.w.earlyCfg, n.w.rng)
-	n.chain = early.NewChain(&n.w.earlyCfg, n.levels)
+	n.levels = earlyrefusal.NewTable(&n.w.earlyCfg, n.w.rng)
+	n.chain = earlyrefusal.NewChain(&n.w.earlyCfg, n.levels)
 	n.gate = newGate(n)
 }
 
--- a/bench/scale/conf.go
+++ b/bench/scale/conf.go
@@ -9,30 +9,30 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"peardrift/internal/core/confset"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configset"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 )
 
 // platform holds the accepted sets. Nodes only read it while the clock advances.
 type platform struct {
-	sets   []confset.Set // the newest of each tenant, which the next one changes
-	heads  map[request.Tenant]confset.Head
-	bodies map[confset.Head][]byte
+	sets   []configset.Set // the newest of each tenant, which the next one changes
+	heads  map[request.Tenant]configset.Head
+	bodies map[configset.Head][]byte
 	down   bool
 }
 
 // conf is a node's configuration in force, beside its membership.
 type conf struct {
-	state   *inforce.State
+	state   *configsync.State
 	facts   uint64              // version of the facts that were looked at
 	asks    uint64              // asks of others, numbered
 	waiting map[uint64]envelope // asks of others that have no answer yet
-	reads   []func() []inforce.Action
-	members *member.View     // that the peers were taken from
-	calls   int              // of the platform
-	later   []inforce.Action // of what rode along, for the next tick
+	reads   []func() []configsync.Action
+	members *member.View        // that the peers were taken from
+	calls   int                 // of the platform
+	later   []configsync.Action // of what rode along, for the next tick
 }
 
 // servicesOfTenant is the size of a tenant's set; classesOfService as many kinds
@@ -45,7 +45,7 @@
 // Configure gives each node of the fleet the configuration of some tenants, and
 // runs it until all nodes have it in force.
 func (f *Fleet) Configure(tenants int, limit time.Duration) error {
-	f.platform = &platform{heads: make(map[request.Tenant]confset.Head), bodies: make(map[confset.Head][]byte)}
+	f.platform = &platform{heads: make(map[request.Tenant]configset.Head), bodies: make(map[configset.Head][]byte)}
 	for i := range tenants {
 		f.platform.sets = append(f.platform.sets, someSet(i))
 		if _, err := f.Accept(i, 0); err != nil {
@@ -62,15 +62,15 @@
 	return nil
 }
 
-func someSet(i int) confset.Set {
+func someSet(i int) configset.Set {
 	tenant := request.Tenant(fmt.Sprintf("tenant-%d", i))
-	set := confset.Set{Tenant: tenant, Share: 0.01}
+	set := configset.Set{Tenant: tenant, Share: 0.01}
 	for j := range servicesOfTenant {
-		svc := confset.Service{Name: fmt.Sprintf("service-%d", j), Slots: 100, Connections: 1000}
+		svc := configset.Service{Name: fmt.Sprintf("service-%d", j), Slots: 100, Connections: 1000}
 		for k := range classesOfService {
-			svc.Classes = append(svc.Classes, confset.Class{
+			svc.Classes = append(svc.Classes, configset.Class{
 				Name: request.Class(fmt.Sprintf("class-%d", k)), Method: "POST", Path: fmt.Sprintf("/resource-%d", k),
-				Deadline: time.Second, Attempts: 1, MaxBody: confset.DefaultMaxBody,
+				Deadline: time.Second, Attempts: 1, MaxBody: configset.DefaultMaxBody,
 			})
 		}
 		set.Services = append(set.Services, svc)
@@ -79,19 +79,19 @@
 }
 
 // Accept makes the next version of a tenant's set, which differs in one service.
-func (f *Fleet) Accept(tenant, change int) (confset.Head, error) {
+func (f *Fleet) Accept(tenant, change int) (configset.Head, error) {
 	p := f.platform
 	set := p.sets[tenant]
 	set.Version++
 	set.Services = slices.Clone(set.Services)
 	set.Services[change%servicesOfTenant].Slots++
-	packed, err := confset.Pack(set)
+	packed, err := configset.Pack(set)
 	if err != nil {
-		return confset.Head{}, err
+		return configset.Head{}, err
 	}
 	body, err := packed.Bytes()
 	if err != nil {
-		return confset.Head{}, err
+		return configset.Head{}, err
 	}
 	p.sets[tenant] = set
 	p.heads[set.Tenant] = packed.Head()
@@ -100,25 +100,25 @@
 }
 
 func (f *Fleet) addConf(n *Node) {
-	self := inforce.Peer{ID: n.Rec.ID, Region: n.Rec.Region, Addr: n.Rec.Control}
+	self := configsync.Peer{ID: n.Rec.ID, Region: n.Rec.Region, Addr: n.Rec.ControlAddr}
 	rng := rand.New(rand.NewPCG(uint64(n.Rec.ID), 3))
 	n.conf = &conf{
-		state:   inforce.New(inforce.DefaultConfig(), self, rng, f.Now),
+		state:   configsync.New(configsync.DefaultConfig(), self, rng, f.Now),
 		waiting: make(map[uint64]envelope),
 	}
 	n.conf.state.SetBudget(n.State.Budget())
-	n.State.Carry(n.conf)
+	n.State.SetPiggybackHandler(n.conf)
 }
 
-// Ask, Answer and Take make the configuration ride along with heartbeats.
-func (c *conf) Ask(room int) []byte { return c.state.RideAsk(room) }
+// Request, Answer and Take make the configuration ride along with heartbeats.
+func (c *conf) Request(room int) []byte { return c.state.PiggybackQuery(room) }
 
-func (c *conf) Answer(question []byte, room int) []byte {
-	return c.state.RideAnswer(question, room)
+func (c *conf) Reply(question []byte, room int) []byte {
+	return c.state.PiggybackAnswer(question, room)
 }
 
-func (c *conf) Take(now time.Duration, answer []byte) {
-	c.later = append(c.later, c.state.RideTake(now, answer)...)
+func (c *conf) HandleReply(now time.Duration, answer []byte) {
+	c.later = append(c.later, c.state.HandlePiggyback(now, answer)...)
 }
 
 // tickConf does what the node's control goroutine does after a tick of the
@@ -140,7 +140,7 @@
 	if v := n.State.FactsVersion(); v != c.facts {
 		c.facts = v
 		for _, fact := range n.State.Facts(member.ConfigHead) {
-			if h, err := inforce.HeadOf(fact.Key, fact.Version, fact.Value); err == nil {
+			if h, err := configsync.HeadOf(fact.Key, fact.Version, fact.Value); err == nil {
 				f.doConf(n, c.state.Learn(f.Now, h))
 			}
 		}
@@ -151,8 +151,8 @@
 // sharedPeers is what one node knows, in the form that inforce takes.
 type sharedPeers struct {
 	view *member.View
-	all  []inforce.Peer
-	near map[string][]inforce.Peer
+	all  []configsync.Peer
+	near map[string][]configsync.Peer
 }
 
 // sharePeers takes the peers from the first live node, between two steps.
@@ -162,41 +162,41 @@
 	if v == f.shared.view {
 		return
 	}
-	f.shared = sharedPeers{view: v, near: make(map[string][]inforce.Peer)}
+	f.shared = sharedPeers{view: v, near: make(map[string][]configsync.Peer)}
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive || m.Status == member.Suspect {
-			f.shared.all = append(f.shared.all, inforce.Peer{ID: m.ID, Region: m.Region, Addr: m.Control})
+			f.shared.all = append(f.shared.all, configsync.Peer{ID: m.ID, Region: m.Region, Addr: m.ControlAddr})
 		}
 		return true
 	})
 	// A view is in no particular order, and peers are drawn from it.
-	slices.SortFunc(f.shared.all, func(a, b inforce.Peer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(f.shared.all, func(a, b configsync.Peer) int { return cmp.Compare(a.ID, b.ID) })
 	for _, p := range f.shared.all {
 		f.shared.near[p.Region] = append(f.shared.near[p.Region], p)
 	}
 }
 
-func (f *Fleet) doConf(n *Node, actions []inforce.Action) {
+func (f *Fleet) doConf(n *Node, actions []configsync.Action) {
 	p, c := f.platform, n.conf
 	for _, a := range actions {
 		switch a := a.(type) {
-		case inforce.AskPeer:
+		case configsync.AskPeer:
 			f.ask(n, a)
-		case inforce.Answer:
+		case configsync.Answer:
 			f.answer(n, a)
-		case inforce.Spread:
-			key, version, value := inforce.FactOf(a.Head)
+		case configsync.GossipHead:
+			key, version, value := configsync.FactOf(a.Head)
 			n.State.PutFact(f.Now, member.Fact{Kind: member.ConfigHead, Key: key, Version: version, Value: value})
-		case inforce.LoadObject:
-			f.callPlatform(c, a.ID, func() []inforce.Action {
+		case configsync.LoadObject:
+			f.callPlatform(c, a.ID, func() []configsync.Action {
 				return c.state.HandleLoaded(f.Now, a.ID, p.bodies[a.Head])
 			})
-		case inforce.ReadHead:
-			f.callPlatform(c, a.ID, func() []inforce.Action {
+		case configsync.ReadHead:
+			f.callPlatform(c, a.ID, func() []configsync.Action {
 				return c.state.HandleHead(f.Now, a.ID, p.heads[a.Tenant])
 			})
-		case inforce.ReadTenants:
-			f.callPlatform(c, a.ID, func() []inforce.Action {
+		case configsync.ReadTenants:
+			f.callPlatform(c, a.ID, func() []configsync.Action {
 				return c.state.HandleTenants(f.Now, a.ID, p.tenants())
 			})
 		}
@@ -204,10 +204,10 @@
 }
 
 // callPlatform makes a read, whose outcome comes with the node's next tick.
-func (f *Fleet) callPlatform(c *conf, id uint64, outcome func() []inforce.Action) {
+func (f *Fleet) callPlatform(c *conf, id uint64, outcome func() []configsync.Action) {
 	c.calls++
 	if f.platform.down {
-		outcome = func() []inforce.Action { return c.state.HandleFailure(f.Now, id) }
+		outcome = func() []configsync.Action { return c.state.HandleFailure(f.Now, id) }
 	}
 	c.reads = append(c.reads, outcome)
 }
@@ -221,7 +221,7 @@
 }
 
 // ask sends a question over a connection of its own, as the node does.
-func (f *Fleet) ask(n *Node, a inforce.AskPeer) {
+func (f *Fleet) ask(n *Node, a configsync.AskPeer) {
 	to := f.byAddr[a.To.Addr]
 	if to == nil || to.Down {
 		f.spend(n, 2*packetHeader, 0)
@@ -233,7 +233,7 @@
 	f.send(n, envelope{from: n, to: to, ask: &a.Ask, askID: a.ID, size: size, opened: true})
 }
 
-func (f *Fleet) answer(n *Node, a inforce.Answer) {
+func (f *Fleet) answer(n *Node, a configsync.Answer) {
 	e, ok := n.conf.waiting[a.ID]
 	if !ok {
 		return
@@ -290,7 +290,7 @@
 
 // accepted is a change that is not in force everywhere yet.
 type accepted struct {
-	head confset.Head
+	head configset.Head
 	at   time.Duration
 }
 
@@ -303,7 +303,7 @@
 	next := f.Now
 	b.Cost = f.costsWhile(d, func() {
 		for ; next <= f.Now && err == nil; next += every {
-			var h confset.Head
+			var h configset.Head
 			h, err = f.Accept(b.Changes%len(f.platform.sets), b.Changes)
 			open = append(open, accepted{h, f.Now})
 			b.Changes++
--- a/bench/scale/drain_test.go
+++ b/bench/scale/drain_test.go
@@ -35,7 +35,7 @@
 			for i := range trials {
 				n := f.alive(i * 7)
 				n.State.Leave(f.Now)
-				f.Run(f.Cfg.TickEvery + tt.after)
+				f.Run(f.Cfg.TickInterval + tt.after)
 				n.Down = true
 				took := f.Until(silence, knowsGone(n))
 				is.True(took.All >= 0)
--- a/bench/scale/fleet.go
+++ b/bench/scale/fleet.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 )
@@ -76,8 +76,8 @@
 	opened   bool // a new connection was set up for it
 
 	// Of questions about the configuration and their answers, see conf.go.
-	ask    *inforce.Ask
-	answer *inforce.Reply
+	ask    *configsync.Ask
+	answer *configsync.Reply
 	askID  uint64
 	size   int
 }
@@ -120,7 +120,7 @@
 	for _, r := range records {
 		f.Add(*r)
 	}
-	f.each(func(n *Node) { n.State.Load(sorted) })
+	f.each(func(n *Node) { n.State.AddAlive(sorted) })
 	return f
 }
 
@@ -134,8 +134,8 @@
 		Service: request.Service(fmt.Sprintf("service-%03d.tenant-%d", service, service%5)),
 		Tenant:  request.Tenant(fmt.Sprintf("tenant-%d", service%5)),
 		Zone:    f.zones[zone], Region: f.regions[zone*len(f.regions)/len(f.zones)],
-		Data:        fmt.Sprintf("10.%d.%d.%d:8080", zone, i/250%250, i%250),
-		Control:     fmt.Sprintf("10.%d.%d.%d:8081", zone, i/250%250, i%250),
+		DataAddr:    fmt.Sprintf("10.%d.%d.%d:8080", zone, i/250%250, i%250),
+		ControlAddr: fmt.Sprintf("10.%d.%d.%d:8081", zone, i/250%250, i%250),
 		Incarnation: 200_000_000, Slots: 130, Connections: 850,
 	}
 }
@@ -147,9 +147,9 @@
 		rng: rand.New(rand.NewPCG(uint64(r.ID), uint64(r.Incarnation))),
 	}
 	n.State = member.New(f.Cfg, r, n.rng)
-	n.next = f.Now + time.Duration(n.rng.Int64N(int64(f.Cfg.TickEvery)))
+	n.next = f.Now + time.Duration(n.rng.Int64N(int64(f.Cfg.TickInterval)))
 	f.Nodes = append(f.Nodes, n)
-	f.byAddr[r.Control] = n
+	f.byAddr[r.ControlAddr] = n
 	return n
 }
 
@@ -228,7 +228,7 @@
 	clear(n.inbox)
 	n.inbox = n.inbox[:0]
 	if n.next <= f.Now {
-		n.next = f.Now + f.Cfg.TickEvery
+		n.next = f.Now + f.Cfg.TickInterval
 		for _, a := range n.State.Tick(f.Now) {
 			f.do(n, a)
 		}
@@ -243,23 +243,23 @@
 	case member.Exchange:
 		n.calls++
 		n.pending = append(n.pending, pending{n.calls, a.To, f.Now + a.Timeout})
-		to := f.byAddr[a.To.Control]
+		to := f.byAddr[a.To.ControlAddr]
 		cost := a.Msg.Size() + requestText
-		if to == nil || to.Down && !n.conns[a.To.Control] {
+		if to == nil || to.Down && !n.conns[a.To.ControlAddr] {
 			f.spend(n, 2*packetHeader, 0) // an attempt to connect, perhaps refused
 			return
 		}
-		opened := !n.conns[a.To.Control]
+		opened := !n.conns[a.To.ControlAddr]
 		if opened {
 			f.spend(n, connCost, 0)
 		}
 		if opened && !a.Once {
-			n.conns[a.To.Control] = true
+			n.conns[a.To.ControlAddr] = true
 		}
 		f.spend(n, cost, 1)
 		f.send(n, envelope{from: n, to: to, call: n.calls, peer: a.To, msg: a.Msg, opened: opened})
 	case member.Disconnect:
-		delete(n.conns, a.Peer.Control)
+		delete(n.conns, a.Peer.ControlAddr)
 	}
 }
 
@@ -323,7 +323,7 @@
 	for len(n.pending) > 0 && n.pending[0].deadline <= f.Now {
 		p := n.pending[0]
 		n.pending = slices.Delete(n.pending, 0, 1)
-		delete(n.conns, p.peer.Control)
+		delete(n.conns, p.peer.ControlAddr)
 		n.State.HandleFailure(f.Now, p.peer)
 	}
 }
--- a/bench/scale/fleet_test.go
+++ b/bench/scale/fleet_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 )
 
@@ -82,7 +82,7 @@
 func TestPlatformIsSpared(t *testing.T) {
 	is := is.New(t)
 	const tenants, limit = 5, time.Minute
-	cfg := inforce.DefaultConfig()
+	cfg := configsync.DefaultConfig()
 	f := New(member.DefaultConfig(), 90, 5)
 	is.NoErr(f.Configure(tenants, 10*time.Minute))
 	outage, err := f.ReadsAfterOutage(2*time.Minute, limit)
@@ -95,5 +95,5 @@
 	}
 	all := f.ReadsOnStart(limit)
 	is.True(all.Ready > 0)
-	is.True(all.Most <= cfg.ColdReads*(tenants+1))
+	is.True(all.Most <= cfg.PlatformStartRate*(tenants+1))
 }
--- a/bench/scale/memory.go
+++ b/bench/scale/memory.go
@@ -22,7 +22,7 @@
 	}
 	slices.SortFunc(records, func(a, b *member.Record) int { return cmp.Compare(a.ID, b.ID) })
 	s := member.New(cfg, f.Record(0), rand.New(rand.NewPCG(1, 1)))
-	s.Load(records)
+	s.AddAlive(records)
 	s.Tick(0)
 	v := s.Snapshot()
 	used := heap() - before
@@ -38,7 +38,7 @@
 	r.Service = request.Service(strings.Clone(string(r.Service)))
 	r.Tenant = request.Tenant(strings.Clone(string(r.Tenant)))
 	r.Zone, r.Region = strings.Clone(r.Zone), strings.Clone(r.Region)
-	r.Data, r.Control = strings.Clone(r.Data), strings.Clone(r.Control)
+	r.DataAddr, r.ControlAddr = strings.Clone(r.DataAddr), strings.Clone(r.ControlAddr)
 	return &r
 }
 
--- a/bench/scale/scenario.go
+++ b/bench/scale/scenario.go
@@ -75,7 +75,7 @@
 	n := f.Add(r)
 	var seeds []member.Peer
 	for range 3 {
-		seeds = append(seeds, member.Peer{Control: f.joinedNode(n).Rec.Control})
+		seeds = append(seeds, member.Peer{ControlAddr: f.joinedNode(n).Rec.ControlAddr})
 	}
 	n.State.Join(seeds, nil)
 	return n
@@ -270,7 +270,7 @@
 func (f *Fleet) ReturnZone(limit time.Duration) Return {
 	var back []*Node
 	for _, n := range f.Nodes[:len(f.Nodes):len(f.Nodes)] {
-		if n.Down && f.byAddr[n.Rec.Control] == n {
+		if n.Down && f.byAddr[n.Rec.ControlAddr] == n {
 			r := n.Rec
 			r.Incarnation += 1000
 			back = append(back, f.start(r))
--- a/internal/adapter/hertzhttp/client.go
+++ b/internal/adapter/hertzhttp/client.go
@@ -31,32 +31,32 @@
 	// It must stay below the servers' idle timeout: otherwise a call may be sent on
 	// a connection that the peer is closing, and its outcome is unknown.
 	IdleTimeout time.Duration
-	// KeepAlive uses the timeout in the peer's Keep-Alive response header in place
+	// UsePeerIdleTimeout uses the timeout in the peer's Keep-Alive response header in place
 	// of IdleTimeout.
-	KeepAlive bool
+	UsePeerIdleTimeout bool
 	// DialTimeout limits a dial (default 1 s). A lower value detects an unreachable
 	// peer sooner; if it is too low, dials to peers that are merely busy fail.
 	DialTimeout time.Duration
-	// GiveUp is how long a call waits without traffic when it is unknown whether the
+	// SilenceTimeout is how long a call waits without traffic when it is unknown whether the
 	// peer is processing it (default 5 s with a Prober, else 30 s). A lower value
 	// frees callers of dead connections sooner; if it is too low, calls that merely
 	// take long fail.
-	GiveUp time.Duration
+	SilenceTimeout time.Duration
 	// Prober asks peers whether they are processing calls that have gone silent; nil
 	// if peers can't be asked.
 	Prober Prober
-	// Check decides from the headers whether a response belongs to the request; nil
+	// MatchResponse decides from the headers whether a response belongs to the request; nil
 	// accepts all responses. It relies on what the peer sends, so it detects
 	// duplicate responses but doesn't replace giving each call its own connection.
-	Check func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) Match
-	// Pack compresses request headers for peers whose servers decompress them. It
+	MatchResponse func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) Match
+	// CompressHeaders compresses request headers for peers whose servers decompress them. It
 	// saves traffic between zones, where each byte is charged; on one machine it
 	// only costs CPU time.
-	Pack bool
-	// Unframed accepts responses that have no length and end when the connection
+	CompressHeaders bool
+	// AllowUnframed accepts responses that have no length and end when the connection
 	// closes. By default they are refused: one that the peer truncates looks
 	// complete unless the connection is reset.
-	Unframed bool
+	AllowUnframed bool
 	// WatchAfter is how long a connection is idle before a goroutine starts to wait
 	// for it to close (default 1 s). Each call also checks its connection for a
 	// close and for unsolicited bytes before it starts. A lower value closes
@@ -96,8 +96,8 @@
 	cc := conn.DefaultConfig()
 	cc.MaxConns, cc.MaxIdle, cc.IdleTimeout = cfg.MaxConns, cfg.MaxIdle, cfg.IdleTimeout
 	switch {
-	case cfg.GiveUp > 0:
-		cc.GiveUp = cfg.GiveUp
+	case cfg.SilenceTimeout > 0:
+		cc.GiveUp = cfg.SilenceTimeout
 	case cfg.Prober == nil:
 		cc.GiveUp = giveUpWithoutProber
 	}
@@ -220,14 +220,14 @@
 type Match uint8
 
 const (
-	// Own is the response to the request.
-	Own Match = iota
-	// Other is a duplicate response to an earlier request; the response to this
+	// MatchesRequest is the response to the request.
+	MatchesRequest Match = iota
+	// MatchesEarlierRequest is a duplicate response to an earlier request; the response to this
 	// request may follow.
-	Other
-	// Foreign did not come from the peer; nothing that follows on the connection can
+	MatchesEarlierRequest
+	// MatchesNone did not come from the peer; nothing that follows on the connection can
 	// be trusted.
-	Foreign
+	MatchesNone
 )
 
 // maxStaleResponses is how many responses to earlier requests a call skips.
@@ -241,18 +241,18 @@
 		if err := http1resp.ReadHeaders(resp, cc); err != nil {
 			return err
 		}
-		if c.cfg.KeepAlive && cc.completed == 0 {
+		if c.cfg.UsePeerIdleTimeout && cc.completed == 0 {
 			cc.pool.setPeerIdleTimeout(keepAliveTimeout(resp.Header.Peek("Keep-Alive")))
 		}
-		if c.cfg.Check == nil {
+		if c.cfg.MatchResponse == nil {
 			return nil
 		}
-		m := c.cfg.Check(&req.Header, &resp.Header)
-		if m == Own {
+		m := c.cfg.MatchResponse(&req.Header, &resp.Header)
+		if m == MatchesRequest {
 			return nil
 		}
 		n := resp.Header.ContentLength()
-		if m == Foreign || stale == maxStaleResponses || n < 0 || n > c.cfg.BufferBytes {
+		if m == MatchesNone || stale == maxStaleResponses || n < 0 || n > c.cfg.BufferBytes {
 			return status.New(status.CodeTargetFailed, "%s sent a response that does not match the request", cc.pool.addr)
 		}
 		if err := http1resp.ReadRespBody(resp, cc, 0); err != nil {
@@ -286,7 +286,7 @@
 // readUnframed reads a response that ends when the connection closes. If the
 // connection is reset, the response is incomplete.
 func (c *Client) readUnframed(cc *clientConn, resp *protocol.Response) error {
-	if !c.cfg.Unframed {
+	if !c.cfg.AllowUnframed {
 		return status.New(status.CodeProtocol, "a response without a length can't be distinguished from a truncated one")
 	}
 	body, err := io.ReadAll(io.LimitReader(cc, maxUnframed+1))
@@ -298,7 +298,7 @@
 	}
 	resp.SetBody(body)
 	resp.Header.SetContentLength(len(body))
-	cc.pool.finish(cc, conn.WholeLast)
+	cc.pool.finish(cc, conn.CompleteAndClose)
 	return nil
 }
 
@@ -340,9 +340,9 @@
 	return err == nil || ok && nerr.Timeout()
 }
 
-// Forget closes the idle connections to addr. Use it for a peer that has left, or
+// CloseIdle closes the idle connections to addr. Use it for a peer that has left, or
 // one whose open connections have gone silent.
-func (c *Client) Forget(addr string) {
+func (c *Client) CloseIdle(addr string) {
 	c.mu.RLock()
 	p := c.pools[addr]
 	c.mu.RUnlock()
@@ -403,11 +403,11 @@
 	return n, err
 }
 
-// Broken reports whether reading failed before the end of the response.
-func (s *Stream) Broken() bool { return s.failed }
+// Failed reports whether reading failed before the end of the response.
+func (s *Stream) Failed() bool { return s.failed }
 
-// Whole reports whether the response was read to its end.
-func (s *Stream) Whole() bool { return s.complete }
+// Complete reports whether the response was read to its end.
+func (s *Stream) Complete() bool { return s.complete }
 
 // Close returns the connection to the pool after a complete response. Otherwise it
 // closes the connection: the unread rest would be taken for the next call's
--- a/internal/adapter/hertzhttp/client_test.go
+++ b/internal/adapter/hertzhttp/client_test.go
@@ -142,7 +142,7 @@
 	_, err = io.ReadFull(res.Stream, make([]byte, 1000))
 	is.NoErr(err)
 	is.NoErr(res.Stream.Close())
-	is.True(!res.Stream.Whole())
+	is.True(!res.Stream.Complete())
 	var next protocol.Response
 	_, err = cl.Do(context.Background(), addr, newGet("/"), &next)
 	is.NoErr(err)
@@ -194,7 +194,7 @@
 			if err == nil {
 				_, err = io.ReadAll(res.Stream)
 				is.NoErr(res.Stream.Close())
-				is.True(!res.Stream.Whole())
+				is.True(!res.Stream.Complete())
 			}
 			is.True(err != nil) // the truncation is detected
 		})
--- a/internal/adapter/hertzhttp/conn.go
+++ b/internal/adapter/hertzhttp/conn.go
@@ -172,9 +172,9 @@
 	case !stop():
 		c.pool.finish(c, conn.Aborted)
 	case !reusable:
-		c.pool.finish(c, conn.WholeLast)
+		c.pool.finish(c, conn.CompleteAndClose)
 	default:
-		c.pool.finish(c, conn.Whole)
+		c.pool.finish(c, conn.Complete)
 	}
 }
 
--- a/internal/adapter/hertzhttp/limit.go
+++ b/internal/adapter/hertzhttp/limit.go
@@ -11,8 +11,8 @@
 	max  int64
 	open atomic.Int64
 
-	// Turned counts the connections that were closed because of the limit.
-	Turned atomic.Int64
+	// Rejected counts the connections that were closed because of the limit.
+	Rejected atomic.Int64
 }
 
 // NewConnLimit returns a limit of most connections.
@@ -40,7 +40,7 @@
 			return &countedConn{Conn: c, limit: l.limit}, nil
 		}
 		l.limit.open.Add(-1)
-		l.limit.Turned.Add(1)
+		l.limit.Rejected.Add(1)
 		_ = c.Close()
 	}
 }
--- a/internal/adapter/hertzhttp/pool.go
+++ b/internal/adapter/hertzhttp/pool.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"peardrift/internal/cadence"
 	"peardrift/internal/core/conn"
 	"peardrift/internal/status"
+	"peardrift/internal/timeralign"
 	"peardrift/internal/wire"
 )
 
@@ -54,7 +54,7 @@
 	}
 }
 
-func (p *pool) acquire(tag string) (*clientConn, conn.Offer) {
+func (p *pool) acquire(tag string) (*clientConn, conn.TakeResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id, offer := p.core.Take(p.client.now())
@@ -77,7 +77,7 @@
 		return nil, status.Wrap(status.CodeConnectFailed, err, "cannot connect to %s", p.addr)
 	}
 	c := newClientConn(p, raw, sock)
-	if p.client.cfg.Pack {
+	if p.client.cfg.CompressHeaders {
 		c.packer = wire.NewPacker()
 	}
 	c.id, c.tag = p.core.Opened(p.client.now()), tag
@@ -125,7 +125,7 @@
 func (p *pool) scheduleSweep() {
 	if !p.sweepScheduled {
 		p.sweepScheduled = true
-		time.AfterFunc(cadence.Until(time.Now(), p.client.cfg.WatchAfter, sweepAlignment), p.sweep)
+		time.AfterFunc(timeralign.Until(time.Now(), p.client.cfg.WatchAfter, sweepAlignment), p.sweep)
 	}
 }
 
@@ -135,7 +135,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.idle {
-		p.core.Broke(c.id)
+		p.core.IdleClosed(c.id)
 		p.remove(c)
 	}
 }
@@ -145,14 +145,14 @@
 func (p *pool) setPeerIdleTimeout(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Stated(d)
+	p.core.SetPeerIdleTimeout(d)
 }
 
 // recordActivity records that bytes were sent or received on a connection.
 func (p *pool) recordActivity(c *clientConn, received bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Heard(p.client.now(), c.id, received)
+	p.core.RecordActivity(p.client.now(), c.id, received)
 	p.armTimer()
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	now := time.Now()
-	wait := cadence.Until(now, next-now.Sub(p.client.epoch), tickAlignment)
+	wait := timeralign.Until(now, next-now.Sub(p.client.epoch), tickAlignment)
 	p.timerAt = now.Sub(p.client.epoch) + wait
 	p.timer.Reset(max(wait, time.Millisecond))
 }
@@ -224,7 +224,7 @@
 	defer p.mu.Unlock()
 	for id, c := range p.conns {
 		if c.idle {
-			p.core.Broke(id)
+			p.core.IdleClosed(id)
 			p.remove(c)
 		}
 	}
--- a/internal/adapter/hertzhttp/probe.go
+++ b/internal/adapter/hertzhttp/probe.go
@@ -18,11 +18,11 @@
 type Prober interface {
 	// Tag returns the identifier by which the peer knows a call.
 	Tag(h *protocol.RequestHeader) string
-	// Ask turns req into a query for the calls with tags.
-	Ask(req *protocol.Request, tags []string)
-	// Told reads the response: the tags of the calls being processed. ok is false if
+	// WriteProbe turns req into a query for the calls with tags.
+	WriteProbe(req *protocol.Request, tags []string)
+	// ParseReply reads the response: the tags of the calls being processed. ok is false if
 	// the peer can't tell.
-	Told(resp *protocol.Response) (inHand []string, ok bool)
+	ParseReply(resp *protocol.Response) (inHand []string, ok bool)
 }
 
 // probe asks the peer about silent calls over a new connection.
@@ -33,26 +33,26 @@
 	now := p.client.now()
 	for id, c := range p.conns {
 		if w, ok := results[id]; ok && c.tag == tags[id] { // otherwise the connection carries another call by now
-			p.core.Told(now, id, c.adjustWord(w))
+			p.core.RecordStatus(now, id, c.adjustWord(w))
 		}
 	}
-	p.core.Probed(now, reached)
+	p.core.ProbeDone(now, reached)
 	p.armTimer()
 }
 
 // adjustWord overrides the peer's result for a call that waits for local I/O: for
 // more of the request body or for the reader of the response. Its silence doesn't
 // indicate a dead connection.
-func (c *clientConn) adjustWord(w conn.Word) conn.Word {
+func (c *clientConn) adjustWord(w conn.CallStatus) conn.CallStatus {
 	if c.waitingLocally.Load() {
-		return conn.InHand
+		return conn.Executing
 	}
 	return w
 }
 
 // query returns the peer's result for each call, and whether the peer could be
 // reached.
-func (p *pool) query(tags map[conn.ID]string) (results map[conn.ID]conn.Word, reached bool) {
+func (p *pool) query(tags map[conn.ID]string) (results map[conn.ID]conn.CallStatus, reached bool) {
 	deadline := time.Now().Add(p.client.connConfig.ProbeTimeout)
 	fresh, _, err := dial(p.addr, min(p.client.cfg.DialTimeout, p.client.connConfig.ProbeTimeout))
 	if err != nil {
@@ -68,11 +68,11 @@
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
-	p.client.cfg.Prober.Ask(req, slices.Collect(maps.Values(tags)))
+	p.client.cfg.Prober.WriteProbe(req, slices.Collect(maps.Values(tags)))
 	if err := roundTrip(fresh, req, resp); err != nil {
 		return nil, false
 	}
-	inHand, ok := p.client.cfg.Prober.Told(resp)
+	inHand, ok := p.client.cfg.Prober.ParseReply(resp)
 	return wordsFor(tags, inHand, ok), true
 }
 
@@ -86,16 +86,16 @@
 	return http1resp.Read(resp, c)
 }
 
-func wordsFor(tags map[conn.ID]string, inHand []string, ok bool) map[conn.ID]conn.Word {
-	results := make(map[conn.ID]conn.Word, len(tags))
+func wordsFor(tags map[conn.ID]string, inHand []string, ok bool) map[conn.ID]conn.CallStatus {
+	results := make(map[conn.ID]conn.CallStatus, len(tags))
 	for id, tag := range tags {
 		switch {
 		case !ok:
 			results[id] = conn.CannotTell
 		case slices.Contains(inHand, tag):
-			results[id] = conn.InHand
+			results[id] = conn.Executing
 		default:
-			results[id] = conn.NotInHand
+			results[id] = conn.NotExecuting
 		}
 	}
 	return results
--- a/internal/adapter/hertzhttp/probe_test.go
+++ b/internal/adapter/hertzhttp/probe_test.go
@@ -15,9 +15,9 @@
 // nothingInHand is a prober whose peers process none of the calls.
 type nothingInHand struct{}
 
-func (nothingInHand) Tag(*protocol.RequestHeader) string    { return "" }
-func (nothingInHand) Ask(req *protocol.Request, _ []string) { newGet("/").CopyTo(req) }
-func (nothingInHand) Told(*protocol.Response) ([]string, bool) {
+func (nothingInHand) Tag(*protocol.RequestHeader) string           { return "" }
+func (nothingInHand) WriteProbe(req *protocol.Request, _ []string) { newGet("/").CopyTo(req) }
+func (nothingInHand) ParseReply(*protocol.Response) ([]string, bool) {
 	return nil, true
 }
 
--- a/internal/adapter/hertzhttp/response_match_test.go
+++ b/internal/adapter/hertzhttp/response_match_test.go
@@ -11,14 +11,14 @@
 )
 
 func newCheckingClient(cfg ClientConfig) *Client {
-	cfg.Check = func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) Match {
+	cfg.MatchResponse = func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) Match {
 		switch v := string(resp.Peek("X-Name")); {
 		case v == "":
-			return Foreign
+			return MatchesNone
 		case v != string(req.Peek("X-Name")):
-			return Other
+			return MatchesEarlierRequest
 		}
-		return Own
+		return MatchesRequest
 	}
 	return NewClient(cfg)
 }
@@ -75,7 +75,7 @@
 		_ = c.Close()
 	})
 	cfg := DefaultClientConfig()
-	cfg.Unframed = true
+	cfg.AllowUnframed = true
 	cl := newCheckingClient(cfg)
 	defer cl.Close()
 	var resp protocol.Response
--- a/internal/adapter/hertzhttp/server.go
+++ b/internal/adapter/hertzhttp/server.go
@@ -36,9 +36,9 @@
 	MaxHeaderBytes int
 	// NoDate omits the Date header from responses; nodes don't use it.
 	NoDate bool
-	// Packed accepts compressed headers and compresses the headers of the responses
+	// CompressHeaders accepts compressed headers and compresses the headers of the responses
 	// to them.
-	Packed bool
+	CompressHeaders bool
 	// Conns limits the open connections of all servers that share it; nil means no
 	// limit.
 	Conns *ConnLimit
@@ -96,7 +96,7 @@
 		server.WithDisableDefaultContentType(true),
 		server.WithDisableDefaultDate(cfg.NoDate),
 	}
-	if cfg.Packed {
+	if cfg.CompressHeaders {
 		opts = append(opts, server.WithOnConnect(withPacker), config.Option{F: noServerName})
 	}
 	return opts
--- a/internal/adapter/listen/listen.go
+++ b/internal/adapter/listen/listen.go
@@ -27,17 +27,17 @@
 	if err != nil {
 		return nil, status.Wrap(status.CodeListen, err, "cannot listen on %s", addr)
 	}
-	return Patient(ln), nil
+	return RetryAccept(ln), nil
 }
 
-// Patient returns ln with an Accept that retries while the process or the machine
+// RetryAccept returns ln with an Accept that retries while the process or the machine
 // lacks the resources for a connection.
 //
 // A server treats an error from Accept as the end of its listener. After a brief
 // lack of file descriptors the node would look ready but never respond again:
 // connections would wait in the kernel until they time out. The shortage ends as
 // soon as connections close.
-func Patient(ln net.Listener) net.Listener {
+func RetryAccept(ln net.Listener) net.Listener {
 	return &retryListener{Listener: ln, closed: make(chan struct{})}
 }
 
--- a/internal/adapter/listen/listen_test.go
+++ b/internal/adapter/listen/listen_test.go
@@ -36,7 +36,7 @@
 		is := is.New(t)
 		other := errors.New("other")
 		start := time.Now()
-		_, err := Patient(&failingListener{failures: 10, err: other}).Accept()
+		_, err := RetryAccept(&failingListener{failures: 10, err: other}).Accept()
 		is.Equal(err, other)                               // any other error is returned
 		is.Equal(time.Since(start), 3275*time.Millisecond) // 5 ms, doubling to 1 s
 	})
@@ -45,7 +45,7 @@
 func TestCloseEndsRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ln := Patient(&failingListener{failures: 1 << 30})
+		ln := RetryAccept(&failingListener{failures: 1 << 30})
 		done := make(chan error)
 		go func() {
 			_, err := ln.Accept()
--- a/internal/adapter/rpc/claims.go
+++ b/internal/adapter/rpc/claims.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync/atomic"
 
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 )
 
 // ClaimsName is the name of the service that takes other nodes' claims, and
@@ -20,18 +20,18 @@
 // ClaimsService takes ops of claims whose rows this node batches; register it as
 // ClaimsName.
 type ClaimsService struct {
-	serve func(context.Context, *shared.Op) shared.Answer
+	serve func(context.Context, *sharedrows.Op) sharedrows.Answer
 	meter *Meter
 }
 
 // NewClaimsService returns a service that passes ops to serve, on net/rpc's
 // goroutines. Their bytes are waived at the server's meter.
-func NewClaimsService(serve func(context.Context, *shared.Op) shared.Answer, meter *Meter) *ClaimsService {
+func NewClaimsService(serve func(context.Context, *sharedrows.Op) sharedrows.Answer, meter *Meter) *ClaimsService {
 	return &ClaimsService{serve: serve, meter: meter}
 }
 
 // Submit is called by net/rpc. It waits as long as the op's sender does.
-func (s *ClaimsService) Submit(in *shared.Op, out *shared.Answer) error {
+func (s *ClaimsService) Submit(in *sharedrows.Op, out *sharedrows.Answer) error {
 	s.meter.Waive(opBytes + len(in.Row) + len(in.Value))
 	*out = s.serve(context.Background(), in)
 	return nil
@@ -48,7 +48,7 @@
 	once atomic.Bool
 }
 
-var _ shared.Peers = (*ClaimPeers)(nil)
+var _ sharedrows.Peers = (*ClaimPeers)(nil)
 
 // NewClaimPeers returns a sender without connections.
 func NewClaimPeers(cfg Config) *ClaimPeers {
@@ -59,15 +59,15 @@
 func (p *ClaimPeers) SetCount(n int) { p.once.Store(n > maxHeld) }
 
 // Submit implements shared.Peers.
-func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *shared.Op) (shared.Answer, error) {
+func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *sharedrows.Op) (sharedrows.Answer, error) {
 	do := p.pool.Call
 	if p.once.Load() {
 		do = p.pool.CallOnce
 	}
-	var ans shared.Answer
+	var ans sharedrows.Answer
 	if err := do(ctx, addr, submitMethod, op, &ans); err != nil {
 		// The answer may be on its way into ans just now.
-		return shared.Answer{}, err
+		return sharedrows.Answer{}, err
 	}
 	return ans, nil
 }
--- a/internal/adapter/rpc/claims_test.go
+++ b/internal/adapter/rpc/claims_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 	"peardrift/internal/core/claim/batch"
 )
 
 // startClaims serves claims by serve and returns a sender and the address.
-func startClaims(t *testing.T, serve func(context.Context, *shared.Op) shared.Answer) (*ClaimPeers, string, *Meter) {
+func startClaims(t *testing.T, serve func(context.Context, *sharedrows.Op) sharedrows.Answer) (*ClaimPeers, string, *Meter) {
 	is, meter := is.New(t), &Meter{}
 	s := NewServer(DefaultConfig(), meter)
 	is.NoErr(s.Register(ClaimsName, NewClaimsService(serve, meter)))
@@ -30,13 +30,13 @@
 
 func TestClaimsGoThereAndBack(t *testing.T) {
 	is := is.New(t)
-	want := shared.Op{
+	want := sharedrows.Op{
 		Row: "claims/1/1", Start: 64, Key: "\x00\xff23456789abcdef", IfVersion: 1, Token: "\x80\x81",
-		Value: []byte{1, 2}, Expires: time.Hour, Lazy: true, Wait: time.Second,
+		Value: []byte{1, 2}, Expires: time.Hour, Deferrable: true, Timeout: time.Second,
 	}
-	answer := shared.Answer{Result: batch.OK, Version: 2, Token: "\xfe", Value: []byte{3}}
-	got := make(chan shared.Op, 1)
-	p, addr, meter := startClaims(t, func(_ context.Context, op *shared.Op) shared.Answer {
+	answer := sharedrows.Answer{Result: batch.OK, Version: 2, Token: "\xfe", Value: []byte{3}}
+	got := make(chan sharedrows.Op, 1)
+	p, addr, meter := startClaims(t, func(_ context.Context, op *sharedrows.Op) sharedrows.Answer {
 		got <- *op
 		return answer
 	})
@@ -55,13 +55,13 @@
 // Cause: the answer handed on while the connection's goroutine writes it.
 func TestLateAnswerIsNotLookedAt(t *testing.T) {
 	is := is.New(t)
-	p, addr, _ := startClaims(t, func(context.Context, *shared.Op) shared.Answer {
+	p, addr, _ := startClaims(t, func(context.Context, *sharedrows.Op) sharedrows.Answer {
 		time.Sleep(time.Millisecond)
-		return shared.Answer{Result: batch.OK, Version: 1, Token: "t", Value: []byte{1}}
+		return sharedrows.Answer{Result: batch.OK, Version: 1, Token: "t", Value: []byte{1}}
 	})
 	for range 300 {
 		ctx, cancel := context.WithTimeout(t.Context(), 1300*time.Microsecond)
-		ans, err := p.Submit(ctx, addr, &shared.Op{Row: "row"})
+		ans, err := p.Submit(ctx, addr, &sharedrows.Op{Row: "row"})
 		cancel()
 		is.Equal(err != nil, ans.Result != batch.OK) // an error comes with nothing
 		is.Equal(err != nil, ans.Version == 0)
--- a/internal/adapter/rpc/fuzz_test.go
+++ b/internal/adapter/rpc/fuzz_test.go
@@ -28,7 +28,7 @@
 	name := string(rune('a' + i))
 	return member.Record{
 		ID: request.TargetIDOf(name), Name: name, Service: "s.t", Region: "r",
-		Control: "127.0.0.1:1", Incarnation: 100,
+		ControlAddr: "127.0.0.1:1", Incarnation: 100,
 	}
 }
 
@@ -41,8 +41,8 @@
 		r := fuzzRecord(i + 1)
 		peers = append(peers, &r)
 	}
-	s.Load(peers)
-	s.Join([]member.Peer{{Control: "127.0.0.1:1"}}, nil)
+	s.AddAlive(peers)
+	s.Join([]member.Peer{{ControlAddr: "127.0.0.1:1"}}, nil)
 	return s
 }
 
@@ -101,11 +101,11 @@
 	return []*member.Message{
 		sampleMessage(2),
 		{Kind: member.Join, From: rec.ID, Incarnation: 100, Records: []*member.Record{&rec}, Services: []request.Service{"s.t"}},
-		{Kind: member.Pull, From: 7, After: 9, Room: 1 << 30},
-		{Kind: member.Ask, From: 7, Doubts: []member.Doubt{{Subject: rec.ID, Incarnation: 100, Silence: 1 << 31}}},
+		{Kind: member.Pull, From: 7, After: 9, MaxItemBytes: 1 << 30},
+		{Kind: member.QueryObserver, From: 7, SilenceReports: []member.SilenceReport{{Subject: rec.ID, Incarnation: 100, Silence: 1 << 31}}},
 		{Kind: member.Probe, From: rec.ID, Changes: []member.Change{{ID: fuzzRecord(0).ID, Incarnation: 1<<32 - 1, Status: member.Dead}}},
-		{From: 7, Wants: []request.TargetID{rec.ID}, Deaths: []member.Death{{ID: uint32(rec.ID >> 32), Incarnation: 100}}, Got: 1},
-		{From: 7, Backs: member.Backs{{ID: uint32(rec.ID >> 32), Incarnation: 1<<32 - 1}}, Load: []byte{0xdd, 0xff}},
+		{From: 7, WantedRecords: []request.TargetID{rec.ID}, Deaths: []member.Death{{ID: uint32(rec.ID >> 32), Incarnation: 100}}, AckedSeq: 1},
+		{From: 7, Recoveries: member.Recoveries{{ID: uint32(rec.ID >> 32), Incarnation: 1<<32 - 1}}, Piggyback: []byte{0xdd, 0xff}},
 		{Kind: member.Pull, From: 7, Packed: []byte{0x03, 0x00}, More: true},
 		{From: 7, Digests: []member.Digest{{Sums: make([]uint32, 16)}, {Prefix: 1 << 31, Depth: 9}}},
 		{From: 7, Leaves: []member.Leaf{{Prefix: 3, Depth: 1, Changes: []member.Change{{ID: 1}}, Facts: []member.FactHead{{Kind: 1}}}}},
--- a/internal/adapter/rpc/gossip.go
+++ b/internal/adapter/rpc/gossip.go
@@ -75,7 +75,7 @@
 			do = c.pool.CallOnce
 		}
 		reply := &member.Message{}
-		if err := do(ctx, x.To.Control, exchangeMethod, x.Msg, reply); err != nil {
+		if err := do(ctx, x.To.ControlAddr, exchangeMethod, x.Msg, reply); err != nil {
 			c.fail(x.To)
 			return
 		}
@@ -88,7 +88,7 @@
 }
 
 func (c *Carrier) disconnect(d member.Disconnect) {
-	if err := c.submit(func() { c.pool.Drop(d.Peer.Control) }); err != nil {
-		c.pool.Drop(d.Peer.Control) // a connection that stays would cost for good
+	if err := c.submit(func() { c.pool.Drop(d.Peer.ControlAddr) }); err != nil {
+		c.pool.Drop(d.Peer.ControlAddr) // a connection that stays would cost for good
 	}
 }
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -104,20 +104,20 @@
 
 func sampleMessage(n int) *member.Message {
 	m := &member.Message{
-		Kind: member.Heartbeat, From: 1 << 63, Incarnation: 200_000_000, Seq: 70000, Got: 69999,
-		Root: 1 << 62, Room: 800,
+		Kind: member.Heartbeat, From: 1 << 63, Incarnation: 200_000_000, Seq: 70000, AckedSeq: 69999,
+		StateDigest: 1 << 62, MaxItemBytes: 800,
 	}
 	for i := range n {
 		id := request.TargetID(uint64(i+1) * 0x9e3779b97f4a7c15)
-		m.Changes = append(m.Changes, member.Change{ID: id, Incarnation: 200_000_000, Status: member.Leaving, Body: 70000})
+		m.Changes = append(m.Changes, member.Change{ID: id, Incarnation: 200_000_000, Status: member.Leaving, BodyDigest: 70000})
 		m.Deaths = append(m.Deaths, member.Death{ID: uint32(id >> 32), Incarnation: 50000})
 		m.Facts = append(m.Facts, member.Fact{Kind: member.ConfigHead, Key: 1, Version: uint64(i), Value: []byte("12345678")})
 		m.Records = append(m.Records, &member.Record{
 			ID: id, Name: "archive-1.khaosan", Service: "archive.khaosan", Tenant: "khaosan", Zone: "bkk-a",
-			Region: "bkk", Data: "10.12.13.14:8080", Control: "10.12.13.14:8081", Incarnation: 200_000_000, Slots: 130, Connections: 850,
+			Region: "bkk", DataAddr: "10.12.13.14:8080", ControlAddr: "10.12.13.14:8081", Incarnation: 200_000_000, Slots: 130, Connections: 850,
 		})
-		m.Doubts = append(m.Doubts, member.Doubt{Subject: id, Incarnation: 200_000_000, Silence: 6000})
-		m.Wants = append(m.Wants, id)
+		m.SilenceReports = append(m.SilenceReports, member.SilenceReport{Subject: id, Incarnation: 200_000_000, Silence: 6000})
+		m.WantedRecords = append(m.WantedRecords, id)
 		m.Digests = append(m.Digests, member.Digest{Prefix: 1, Depth: 1, Sums: slices.Repeat([]uint32{1 << 30}, 16)})
 		m.Leaves = append(m.Leaves, member.Leaf{Prefix: 1, Depth: 2, Changes: m.Changes[:1]})
 	}
@@ -188,11 +188,11 @@
 	c := NewCarrier(p,
 		func(f func()) error { go f(); return nil },
 		func(f func(*member.State, time.Duration)) { outcomes <- f })
-	s := member.New(member.DefaultConfig(), member.Record{ID: 5, Control: "127.0.0.1:1", Incarnation: 1}, nil)
+	s := member.New(member.DefaultConfig(), member.Record{ID: 5, ControlAddr: "127.0.0.1:1", Incarnation: 1}, nil)
 	probe := &member.Message{Kind: member.Probe, From: 5, Incarnation: 1}
 	c.Do([]member.Action{
-		member.Exchange{To: member.Peer{Control: addr}, Msg: probe, Timeout: 5 * time.Second, Once: true},
-		member.Exchange{To: member.Peer{Control: "127.0.0.1:1"}, Msg: probe, Timeout: 5 * time.Second},
+		member.Exchange{To: member.Peer{ControlAddr: addr}, Msg: probe, Timeout: 5 * time.Second, Once: true},
+		member.Exchange{To: member.Peer{ControlAddr: "127.0.0.1:1"}, Msg: probe, Timeout: 5 * time.Second},
 	})
 	for range 2 {
 		(<-outcomes)(s, 2*time.Second)
--- a/internal/adapter/yamlset/examples_test.go
+++ b/internal/adapter/yamlset/examples_test.go
@@ -5,19 +5,19 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
-func loadExamples(t *testing.T) *confset.Index {
+func loadExamples(t *testing.T) *configset.Index {
 	t.Helper()
-	idx := confset.NewIndex()
+	idx := configset.NewIndex()
 	for _, dir := range []string{"khaosan", "kalahari"} {
 		set, err := Load("../../../examples/" + dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		idx = idx.With(set)
+		idx = idx.WithSet(set)
 	}
 	return idx
 }
--- a/internal/adapter/yamlset/load.go
+++ b/internal/adapter/yamlset/load.go
@@ -6,24 +6,24 @@
 	"path/filepath"
 	"slices"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/status"
 )
 
 // Load reads a set from files and from the *.yaml and *.yml files that lie
 // directly in directories. The error is Problems if the set is not valid, a
 // status.CodeInvalidSettings if something can't be read.
-func Load(paths ...string) (confset.Set, error) {
+func Load(paths ...string) (configset.Set, error) {
 	var files []File
 	for _, path := range paths {
 		names, err := list(path)
 		if err != nil {
-			return confset.Set{}, err
+			return configset.Set{}, err
 		}
 		for _, name := range names {
 			f, err := read(name)
 			if err != nil {
-				return confset.Set{}, err
+				return configset.Set{}, err
 			}
 			if files = append(files, f); len(files) > MaxFiles {
 				return Parse(files...)
--- a/internal/adapter/yamlset/organisation_test.go
+++ b/internal/adapter/yamlset/organisation_test.go
@@ -7,24 +7,24 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 )
 
 func TestOrganisationsAreParsed(t *testing.T) {
 	is := is.New(t)
-	digest := confset.DigestKey([]byte("key-a"))
+	digest := configset.DigestKey([]byte("key-a"))
 	callers := "organisations:\n  - {name: acme, keys: [" + digest.String() + "], rank: 1, rate: 2.5, burst: 10}\n  - name: bank\n"
 	set, err := Parse(File{"a.yaml", []byte(tenantFile)}, File{"b.yaml", []byte(feedFile)}, File{"c.yaml", []byte(callers)})
 	is.NoErr(err)
-	is.Equal(set.Organisations, []confset.Organisation{
-		{Name: "acme", Keys: []confset.KeyDigest{digest}, Rank: 1, Rate: 2.5, Burst: 10}, {Name: "bank"},
+	is.Equal(set.Organisations, []configset.Organisation{
+		{Name: "acme", Keys: []configset.KeyDigest{digest}, Rank: 1, Rate: 2.5, Burst: 10}, {Name: "bank"},
 	})
 }
 
 // A key in a digest's place must not reach the output of a command.
 func TestProblemsOfOrganisationsNameNoKey(t *testing.T) {
 	is := is.New(t)
-	digest := confset.DigestKey([]byte("key-a")).String()
+	digest := configset.DigestKey([]byte("key-a")).String()
 	for _, callers := range []string{
 		"organisations:\n  - {name: acme, keys: [kmgjqnirth5mgjy5rcpi]}\n",
 		"organisations:\n  - {name: acme, keys: [" + digest + "]}\n  - {name: bank, keys: [" + digest + "]}\n",
--- a/internal/adapter/yamlset/parse.go
+++ b/internal/adapter/yamlset/parse.go
@@ -11,7 +11,7 @@
 	"github.com/goccy/go-yaml/parser"
 	"github.com/goccy/go-yaml/token"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 )
 
 // Bounds of the input.
@@ -34,9 +34,9 @@
 
 // Parse reads a set from its files. The error is Problems if the set is not
 // valid. The set has no version: its acceptance gives one.
-func Parse(files ...File) (confset.Set, error) {
+func Parse(files ...File) (configset.Set, error) {
 	if ps := checkSizes(files); len(ps) > 0 {
-		return confset.Set{}, ps
+		return configset.Set{}, ps
 	}
 	docs := make([]*document, len(files))
 	for i, f := range files {
@@ -45,7 +45,7 @@
 	set, problems := merge(docs)
 	problems = append(problems, validate(set, docs)...)
 	if len(problems) > 0 {
-		return confset.Set{}, problems.sorted()
+		return configset.Set{}, problems.sorted()
 	}
 	return set, nil
 }
@@ -130,8 +130,8 @@
 }
 
 // merge joins what the files declare.
-func merge(docs []*document) (confset.Set, Problems) {
-	var set confset.Set
+func merge(docs []*document) (configset.Set, Problems) {
+	var set configset.Set
 	var problems Problems
 	var tenantIn, shareIn, organisationsIn *document
 	for _, d := range docs {
@@ -165,10 +165,10 @@
 
 // validate finds the problems of the set as a whole and gives them the places
 // of their fields.
-func validate(set confset.Set, docs []*document) Problems {
+func validate(set configset.Set, docs []*document) Problems {
 	var out Problems
 	partial := isPartial(docs)
-	for _, p := range confset.Validate(set) {
+	for _, p := range configset.Validate(set) {
 		if partial && dependsOnOthers(p.Field) {
 			continue
 		}
--- a/internal/adapter/yamlset/parse_test.go
+++ b/internal/adapter/yamlset/parse_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/status"
 )
 
@@ -41,13 +41,13 @@
 	is.NoErr(err)
 	is.Equal(set.Share, 0.5)
 	is.Equal(len(set.Services), 2)
-	is.Equal(set.Services[0].Classes[0], confset.Class{
+	is.Equal(set.Services[0].Classes[0], configset.Class{
 		Name: "read", Method: "GET", Path: "/feed", Importance: 30, Deadline: 800 * time.Millisecond,
-		Attempts: confset.DefaultAttempts, MaxBody: 4096,
+		Attempts: configset.DefaultAttempts, MaxBody: 4096,
 	})
-	is.Equal(set.Services[1].Classes[0], confset.Class{
-		Name: "publish", Method: "POST", Path: "/notices", Importance: 90, Deadline: confset.DefaultDeadline,
-		AtMostOnce: true, Remember: confset.DefaultRemember, MaxBody: confset.DefaultMaxBody,
+	is.Equal(set.Services[1].Classes[0], configset.Class{
+		Name: "publish", Method: "POST", Path: "/notices", Importance: 90, Deadline: configset.DefaultDeadline,
+		AtMostOnce: true, KeyRetention: configset.DefaultRemember, MaxBody: configset.DefaultMaxBody,
 	})
 }
 
@@ -128,7 +128,7 @@
 			var ps Problems
 			is := is.New(t)
 			is.True(errors.As(err, &ps) && len(ps) > 0)
-			is.Equal(set, confset.Set{}) // nothing is accepted in part
+			is.Equal(set, configset.Set{}) // nothing is accepted in part
 		})
 	}
 }
@@ -158,11 +158,11 @@
 		if err != nil {
 			return
 		}
-		encoded, digest, err := confset.Encode(set)
+		encoded, digest, err := configset.Encode(set)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := confset.Decode(encoded, digest, 1); err != nil {
+		if _, err := configset.Decode(encoded, digest, 1); err != nil {
 			t.Fatal(err) // what operators may submit, nodes can read
 		}
 	})
--- a/internal/adapter/yamlset/set.go
+++ b/internal/adapter/yamlset/set.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/goccy/go-yaml/ast"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/status"
 )
@@ -17,7 +17,7 @@
 	hasOrganisations bool
 
 	broken bool // its YAML could not be read at all
-	set    confset.Set
+	set    configset.Set
 }
 
 func (d *document) root(n ast.Node) {
@@ -39,14 +39,14 @@
 }
 
 func (d *document) organisation(n ast.Node, field string) {
-	var o confset.Organisation
+	var o configset.Organisation
 	d.mapping(n, field, map[string]binding{
 		"name": {required: true, set: d.str((*string)(&o.Name))},
 		"keys": {set: func(n ast.Node, field string) {
 			d.list(n, field, func(n ast.Node, field string) {
 				var digest string
 				d.str(&digest)(n, field)
-				k, err := confset.ParseKeyDigest(digest)
+				k, err := configset.ParseKeyDigest(digest)
 				if err != nil {
 					d.fail(n, field, "%s", status.From(err).Detail)
 				}
@@ -61,7 +61,7 @@
 }
 
 func (d *document) service(n ast.Node, field string) {
-	var s confset.Service
+	var s configset.Service
 	d.mapping(n, field, map[string]binding{
 		"name":        {required: true, set: d.str(&s.Name)},
 		"slots":       {required: true, set: d.integer(&s.Slots)},
@@ -89,11 +89,11 @@
 	d.set.Services = append(d.set.Services, s)
 }
 
-func (d *document) class(n ast.Node, field string) confset.Class {
-	c := confset.Class{
-		Deadline: confset.DefaultDeadline,
-		Attempts: confset.DefaultAttempts,
-		MaxBody:  confset.DefaultMaxBody,
+func (d *document) class(n ast.Node, field string) configset.Class {
+	c := configset.Class{
+		Deadline: configset.DefaultDeadline,
+		Attempts: configset.DefaultAttempts,
+		MaxBody:  configset.DefaultMaxBody,
 	}
 	var importance int
 	remembers := false
@@ -107,14 +107,14 @@
 		"atMostOnce": {set: d.boolean(&c.AtMostOnce)},
 		"remember": {set: func(n ast.Node, field string) {
 			remembers = true
-			d.duration(&c.Remember)(n, field)
+			d.duration(&c.KeyRetention)(n, field)
 		}},
 		"maxBody":   {set: d.size(&c.MaxBody)},
 		"anonymous": {set: d.boolean(&c.Anonymous)},
 	})
 	c.Importance = d.importance(n, field, importance)
 	if c.AtMostOnce && !remembers {
-		c.Remember = confset.DefaultRemember
+		c.KeyRetention = configset.DefaultRemember
 	}
 	return c
 }
--- a/internal/apply/accept.go
+++ b/internal/apply/accept.go
@@ -8,44 +8,44 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
 	"peardrift/internal/status"
 )
 
-// CodeShares is the code of an apply after which the shares of all tenants would exceed 1.
-const CodeShares status.Code = "shares-exceeded"
+// CodeSharesExceeded is the code of an apply after which the shares of all tenants would exceed 1.
+const CodeSharesExceeded status.Code = "shares-exceeded"
 
 // shareTolerance allows for rounding errors in the sum of shares.
 const shareTolerance = 1e-9
 
-// Conflict is the error of an apply whose base is not the accepted version. It matches
+// ConflictError is the error of an apply whose base is not the accepted version. It matches
 // status.CodeConflict.
-type Conflict struct {
+type ConflictError struct {
 	Tenant  request.Tenant
 	Base    int64
 	Current int64
 }
 
 // Error implements error.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	return fmt.Sprintf("the set of %s is at version %d, not %d: review the changes and apply again on base %d",
 		c.Tenant, c.Current, c.Base, c.Current)
 }
 
 // Unwrap returns the *status.Error with status.CodeConflict.
-func (c *Conflict) Unwrap() error {
+func (c *ConflictError) Unwrap() error {
 	return status.New(status.CodeConflict, "version %d is accepted", c.Current)
 }
 
-// Accepted is the result of a successful apply.
-type Accepted struct {
+// Result is the result of a successful apply.
+type Result struct {
 	Version int64
-	Digest  confset.Digest
-	// Settled reports that an earlier apply of the same set on the same base was
+	Digest  configset.Digest
+	// AlreadyAccepted reports that an earlier apply of the same set on the same base was
 	// already accepted.
-	Settled bool
+	AlreadyAccepted bool
 	// Unchanged reports that the accepted version has the same content, so that no new
 	// version was created.
 	Unchanged bool
@@ -54,11 +54,11 @@
 // attempt is the state of one apply.
 type attempt struct {
 	*Store
-	set    confset.Set
+	set    configset.Set
 	by     string
 	base   int64
 	body   []byte
-	digest confset.Digest
+	digest configset.Digest
 	token  string
 }
 
@@ -71,34 +71,34 @@
 //   - status.CodePlatformDown: the platform is unreachable; nothing was accepted
 //   - status.CodeOutcomeUnknown: the set may have been accepted; applying the same
 //     set and base again resolves it
-func (s *Store) Apply(ctx context.Context, set confset.Set, base int64, by string) (Accepted, error) {
-	if ps := confset.Validate(set); len(ps) > 0 {
-		return Accepted{}, status.New(status.CodeInvalidSet, "%s: %s (%d problems in all)",
+func (s *Store) Apply(ctx context.Context, set configset.Set, base int64, by string) (Result, error) {
+	if ps := configset.Validate(set); len(ps) > 0 {
+		return Result{}, status.New(status.CodeInvalidSet, "%s: %s (%d problems in all)",
 			ps[0].Field, ps[0].Message, len(ps))
 	}
-	body, digest, err := confset.Encode(set)
+	body, digest, err := configset.Encode(set)
 	if err != nil {
-		return Accepted{}, err
+		return Result{}, err
 	}
 	a := &attempt{Store: s, set: set, by: by, base: base, body: body, digest: digest, token: s.token()}
 	if done, acc, err := a.checkCurrent(ctx); done || err != nil {
 		return acc, err
 	}
 	if err := a.putObject(ctx); err != nil {
-		return Accepted{}, err
+		return Result{}, err
 	}
 	return a.commit(ctx)
 }
 
 // checkCurrent compares the accepted version with the base; done means that there is
 // nothing to write.
-func (a *attempt) checkCurrent(ctx context.Context) (done bool, acc Accepted, err error) {
+func (a *attempt) checkCurrent(ctx context.Context) (done bool, acc Result, err error) {
 	current, digest, err := a.current(ctx)
 	if err != nil {
 		return false, acc, status.Wrap(status.CodeOf(err), err, "cannot read the accepted version; nothing was written")
 	}
 	if current == a.base {
-		acc = Accepted{Version: current, Digest: a.digest, Unchanged: true}
+		acc = Result{Version: current, Digest: a.digest, Unchanged: true}
 		return digest == a.digest, acc, nil
 	}
 	if current > a.base {
@@ -107,17 +107,17 @@
 			return false, acc, status.Wrap(status.CodeOf(err), err, "cannot read the history; nothing was written")
 		}
 		if err == nil && r.Digest == a.digest {
-			return true, Accepted{Version: r.Version, Digest: r.Digest, Settled: true}, nil
+			return true, Result{Version: r.Version, Digest: r.Digest, AlreadyAccepted: true}, nil
 		}
 	}
-	return false, acc, &Conflict{Tenant: a.set.Tenant, Base: a.base, Current: current}
+	return false, acc, &ConflictError{Tenant: a.set.Tenant, Base: a.base, Current: current}
 }
 
 // current returns the accepted version and digest, version 0 if there is none.
-func (a *attempt) current(ctx context.Context) (int64, confset.Digest, error) {
+func (a *attempt) current(ctx context.Context) (int64, configset.Digest, error) {
 	head, err := a.Head(ctx, a.set.Tenant)
 	if errors.Is(err, port.ErrNotFound) {
-		return 0, confset.Digest{}, nil
+		return 0, configset.Digest{}, nil
 	}
 	return head.Version, head.Digest, err
 }
@@ -135,7 +135,7 @@
 }
 
 // commit makes the deciding write and retries it until its outcome is known.
-func (a *attempt) commit(ctx context.Context) (Accepted, error) {
+func (a *attempt) commit(ctx context.Context) (Result, error) {
 	ambiguous := false
 	err := a.retry(ctx, func() error {
 		err := a.writeOnce(ctx)
@@ -149,14 +149,14 @@
 	})
 	switch {
 	case err == nil:
-		return Accepted{Version: a.base + 1, Digest: a.digest}, nil
+		return Result{Version: a.base + 1, Digest: a.digest}, nil
 	case isRejected(err) || (isPermanent(err) && !ambiguous):
-		return Accepted{}, err
+		return Result{}, err
 	case ambiguous:
-		return Accepted{}, status.Wrap(status.CodeOutcomeUnknown, err,
+		return Result{}, status.Wrap(status.CodeOutcomeUnknown, err,
 			"the set may have been accepted as version %d; apply the same set again on base %d", a.base+1, a.base)
 	default:
-		return Accepted{}, status.Wrap(status.CodePlatformDown, err, "nothing was accepted")
+		return Result{}, status.Wrap(status.CodePlatformDown, err, "nothing was accepted")
 	}
 }
 
@@ -209,7 +209,7 @@
 		sum += share
 	}
 	if sum > 1+shareTolerance {
-		return nil, status.New(CodeShares, "the shares of all %d tenants would be %.4g with %.4g for %s; the maximum is 1",
+		return nil, status.New(CodeSharesExceeded, "the shares of all %d tenants would be %.4g with %.4g for %s; the maximum is 1",
 			len(l.Shares), sum, a.set.Share, a.set.Tenant)
 	}
 	it, err := encodeRow(sharesKey, version+1, a.token, l)
@@ -237,7 +237,7 @@
 	if err != nil {
 		return err
 	}
-	return &Conflict{Tenant: a.set.Tenant, Base: a.base, Current: current}
+	return &ConflictError{Tenant: a.set.Tenant, Base: a.base, Current: current}
 }
 
 // isRejected reports whether an error proves that the set was not and will not be accepted,
@@ -245,7 +245,7 @@
 // condition was read, so the write can't take effect.
 func isRejected(err error) bool {
 	code := status.CodeOf(err)
-	return code == status.CodeConflict || code == CodeShares
+	return code == status.CodeConflict || code == CodeSharesExceeded
 }
 
 // isPermanent reports whether a retry can't succeed after err.
@@ -255,7 +255,7 @@
 		return false
 	}
 	switch e.Code {
-	case status.CodeConflict, status.CodeTooLarge, status.CodeProtocol, status.CodeInternal, CodeShares:
+	case status.CodeConflict, status.CodeTooLarge, status.CodeProtocol, status.CodeInternal, CodeSharesExceeded:
 		return true
 	default:
 		return false
@@ -265,8 +265,8 @@
 // retry repeats op while its error is transient, up to the configured attempts.
 func (a *attempt) retry(ctx context.Context, op func() error) error {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = a.cfg.Pause
-	policy.MaxInterval = a.cfg.MaxPause
+	policy.InitialInterval = a.cfg.InitialDelay
+	policy.MaxInterval = a.cfg.MaxDelay
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		err := op()
 		if err != nil && isPermanent(err) {
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
 	"peardrift/internal/port/porttest"
@@ -18,7 +18,7 @@
 
 // testStore returns a store with deterministic tokens and a fixed time.
 func testStore(table port.Table, objects port.Objects) *Store {
-	s := New(table, objects, Config{Attempts: 3, Pause: time.Nanosecond, MaxPause: time.Nanosecond})
+	s := New(table, objects, Config{Attempts: 3, InitialDelay: time.Nanosecond, MaxDelay: time.Nanosecond})
 	n := 0
 	s.token = func() string { n++; return fmt.Sprintf("token-%d", n) }
 	s.now = func() time.Time { return time.Unix(1700000000, 0) }
@@ -26,10 +26,10 @@
 }
 
 // testSet returns a valid set; slots distinguishes it from others.
-func testSet(t request.Tenant, share float64, slots int) confset.Set {
-	return confset.Set{Tenant: t, Share: share, Services: []confset.Service{{
+func testSet(t request.Tenant, share float64, slots int) configset.Set {
+	return configset.Set{Tenant: t, Share: share, Services: []configset.Service{{
 		Name: "feed", Slots: slots, Connections: slots + 1000,
-		Classes: []confset.Class{{Name: "read", Path: "/", Deadline: time.Second}},
+		Classes: []configset.Class{{Name: "read", Path: "/", Deadline: time.Second}},
 	}}}
 }
 
@@ -61,7 +61,7 @@
 	acc, err := s.Apply(ctx, testSet("khaosan", 0.5, 3), 3, "ada")
 	is.NoErr(err)
 	is.True(acc.Unchanged && acc.Version == 3) // the same content creates no version
-	_, err = s.Apply(ctx, confset.Set{Tenant: "khaosan"}, 3, "ada")
+	_, err = s.Apply(ctx, configset.Set{Tenant: "khaosan"}, 3, "ada")
 	is.Equal(status.CodeOf(err), status.CodeInvalidSet)
 	is.Equal(objects.Len(), 3)
 }
@@ -77,7 +77,7 @@
 	_, err = s.Apply(ctx, testSet("khaosan", 0.5, 2), 1, "ada")
 	is.NoErr(err)
 	_, err = s.Apply(ctx, testSet("khaosan", 0.5, 3), 1, "grace")
-	var conflict *Conflict
+	var conflict *ConflictError
 	is.True(errors.As(err, &conflict))
 	is.Equal(conflict.Current, int64(2))
 	is.Equal(status.CodeOf(err), status.CodeConflict)
@@ -85,7 +85,7 @@
 	is.True(errors.As(err, &conflict)) // a base that was never accepted
 	acc, err := s.Apply(ctx, testSet("khaosan", 0.5, 2), 1, "ada")
 	is.NoErr(err)
-	is.True(acc.Settled) // repeating the accepted apply is no conflict
+	is.True(acc.AlreadyAccepted) // repeating the accepted apply is no conflict
 }
 
 // Guards against reporting failure for an apply that takes effect, or success for one that
@@ -97,10 +97,10 @@
 		faults []porttest.Fault // of the deciding writes, in order
 		want   status.Code      // "" for accepted
 	}{
-		{"answer lost", []porttest.Fault{porttest.LostAnswer}, ""},
+		{"answer lost", []porttest.Fault{porttest.LostResponse}, ""},
 		{"request lost", []porttest.Fault{porttest.LostRequest}, ""},
-		{"late", []porttest.Fault{porttest.Late}, ""},
-		{"late twice", []porttest.Fault{porttest.Late, porttest.Late}, ""},
+		{"late", []porttest.Fault{porttest.Delayed}, ""},
+		{"late twice", []porttest.Fault{porttest.Delayed, porttest.Delayed}, ""},
 		{"down once", []porttest.Fault{porttest.Unavailable}, ""},
 		{"down", []porttest.Fault{porttest.Unavailable, porttest.Unavailable, porttest.Unavailable}, status.CodePlatformDown},
 		{"all lost", []porttest.Fault{porttest.LostRequest, porttest.LostRequest, porttest.LostRequest}, status.CodeOutcomeUnknown},
@@ -148,7 +148,7 @@
 		}
 		down = op == porttest.OpPutAll
 		if down {
-			return porttest.LostAnswer
+			return porttest.LostResponse
 		}
 		return porttest.None
 	})
@@ -159,7 +159,7 @@
 	table.SetScript(nil)
 	acc, err := s.Apply(ctx, testSet("khaosan", 0.5, 1), 0, "ada")
 	is.NoErr(err)
-	is.True(acc.Settled || acc.Unchanged)
+	is.True(acc.AlreadyAccepted || acc.Unchanged)
 }
 
 // Guards against a head that names a missing object, which results from writing the head
@@ -184,7 +184,7 @@
 	_, err := s.Apply(ctx, testSet("khaosan", 0.6, 1), 0, "ada")
 	is.NoErr(err)
 	_, err = s.Apply(ctx, testSet("kalahari", 0.5, 1), 0, "grace")
-	is.Equal(status.CodeOf(err), CodeShares)
+	is.Equal(status.CodeOf(err), CodeSharesExceeded)
 	_, err = s.Apply(ctx, testSet("kalahari", 0.4, 1), 0, "grace")
 	is.NoErr(err)
 	_, err = s.Apply(ctx, testSet("khaosan", 0.5, 1), 1, "ada")
--- a/internal/apply/race_test.go
+++ b/internal/apply/race_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
 	"peardrift/internal/port/porttest"
@@ -41,9 +41,9 @@
 
 // applyCall is one apply with its result.
 type applyCall struct {
-	set  confset.Set
+	set  configset.Set
 	base int64
-	acc  Accepted
+	acc  Result
 	err  error
 }
 
@@ -59,7 +59,7 @@
 				return porttest.None
 			}
 			return rapid.SampledFrom([]porttest.Fault{porttest.None, porttest.None, porttest.None, porttest.None,
-				porttest.Unavailable, porttest.LostAnswer, porttest.LostRequest, porttest.Late}).Draw(rt, "fault")
+				porttest.Unavailable, porttest.LostResponse, porttest.LostRequest, porttest.Delayed}).Draw(rt, "fault")
 		}
 		table.SetScript(script)
 		objects.SetScript(script)
@@ -104,7 +104,7 @@
 	ctx := context.Background()
 	winners := make(map[string]bool)
 	for i, op := range ops {
-		_, digest, err := confset.Encode(op.set)
+		_, digest, err := configset.Encode(op.set)
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -178,7 +178,7 @@
 		}
 	}
 	_, err := s.Apply(ctx, testSet("khaosan", 0.6, 1), 0, "ada")
-	is.Equal(codeOf(err), CodeShares)
+	is.Equal(codeOf(err), CodeSharesExceeded)
 	_, err = s.Apply(ctx, testSet("khaosan", 0.4, 1), 0, "ada")
 	is.NoErr(err)
 }
--- a/internal/apply/rows.go
+++ b/internal/apply/rows.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
 	"peardrift/internal/status"
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("config/%s/history/%012d", t, version)
 }
 
-func objectName(t request.Tenant, d confset.Digest) string {
+func objectName(t request.Tenant, d configset.Digest) string {
 	return "config/" + string(t) + "/" + d.String()
 }
 
@@ -29,7 +29,7 @@
 type Record struct {
 	Tenant  request.Tenant
 	Version int64
-	Digest  confset.Digest
+	Digest  configset.Digest
 	Object  string    // name in the object store
 	Bytes   int       // size of the canonical encoding
 	Share   float64   // the tenant's share in this version
@@ -77,7 +77,7 @@
 	if err := decodeRow(it, &r); err != nil {
 		return Record{}, err
 	}
-	digest, err := confset.ParseDigest(r.Digest)
+	digest, err := configset.ParseDigest(r.Digest)
 	if err != nil {
 		return Record{}, err
 	}
--- a/internal/apply/store.go
+++ b/internal/apply/store.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/uuid"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
 	"peardrift/internal/status"
@@ -22,18 +22,18 @@
 	// unavailable in a short outage; higher makes an operator wait longer.
 	Attempts int
 
-	// Pause is the delay before the second attempt. It grows by a factor of 1.5 per
+	// InitialDelay is the delay before the second attempt. It grows by a factor of 1.5 per
 	// attempt up to MaxPause, with a jitter of 50% either way. Default 50ms. Lower
 	// resolves sooner; higher puts less load on a failing platform.
-	Pause time.Duration
+	InitialDelay time.Duration
 
-	// MaxPause bounds the delay between attempts before jitter. Default 1s.
-	MaxPause time.Duration
+	// MaxDelay bounds the delay between attempts before jitter. Default 1s.
+	MaxDelay time.Duration
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
-	return Config{Attempts: 5, Pause: 50 * time.Millisecond, MaxPause: time.Second}
+	return Config{Attempts: 5, InitialDelay: 50 * time.Millisecond, MaxDelay: time.Second}
 }
 
 // Store accepts sets and reads accepted ones.
@@ -107,20 +107,20 @@
 }
 
 // Set fetches an accepted set and verifies its digest.
-func (s *Store) Set(ctx context.Context, r Record) (confset.Set, error) {
+func (s *Store) Set(ctx context.Context, r Record) (configset.Set, error) {
 	body, err := s.Body(ctx, r.Tenant, r.Digest)
 	if err != nil {
-		return confset.Set{}, err
+		return configset.Set{}, err
 	}
-	set, err := confset.Decode(body, r.Digest, r.Version)
+	set, err := configset.Decode(body, r.Digest, r.Version)
 	if err == nil && set.Tenant != r.Tenant {
-		return confset.Set{}, status.New(status.CodeProtocol, "the set of %s belongs to %s", r.Tenant, set.Tenant)
+		return configset.Set{}, status.New(status.CodeProtocol, "the set of %s belongs to %s", r.Tenant, set.Tenant)
 	}
 	return set, err
 }
 
 // Body fetches the canonical bytes of an accepted set without verifying them.
-func (s *Store) Body(ctx context.Context, t request.Tenant, d confset.Digest) ([]byte, error) {
+func (s *Store) Body(ctx context.Context, t request.Tenant, d configset.Digest) ([]byte, error) {
 	return s.objects.Get(ctx, objectName(t, d))
 }
 
--- a/internal/claims/config.go
+++ b/internal/claims/config.go
@@ -18,14 +18,14 @@
 	// refused. Default 1024. Raising it costs memory (one outcome each); lowering
 	// it refuses sooner in an outage.
 	MaxPending int
-	// RecordWait is how long an answer waits for its outcome to be recorded, or
+	// RecordTimeout is how long an answer waits for its outcome to be recorded, or
 	// a refusal for its claim to be released. Default 100 ms. Raising it lets
 	// more repeats find the outcome; lowering it answers sooner.
-	RecordWait time.Duration
-	// ExplainWait bounds how long a refusal waits for the read of earlier calls
+	RecordTimeout time.Duration
+	// ExplainTimeout bounds how long a refusal waits for the read of earlier calls
 	// under its key. Default 100 ms. Raising it gives more callers a definite
 	// answer while the platform is slow; lowering it answers sooner.
-	ExplainWait time.Duration
+	ExplainTimeout time.Duration
 	// RetryMin and RetryMax bound the backoff between tries of a duty, which
 	// grows by half with each try and has a jitter of plus or minus half. Default
 	// 500 ms and 30 s. Raising them reduces load on a recovering platform;
@@ -36,13 +36,13 @@
 // DefaultConfig returns the defaults documented at each field.
 func DefaultConfig() Config {
 	return Config{
-		Claim:       claim.DefaultConfig(),
-		Breaker:     claim.DefaultBreakerConfig(),
-		MaxClaims:   64,
-		MaxPending:  1024,
-		RecordWait:  100 * time.Millisecond,
-		ExplainWait: 100 * time.Millisecond,
-		RetryMin:    500 * time.Millisecond,
-		RetryMax:    30 * time.Second,
+		Claim:          claim.DefaultConfig(),
+		Breaker:        claim.DefaultBreakerConfig(),
+		MaxClaims:      64,
+		MaxPending:     1024,
+		RecordTimeout:  100 * time.Millisecond,
+		ExplainTimeout: 100 * time.Millisecond,
+		RetryMin:       500 * time.Millisecond,
+		RetryMax:       30 * time.Second,
 	}
 }
--- a/internal/claims/duty.go
+++ b/internal/claims/duty.go
@@ -12,8 +12,8 @@
 
 // retryTask is a duty that is retried in the background.
 type retryTask struct {
-	place   Place
-	duty    claim.Duty
+	place   Ref
+	duty    claim.FollowUp
 	backoff *backoff.ExponentialBackOff
 }
 
@@ -22,18 +22,18 @@
 
 // handleDuty tries an urgent duty once before the answer, for at most RecordWait,
 // and leaves all other duties to the pool.
-func (r *Runner) handleDuty(ctx context.Context, p Place, d claim.Duty) {
+func (r *Runner) handleDuty(ctx context.Context, p Ref, d claim.FollowUp) {
 	if !d.Pending() {
 		return
 	}
-	if d.Records() && r.rows.HeldBack(p) {
+	if d.RecordsOutcome() && r.rows.Deferred(p) {
 		c := r.postpone(p, d)
 		if err := r.pool.Submit(func() { r.retry(c) }); err != nil {
 			r.scheduleRetry(c)
 		}
 		return
 	}
-	if d.Urgent() && r.breakerAllows() && r.tryDuty(ctx, p, &d, r.cfg.RecordWait) {
+	if d.BeforeAnswer() && r.breakerAllows() && r.tryDuty(ctx, p, &d, r.cfg.RecordTimeout) {
 		return
 	}
 	r.scheduleRetry(r.postpone(p, d))
@@ -41,7 +41,7 @@
 
 // tryDuty makes one try of a duty within timeout and reports whether it is
 // finished.
-func (r *Runner) tryDuty(ctx context.Context, p Place, d *claim.Duty, timeout time.Duration) bool {
+func (r *Runner) tryDuty(ctx context.Context, p Ref, d *claim.FollowUp, timeout time.Duration) bool {
 	end := wallNow() + timeout
 	var ev claim.Event = claim.Begin{}
 	for range maxSteps {
@@ -53,7 +53,7 @@
 				r.log.Error("outcome not in the table", zap.String("row", p.Row))
 			}
 			return true
-		case claim.Later:
+		case claim.RetryLater:
 			return false
 		}
 		left := end - wallNow()
@@ -72,7 +72,7 @@
 }
 
 // postpone registers a duty that is completed after the answer.
-func (r *Runner) postpone(p Place, d claim.Duty) *retryTask {
+func (r *Runner) postpone(p Ref, d claim.FollowUp) *retryTask {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval, policy.MaxInterval = r.cfg.RetryMin, r.cfg.RetryMax
 	policy.Reset()
@@ -116,7 +116,7 @@
 
 // retry tries the task's duty.
 func (r *Runner) retry(c *retryTask) {
-	if !r.breakerAllows() || !r.tryDuty(context.Background(), c.place, &c.duty, maxSteps*r.cfg.Claim.OpWait) {
+	if !r.breakerAllows() || !r.tryDuty(context.Background(), c.place, &c.duty, maxSteps*r.cfg.Claim.OpTimeout) {
 		r.scheduleRetry(c)
 		return
 	}
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -147,7 +147,7 @@
 	}
 	var rs []*Runner
 	for range n {
-		rs = append(rs, New(OwnRows{tab}, pool, DefaultConfig(), zap.NewNop(), tally.NoopScope))
+		rs = append(rs, New(SingleRows{tab}, pool, DefaultConfig(), zap.NewNop(), tally.NoopScope))
 	}
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/claims/result.go
+++ b/internal/claims/result.go
@@ -17,9 +17,9 @@
 	// Body is the digest of the complete body. A streamed body must be read to its
 	// end first: with the digest of a prefix, a different request would get this
 	// one's answer.
-	Body     claim.Digest
-	Deadline time.Time     // when the caller stops waiting
-	Remember time.Duration // how long the outcome is kept; 0: claim.Config.Remember
+	Body      claim.Digest
+	Deadline  time.Time     // when the caller stops waiting
+	Retention time.Duration // how long the outcome is kept; 0: claim.Config.Remember
 }
 
 // Result is the result of a call. If Err is nil, the call has a complete answer:
@@ -28,16 +28,16 @@
 	Outcome claim.Outcome
 	Err     *status.Error
 	Origin  claim.Origin
-	// NotRunHere means that this call ran nothing. It is weaker than an
+	// NotRunByCall means that this call ran nothing. It is weaker than an
 	// Outcome.Kind of request.Refused, which covers all calls under the key.
-	NotRunHere bool
+	NotRunByCall bool
 }
 
 // Answered returns the Result of a run with a complete answer. body is copied.
 func Answered(httpStatus int, contentType string, body []byte) Result {
 	return Result{Outcome: claim.Outcome{
 		Kind: request.Completed, Status: httpStatus, ContentType: contentType,
-		Body: string(body), Size: int64(len(body)), Sum: claim.Sum(body), Kept: true,
+		Body: string(body), Size: int64(len(body)), Sum: claim.Sum(body), BodyStored: true,
 	}}
 }
 
@@ -66,9 +66,9 @@
 // resultOf converts an answer that does not come from this call's run into a
 // Result.
 func resultOf(a claim.Answer) Result {
-	res := Result{Outcome: a.Outcome, Origin: a.Origin, NotRunHere: a.NotRunHere}
+	res := Result{Outcome: a.Outcome, Origin: a.Origin, NotRunByCall: a.NotRunByCall}
 	code := a.Outcome.Code
-	if code == "" && a.Outcome.Kind == request.Completed && !a.Outcome.Kept {
+	if code == "" && a.Outcome.Kind == request.Completed && !a.Outcome.BodyStored {
 		code = status.CodeAnswerNotKept
 	}
 	if code == "" {
--- a/internal/claims/rows.go
+++ b/internal/claims/rows.go
@@ -9,8 +9,8 @@
 	"peardrift/internal/port"
 )
 
-// Place identifies a claim; Rows decides where it is stored.
-type Place struct {
+// Ref identifies a claim; Rows decides where it is stored.
+type Ref struct {
 	Row string // claim.RowKey
 	Key string // the idempotency key
 }
@@ -23,28 +23,28 @@
 type Rows interface {
 	// Put writes r if the claim is at r.Version-1. It returns claim.Written,
 	// ConditionFailed, NothingWritten, NoRoom or InDoubt.
-	Put(ctx context.Context, p Place, r claim.Row, wait time.Duration) claim.Event
+	Put(ctx context.Context, p Ref, r claim.Row, wait time.Duration) claim.Event
 	// Get returns claim.RowRead, RowUnreadable or ReadFailed. The read is
 	// strongly consistent.
-	Get(ctx context.Context, p Place, wait time.Duration) claim.Event
-	// HeldBack reports whether outcomes at p are written later in a batch, too
+	Get(ctx context.Context, p Ref, wait time.Duration) claim.Event
+	// Deferred reports whether outcomes at p are written later in a batch, too
 	// late for their answers to wait.
-	HeldBack(p Place) bool
+	Deferred(p Ref) bool
 }
 
-// OwnRows stores each claim in a row of its own.
-type OwnRows struct{ Table port.Table }
+// SingleRows stores each claim in a row of its own.
+type SingleRows struct{ Table port.Table }
 
-var _ Rows = OwnRows{}
+var _ Rows = SingleRows{}
 
-// HeldBack implements Rows.
-func (OwnRows) HeldBack(Place) bool { return false }
+// Deferred implements Rows.
+func (SingleRows) Deferred(Ref) bool { return false }
 
 // Put implements Rows.
-func (o OwnRows) Put(ctx context.Context, p Place, r claim.Row, wait time.Duration) claim.Event {
+func (o SingleRows) Put(ctx context.Context, p Ref, r claim.Row, wait time.Duration) claim.Event {
 	value, err := r.Encode()
 	if err != nil {
-		return claim.NothingWritten{}
+		return claim.NotWritten{}
 	}
 	item := port.Item{Key: p.Row, Version: r.Version, Value: value, Token: r.Token}
 	if r.Expires > 0 {
@@ -59,15 +59,15 @@
 	case errors.Is(err, port.ErrConditionFailed):
 		return claim.ConditionFailed{}
 	case errors.Is(err, port.ErrUnavailable):
-		return claim.NothingWritten{}
+		return claim.NotWritten{}
 	default:
 		// Includes errors outside the port's contract: the write may have happened.
-		return claim.InDoubt{}
+		return claim.Ambiguous{}
 	}
 }
 
 // Get implements Rows.
-func (o OwnRows) Get(ctx context.Context, p Place, wait time.Duration) claim.Event {
+func (o SingleRows) Get(ctx context.Context, p Ref, wait time.Duration) claim.Event {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	item, err := o.Table.Get(ctx, p.Row)
--- a/internal/claims/runner.go
+++ b/internal/claims/runner.go
@@ -59,10 +59,10 @@
 
 func (r *Runner) call(ctx context.Context, req Request, run func(context.Context) Result) Result {
 	if err := claim.CheckKey(req.Key); err != nil {
-		return Result{Err: err, Outcome: claim.Outcome{Kind: err.Outcome, Code: err.Code}, NotRunHere: true}
+		return Result{Err: err, Outcome: claim.Outcome{Kind: err.Outcome, Code: err.Code}, NotRunByCall: true}
 	}
 	if err := r.enter(); err != nil {
-		return resultOf(claim.Answer{Outcome: claim.Outcome{Code: err.Code}, RetryAfter: err.RetryAfter, NotRunHere: true})
+		return resultOf(claim.Answer{Outcome: claim.Outcome{Code: err.Code}, RetryAfter: err.RetryAfter, NotRunByCall: true})
 	}
 	defer r.work.Done()
 	c := &call{runner: r, place: placeOf(req), slot: true}
@@ -75,15 +75,15 @@
 // with its outcome corrected for earlier calls under the key, or the outcome of
 // such a call. It costs one read and runs nothing.
 func (r *Runner) Explain(ctx context.Context, req Request, refusal *status.Error) Result {
-	unknown := claim.Answer{Outcome: claim.Outcome{Code: refusal.Code}, RetryAfter: refusal.RetryAfter, NotRunHere: true}
+	unknown := claim.Answer{Outcome: claim.Outcome{Code: refusal.Code}, RetryAfter: refusal.RetryAfter, NotRunByCall: true}
 	if err := r.enter(); err != nil {
 		return resultOf(unknown)
 	}
 	defer r.work.Done()
 	c := &call{runner: r, place: placeOf(req), slot: true}
 	defer c.freeSlot()
-	req.Deadline = time.Now().Add(r.cfg.ExplainWait)
-	attempt := claim.NewLook(r.cfg.Claim, requestOf(req), refusal)
+	req.Deadline = time.Now().Add(r.cfg.ExplainTimeout)
+	attempt := claim.NewReadOnly(r.cfg.Claim, requestOf(req), refusal)
 	return c.drive(ctx, &attempt, nil)
 }
 
@@ -112,7 +112,7 @@
 // call is a Do or Explain in progress.
 type call struct {
 	runner *Runner
-	place  Place
+	place  Ref
 	slot   bool
 }
 
@@ -129,7 +129,7 @@
 	var ev claim.Event = claim.Begin{}
 	for {
 		if ctx.Err() != nil {
-			attempt.Step(wallNow(), claim.CallerGone{})
+			attempt.Step(wallNow(), claim.CallerCanceled{})
 		}
 		switch act := attempt.Step(wallNow(), ev).(type) {
 		case claim.Run:
@@ -138,30 +138,30 @@
 			ev = ran.event()
 		case claim.Answer:
 			c.freeSlot()
-			c.runner.handleDuty(ctx, c.place, act.Duty)
+			c.runner.handleDuty(ctx, c.place, act.FollowUp)
 			if act.Origin != claim.FromRun {
 				return resultOf(act)
 			}
-			ran.Origin, ran.NotRunHere = act.Origin, act.NotRunHere
+			ran.Origin, ran.NotRunByCall = act.Origin, act.NotRunByCall
 			return ran
 		default:
-			ev = c.runner.execute(ctx, c.place, act, c.runner.cfg.Claim.OpWait)
+			ev = c.runner.execute(ctx, c.place, act, c.runner.cfg.Claim.OpTimeout)
 		}
 	}
 }
 
-func placeOf(req Request) Place {
-	return Place{Row: claim.RowKey(req.Scope, req.Key), Key: req.Key}
+func placeOf(req Request) Ref {
+	return Ref{Row: claim.RowKey(req.Scope, req.Key), Key: req.Key}
 }
 
 func requestOf(req Request) claim.Request {
 	keyTime, _ := claim.KeyTime(req.Key)
 	return claim.Request{
-		Token:    uuid.NewString(),
-		Print:    claim.Fingerprint(req.Method, req.Path, req.Body),
-		Deadline: time.Duration(req.Deadline.UnixNano()),
-		KeyTime:  keyTime,
-		Remember: req.Remember,
+		Token:       uuid.NewString(),
+		Fingerprint: claim.Fingerprint(req.Method, req.Path, req.Body),
+		Deadline:    time.Duration(req.Deadline.UnixNano()),
+		KeyTime:     keyTime,
+		Retention:   req.Retention,
 	}
 }
 
--- a/internal/claims/runner_test.go
+++ b/internal/claims/runner_test.go
@@ -115,7 +115,7 @@
 		res := ns[0].Do(t.Context(), payout("k"), tgt.pay)
 		is.Equal(code(res), status.CodePlatformDown)
 		is.Equal(res.Outcome.Kind, request.Unknown)
-		is.True(res.NotRunHere)
+		is.True(res.NotRunByCall)
 		time.Sleep(10 * time.Minute)
 		tab.setFaults(nil)
 		is.Equal(code(ns[1].Do(t.Context(), payout("k"), tgt.pay)), status.CodeOutcomeUnknown)
@@ -142,7 +142,7 @@
 		is.Equal(code(n.Do(t.Context(), payout("more-than-fit"), tgt.pay)), status.CodePlatformDown)
 		is.Equal(time.Since(start), time.Duration(0))
 		wg.Wait()
-		is.True(time.Since(start) <= DefaultConfig().Claim.ClaimWait+latency)
+		is.True(time.Since(start) <= DefaultConfig().Claim.ClaimTimeout+latency)
 
 		start, waited := time.Now(), 0
 		ops := tab.ops
@@ -157,7 +157,7 @@
 		is.True(waited <= 15) // only the probes, of about 6000 calls
 		t.Logf("%d calls waited, %d operations in a minute of outage", waited, tab.ops-ops)
 		tab.setFaults(nil)
-		time.Sleep(DefaultConfig().Breaker.ProbeMax)
+		time.Sleep(DefaultConfig().Breaker.MaxProbeInterval)
 		is.Equal(code(n.Do(t.Context(), payout("after-it"), tgt.pay)), status.Code(""))
 		is.Equal(tgt.runs.Load(), int32(1))
 	})
@@ -199,7 +199,7 @@
 				ns, tgt := newRunners(t, tab, 2), &target{}
 				res := ns[0].Do(t.Context(), payout("k"), tgt.shed)
 				is.Equal(res.Err.Outcome, request.Refused)
-				is.True(res.NotRunHere)
+				is.True(res.NotRunByCall)
 				time.Sleep(time.Minute)
 				is.Equal(code(ns[1].Do(t.Context(), payout("k"), tgt.pay)), status.Code(""))
 				is.Equal(tgt.runs.Load(), int32(1))
@@ -209,7 +209,7 @@
 }
 
 func TestOutcomesAreRecorded(t *testing.T) {
-	big := strings.Repeat("x", claim.DefaultConfig().MaxKept+1)
+	big := strings.Repeat("x", claim.DefaultConfig().MaxStoredBody+1)
 	for name, c := range map[string]struct {
 		run  func(context.Context) Result
 		code status.Code
@@ -320,7 +320,7 @@
 // BenchmarkDo measures the node's own cost of a call with a claim; the table
 // answers immediately.
 func BenchmarkDo(b *testing.B) {
-	n := New(OwnRows{instantTable{newTable()}}, nil, DefaultConfig(), zap.NewNop(), tally.NoopScope)
+	n := New(SingleRows{instantTable{newTable()}}, nil, DefaultConfig(), zap.NewNop(), tally.NoopScope)
 	body := make([]byte, 1<<10)
 	run := func(context.Context) Result { return Answered(201, "text/plain", body) }
 	req := payout("")
--- a/internal/claims/shared/batcher.go
+++ b/internal/claims/sharedrows/batcher.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
@@ -50,11 +50,11 @@
 		b.stats.refused(code)
 		return Answer{Code: code}
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(op.Wait, b.cfg.MaxWait))
+	ctx, cancel := context.WithTimeout(ctx, min(op.Timeout, b.cfg.MaxWait))
 	defer cancel()
 	select {
 	case r := <-reply:
-		if !op.Look {
+		if !op.ReadOnly {
 			return Answer{Result: r.Result}
 		}
 		return Answer{Result: r.Result, Version: r.Current.Version, Token: r.Current.Token, Value: r.Current.Value}
@@ -77,7 +77,7 @@
 	ch := make(chan batch.Reply, 1)
 	b.waiting[b.nextID] = ch
 	bop := op.toBatchOp()
-	bop.ID, bop.Until = b.nextID, wallNow()+min(op.Wait, b.cfg.MaxWait)
+	bop.ID, bop.Deadline = b.nextID, wallNow()+min(op.Timeout, b.cfg.MaxWait)
 	b.execute(b.core.Submit(wallNow(), bop))
 	return ch, ""
 }
@@ -96,7 +96,7 @@
 		for _, a := range acts {
 			switch a := a.(type) {
 			case batch.Write:
-				more = append(more, b.start(a.Row, func() { b.write(a) }, b.core.NothingWritten)...)
+				more = append(more, b.start(a.Row, func() { b.write(a) }, b.core.NotWritten)...)
 			case batch.Read:
 				more = append(more, b.start(a.Row, func() { b.read(a.Row) }, b.core.ReadFailed)...)
 			case batch.Reply:
@@ -150,14 +150,14 @@
 func (b *Batcher) write(w batch.Write) {
 	value, err := batch.Encode(w.Entries)
 	if err != nil {
-		b.report(w.Row, b.core.NothingWritten)
+		b.report(w.Row, b.core.NotWritten)
 		return
 	}
 	item := port.Item{Key: w.Row, Version: w.Version, Value: value}
 	if w.Expires > 0 {
 		item.Expires = time.Unix(0, int64(w.Expires))
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), b.cfg.TableWait)
+	ctx, cancel := context.WithTimeout(context.Background(), b.cfg.TableTimeout)
 	defer cancel()
 	err = b.table.Put(ctx, port.Put{Item: item, IfVersion: w.Version - 1})
 	switch {
@@ -169,15 +169,15 @@
 		b.report(w.Row, b.core.ConditionFailed)
 	case errors.Is(err, port.ErrUnavailable):
 		b.stats.table("put", "unavailable")
-		b.report(w.Row, b.core.NothingWritten)
+		b.report(w.Row, b.core.NotWritten)
 	default:
 		b.stats.table("put", "ambiguous")
-		b.report(w.Row, b.core.InDoubt)
+		b.report(w.Row, b.core.Ambiguous)
 	}
 }
 
 func (b *Batcher) read(row string) {
-	ctx, cancel := context.WithTimeout(context.Background(), b.cfg.TableWait)
+	ctx, cancel := context.WithTimeout(context.Background(), b.cfg.TableTimeout)
 	defer cancel()
 	version, entries, err := readRow(ctx, b.table, row)
 	if err != nil {
@@ -210,7 +210,7 @@
 func (b *Batcher) Close(ctx context.Context) error {
 	b.mu.Lock()
 	b.closed = true
-	b.execute(b.core.Hurry(wallNow()))
+	b.execute(b.core.FlushAll(wallNow()))
 	if len(b.waiting) == 0 {
 		b.signalIdle()
 	}
--- a/internal/claims/shared/config.go
+++ b/internal/claims/sharedrows/config.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"time"
@@ -20,27 +20,27 @@
 	// MaxWait bounds how long a caller waits for an op in the Batcher. Default
 	// 1 s. It must exceed batch.Config.LazyWait.
 	MaxWait time.Duration
-	// TableWait bounds one operation at the platform's table. Default 100 ms.
+	// TableTimeout bounds one operation at the platform's table. Default 100 ms.
 	// Raising it tolerates slower writes, which delay the row's other ops;
 	// lowering it makes more writes ambiguous, which costs a read each.
-	TableWait time.Duration
-	// SecondWait is the part of an op's timeout reserved for the row's next node
+	TableTimeout time.Duration
+	// FallbackTimeout is the part of an op's timeout reserved for the row's next node
 	// if the first one does not answer. Default 60 ms. Raising it leaves less for
 	// the first node; it must exceed a write at the platform plus the latency
 	// between nodes.
-	SecondWait time.Duration
-	// AnswerWait is the part of an op's timeout reserved for the round trip to the
+	FallbackTimeout time.Duration
+	// RoundTripBudget is the part of an op's timeout reserved for the round trip to the
 	// row's node. Default 10 ms. Raising it leaves less for that node's write;
 	// lowering it treats slow answers as lost.
-	AnswerWait time.Duration
-	// AvoidFor is how long a failed node is skipped. Default 2 s. Raising it
+	RoundTripBudget time.Duration
+	// AvoidDuration is how long a failed node is skipped. Default 2 s. Raising it
 	// retries such a node less often; lowering it lets the node batch again
 	// sooner.
-	AvoidFor time.Duration
-	// RefreshEvery is the age at which the layouts are reread. Default 10 min. It
+	AvoidDuration time.Duration
+	// RefreshInterval is the age at which the layouts are reread. Default 10 min. It
 	// must stay below batch.Lead - batch.Margin - claim.Config.Ahead; lowering it
 	// costs the platform more reads from every node.
-	RefreshEvery time.Duration
+	RefreshInterval time.Duration
 }
 
 // DefaultConfig returns the defaults documented at each field.
@@ -48,8 +48,8 @@
 	return Config{
 		Batch:  batch.DefaultConfig(),
 		MaxOps: 4096, MaxRows: 128, MaxWait: time.Second,
-		TableWait: 100 * time.Millisecond, SecondWait: 60 * time.Millisecond,
-		AnswerWait: 10 * time.Millisecond,
-		AvoidFor:   2 * time.Second, RefreshEvery: 10 * time.Minute,
+		TableTimeout: 100 * time.Millisecond, FallbackTimeout: 60 * time.Millisecond,
+		RoundTripBudget: 10 * time.Millisecond,
+		AvoidDuration:   2 * time.Second, RefreshInterval: 10 * time.Minute,
 	}
 }
--- a/internal/claims/shared/doc.go
+++ b/internal/claims/sharedrows/doc.go
@@ -29,4 +29,4 @@
 // # Concurrency
 //
 // All methods may be called from any goroutine.
-package shared
+package sharedrows
--- a/internal/claims/shared/fake_test.go
+++ b/internal/claims/sharedrows/fake_test.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
@@ -119,7 +119,7 @@
 	if _, err := Announce(t.Context(), f.table, cfg.Batch); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(batch.Lead)
+	time.Sleep(batch.AnnounceLead)
 	f.addNodes(n, cfg)
 	return f
 }
@@ -163,7 +163,7 @@
 
 // batchingNode returns the node that batches a payout's row, and one that does not.
 func (f *fleet) batchingNode(req claims.Request) (batching, calling int) {
-	slot, ok, err := f.rows[0].slot(f.t.Context(), claims.Place{Row: claim.RowKey(req.Scope, req.Key), Key: req.Key})
+	slot, ok, err := f.rows[0].slot(f.t.Context(), claims.Ref{Row: claim.RowKey(req.Scope, req.Key), Key: req.Key})
 	if err != nil || !ok {
 		f.t.Fatal("not a shared key", err)
 	}
@@ -171,7 +171,7 @@
 	for i := range ids {
 		ids[i] = uint64(i)
 	}
-	batching = batch.Pick(slot.Row, ids, nil)
+	batching = batch.PickNode(slot.Row, ids, nil)
 	return batching, (batching + 1) % len(f.rows)
 }
 
@@ -224,6 +224,6 @@
 		if r.Float64() >= odds {
 			return porttest.None
 		}
-		return porttest.Fault(1 + r.IntN(int(porttest.Late)))
+		return porttest.Fault(1 + r.IntN(int(porttest.Delayed)))
 	}
 }
--- a/internal/claims/shared/layouts.go
+++ b/internal/claims/sharedrows/layouts.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
--- a/internal/claims/shared/layouts_test.go
+++ b/internal/claims/sharedrows/layouts_test.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"testing"
@@ -83,14 +83,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, DefaultConfig())
-		p := claims.Place{Row: "row", Key: payout().Key}
+		p := claims.Ref{Row: "row", Key: payout().Key}
 		for range 3600 {
-			_, _, err := f.rows[0].slot(t.Context(), claims.Place{Row: "row", Key: payout().Key})
+			_, _, err := f.rows[0].slot(t.Context(), claims.Ref{Row: "row", Key: payout().Key})
 			is.NoErr(err)
 			time.Sleep(time.Second)
 		}
 		is.True(f.table.Count(porttest.OpGet) <= 8) // announcement, first, each 10 min
-		is.True(f.rows[0].HeldBack(p))
-		is.True(!f.rows[0].HeldBack(claims.Place{Row: "row", Key: "undated"}))
+		is.True(f.rows[0].Deferred(p))
+		is.True(!f.rows[0].Deferred(claims.Ref{Row: "row", Key: "undated"}))
 	})
 }
--- a/internal/claims/shared/op.go
+++ b/internal/claims/sharedrows/op.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 
 // Op is a batch.Op as sent to the node that batches its row.
 type Op struct {
-	Row       string
-	Start     time.Duration
-	Key       string
-	IfVersion int64
-	Token     string
-	Value     []byte
-	Expires   time.Duration
-	Lazy      bool
-	Look      bool          // read-only: returns the entry
-	Wait      time.Duration // how long its sender waits for the answer
+	Row        string
+	Start      time.Duration
+	Key        string
+	IfVersion  int64
+	Token      string
+	Value      []byte
+	Expires    time.Duration
+	Deferrable bool
+	ReadOnly   bool          // read-only: returns the entry
+	Timeout    time.Duration // how long its sender waits for the answer
 }
 
 // Answer is the result of an Op.
@@ -58,8 +58,8 @@
 	switch {
 	case o.Row == "" || len(o.Row) > maxRowName,
 		len(o.Key) != batch.EntryKeySize,
-		o.Token == "" && !o.Look || len(o.Token) > maxToken,
-		len(o.Value) > cfg.Reserve,
+		o.Token == "" && !o.ReadOnly || len(o.Token) > maxToken,
+		len(o.Value) > cfg.ReservedValueSize,
 		o.IfVersion < 0:
 		return status.New(status.CodeMalformed, "a claim op is out of bounds")
 	}
@@ -68,7 +68,7 @@
 
 func (o *Op) toBatchOp() batch.Op {
 	return batch.Op{
-		Slot: batch.Slot{Row: o.Row, Start: o.Start}, Key: o.Key, IfVersion: o.IfVersion, Lazy: o.Lazy, Look: o.Look,
+		Slot: batch.Slot{Row: o.Row, Start: o.Start}, Key: o.Key, IfVersion: o.IfVersion, Deferrable: o.Deferrable, ReadOnly: o.ReadOnly,
 		Entry: batch.Entry{Version: o.IfVersion + 1, Token: o.Token, Value: o.Value, Expires: o.Expires},
 	}
 }
--- a/internal/claims/shared/recover_test.go
+++ b/internal/claims/sharedrows/recover_test.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"sync/atomic"
@@ -45,7 +45,7 @@
 			f.gets.setRate(1000, 300*time.Millisecond)
 		},
 		"answers lost": func(f *fleet) {
-			f.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.LostAnswer })
+			f.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.LostResponse })
 		},
 		"down": func(f *fleet) {
 			f.table.SetScript(func(porttest.Op, string) porttest.Fault { return porttest.Unavailable })
--- a/internal/claims/shared/rows.go
+++ b/internal/claims/sharedrows/rows.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 // layouts, and all other claims in rows of their own.
 type Rows struct {
 	cfg     Config
-	ownRows claims.OwnRows
+	ownRows claims.SingleRows
 	layouts *layouts
 	*Sender
 }
@@ -28,8 +28,8 @@
 func New(table port.Table, peers Peers, self uint64, pool Pool, cfg Config, scope tally.Scope) *Rows {
 	st := stats{scope.SubScope("claims")}
 	return &Rows{
-		cfg: cfg, ownRows: claims.OwnRows{Table: table},
-		layouts: newLayouts(table, pool, cfg.RefreshEvery),
+		cfg: cfg, ownRows: claims.SingleRows{Table: table},
+		layouts: newLayouts(table, pool, cfg.RefreshInterval),
 		Sender: &Sender{
 			cfg: cfg, self: self, batcher: newBatcher(table, pool, cfg, st), peers: peers, stats: st,
 			avoidUntil: make(map[uint64]time.Time), misses: make(map[uint64]int), retryTokens: maxTokens,
@@ -39,7 +39,7 @@
 
 // slot returns the shared row of a claim; ok is false if the claim has a row of
 // its own.
-func (r *Rows) slot(ctx context.Context, p claims.Place) (s batch.Slot, ok bool, err error) {
+func (r *Rows) slot(ctx context.Context, p claims.Ref) (s batch.Slot, ok bool, err error) {
 	t, dated := claim.KeyTime(p.Key)
 	if !dated {
 		return batch.Slot{}, false, nil
@@ -52,8 +52,8 @@
 	return s, ok, nil
 }
 
-// HeldBack implements claims.Rows.
-func (r *Rows) HeldBack(p claims.Place) bool {
+// Deferred implements claims.Rows.
+func (r *Rows) Deferred(p claims.Ref) bool {
 	t, dated := claim.KeyTime(p.Key)
 	if !dated {
 		return false
@@ -64,13 +64,13 @@
 }
 
 // Put implements claims.Rows.
-func (r *Rows) Put(ctx context.Context, p claims.Place, row claim.Row, wait time.Duration) claim.Event {
+func (r *Rows) Put(ctx context.Context, p claims.Ref, row claim.Row, wait time.Duration) claim.Event {
 	end := time.Now().Add(wait)
 	lookupCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	slot, ok, err := r.slot(lookupCtx, p)
 	if err != nil {
-		return claim.NothingWritten{}
+		return claim.NotWritten{}
 	}
 	wait = time.Until(end)
 	if !ok {
@@ -78,15 +78,15 @@
 	}
 	value, err := withoutBody(row).Encode()
 	if err != nil {
-		return claim.NothingWritten{}
+		return claim.NotWritten{}
 	}
 	op := Op{
 		Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(p.Row), IfVersion: row.Version - 1,
-		Token: packToken(row.Token), Value: value, Expires: row.Expires, Lazy: row.State == claim.Done,
+		Token: packToken(row.Token), Value: value, Expires: row.Expires, Deferrable: row.State == claim.Done,
 	}
-	wait += r.cfg.Batch.Pace // the row may just have been written
-	if op.Lazy {
-		wait += r.cfg.Batch.LazyWait
+	wait += r.cfg.Batch.MinWriteInterval // the row may just have been written
+	if op.Deferrable {
+		wait += r.cfg.Batch.DeferDelay
 	}
 	switch r.Submit(ctx, op, wait).Result {
 	case batch.OK:
@@ -94,17 +94,17 @@
 	case batch.ConditionFailed:
 		return claim.ConditionFailed{}
 	case batch.Unavailable:
-		return claim.NothingWritten{}
+		return claim.NotWritten{}
 	case batch.Full:
 		return claim.NoRoom{}
 	default:
-		return claim.InDoubt{}
+		return claim.Ambiguous{}
 	}
 }
 
 // Get implements claims.Rows. The row's node serves concurrent callers with one
 // read, so that calls which failed together do not each cost the platform a read.
-func (r *Rows) Get(ctx context.Context, p claims.Place, wait time.Duration) claim.Event {
+func (r *Rows) Get(ctx context.Context, p claims.Ref, wait time.Duration) claim.Event {
 	end := time.Now().Add(wait)
 	lookupCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -116,8 +116,8 @@
 	if !ok {
 		return r.ownRows.Get(ctx, p, wait)
 	}
-	op := Op{Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(p.Row), Look: true}
-	return lookEvent(r.Submit(ctx, op, wait+r.cfg.Batch.Pace))
+	op := Op{Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(p.Row), ReadOnly: true}
+	return lookEvent(r.Submit(ctx, op, wait+r.cfg.Batch.MinWriteInterval))
 }
 
 // lookEvent converts the answer to a Look into an event.
@@ -144,7 +144,7 @@
 func withoutBody(row claim.Row) claim.Row {
 	row.Outcome = row.Outcome.Trim(0)
 	if len(row.Outcome.ContentType) > maxContentTypeLen {
-		row.Outcome.ContentType, row.Outcome.Kept = "", false
+		row.Outcome.ContentType, row.Outcome.BodyStored = "", false
 	}
 	return row
 }
--- a/internal/claims/shared/sender.go
+++ b/internal/claims/sharedrows/sender.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
@@ -54,12 +54,12 @@
 	if !ok {
 		return s.submitLocal(ctx, op, wait)
 	}
-	ans, known := s.send(ctx, to, op, wait-s.cfg.SecondWait)
+	ans, known := s.send(ctx, to, op, wait-s.cfg.FallbackTimeout)
 	if known && ans.Result != batch.Unavailable {
 		s.answered(to.ID)
 		return ans
 	}
-	late := time.Since(start) > (wait-s.cfg.SecondWait)/2
+	late := time.Since(start) > (wait-s.cfg.FallbackTimeout)/2
 	switch {
 	case !known && late:
 		s.missed(to.ID)
@@ -104,14 +104,14 @@
 }
 
 func (s *Sender) submitLocal(ctx context.Context, op Op, wait time.Duration) Answer {
-	op.Wait = wait
+	op.Timeout = wait
 	return s.batcher.Submit(ctx, &op)
 }
 
 // send sends an op to another node; known is false if its answer is lost.
 func (s *Sender) send(ctx context.Context, to Member, op Op, wait time.Duration) (ans Answer, known bool) {
-	op.Wait = wait - s.cfg.AnswerWait
-	if op.Wait <= 0 {
+	op.Timeout = wait - s.cfg.RoundTripBudget
+	if op.Timeout <= 0 {
 		return Answer{Result: batch.Unavailable}, true // not sent
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -187,7 +187,7 @@
 		return Member{}, false
 	}
 	avoided := s.avoided()
-	i := batch.Pick(row, ms.ids, func(i int) bool {
+	i := batch.PickNode(row, ms.ids, func(i int) bool {
 		return avoided[ms.ids[i]] || ms.ids[i] == failed && failed != s.self
 	})
 	if i < 0 || ms.ids[i] == s.self {
@@ -205,7 +205,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.avoidUntil) < maxAvoided {
-		s.avoidUntil[id] = time.Now().Add(s.cfg.AvoidFor)
+		s.avoidUntil[id] = time.Now().Add(s.cfg.AvoidDuration)
 	}
 }
 
--- a/internal/claims/shared/shared_test.go
+++ b/internal/claims/sharedrows/shared_test.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"context"
@@ -98,7 +98,7 @@
 				}
 				start := time.Now()
 				is.Equal(code(f.nodes[calling].Do(t.Context(), req, tgt.pay)), status.Code(""))
-				is.True(time.Since(start) < 100*time.Millisecond+claims.DefaultConfig().Claim.ClaimWait)
+				is.True(time.Since(start) < 100*time.Millisecond+claims.DefaultConfig().Claim.ClaimTimeout)
 				time.Sleep(10 * time.Second)
 				for _, n := range f.nodes {
 					is.Equal(code(n.Do(t.Context(), repeat(req), tgt.pay)), status.CodeAnswerNotKept)
@@ -184,7 +184,7 @@
 		res := f.nodes[calling].Do(t.Context(), repeat(req), tgt.pay)
 		is.Equal(code(res), status.CodePlatformDown)
 		is.Equal(res.Outcome.Kind, request.Unknown)
-		is.True(res.NotRunHere)
+		is.True(res.NotRunByCall)
 		f.table.SetScript(nil)
 		is.Equal(code(f.nodes[calling].Do(t.Context(), repeat(req), tgt.pay)), status.CodeAnswerNotKept)
 		is.Equal(tgt.runs.Load(), int32(1))
@@ -199,7 +199,7 @@
 		is := is.New(t)
 		f := newFleet(t, 1, DefaultConfig())
 		lazy := func(row string) *Op {
-			return &Op{Row: row, Key: "0123456789abcdef", Token: "t", Lazy: true, Wait: time.Second}
+			return &Op{Row: row, Key: "0123456789abcdef", Token: "t", Deferrable: true, Timeout: time.Second}
 		}
 		got := make(chan Answer, 2)
 		r, idle := f.rows[0], newBatcher(slowTable{f.table, nil, nil}, f.rows[0].layouts.pool, DefaultConfig(), f.rows[0].stats)
@@ -228,10 +228,10 @@
 		cfg.Batch.MaxRow = 700 // room for two claims
 		f := newFleet(t, 1, cfg)
 		op := func(row, key string) *Op {
-			return &Op{Row: row, Start: wallNow(), Key: key + "23456789abcdef", Token: "t", Wait: time.Second}
+			return &Op{Row: row, Start: wallNow(), Key: key + "23456789abcdef", Token: "t", Timeout: time.Second}
 		}
 		large := op("a", "01")
-		large.Value = make([]byte, cfg.Batch.Reserve+1)
+		large.Value = make([]byte, cfg.Batch.ReservedValueSize+1)
 		is.Equal(f.rows[0].Serve(t.Context(), large), Answer{Code: status.CodeMalformed})
 		var wg sync.WaitGroup
 		wg.Go(func() { is.Equal(f.rows[0].Serve(t.Context(), op("a", "01")), Answer{Result: batch.OK}) })
@@ -254,12 +254,12 @@
 		Version: 1 << 40, State: claim.Done, Since: wallNow(), Until: wallNow(), Expires: wallNow(),
 		Outcome: claim.Outcome{
 			Kind: request.Failed, Code: status.CodeSuspect, Status: 599, ContentType: string(long),
-			Body: string(long), Size: 1 << 60, Kept: true,
+			Body: string(long), Size: 1 << 60, BodyStored: true,
 		},
 	}
 	value, err := withoutBody(row).Encode()
 	is.NoErr(err)
-	is.True(len(value) <= DefaultConfig().Batch.Reserve)
+	is.True(len(value) <= DefaultConfig().Batch.ReservedValueSize)
 	id := "0191d7a2-3c4d-7e5f-8a9b-0c1d2e3f4a5b"
 	is.Equal(len(packToken(id)), 16)
 	is.Equal(unpackToken(packToken(id)), id)
--- a/internal/claims/shared/stats.go
+++ b/internal/claims/sharedrows/stats.go
@@ -1,4 +1,4 @@
-package shared
+package sharedrows
 
 import (
 	"github.com/uber-go/tally/v4"
--- a/internal/claims/stats.go
+++ b/internal/claims/stats.go
@@ -26,7 +26,7 @@
 	switch {
 	case res.Err != nil:
 		result = string(res.Err.Code)
-	case res.NotRunHere:
+	case res.NotRunByCall:
 		result = "repeated"
 	}
 	s.scope.Tagged(map[string]string{"result": result}).Counter("calls").Inc(1)
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -14,7 +14,7 @@
 
 // execute carries out a Write or Read and returns its event. The operation is not
 // cancelled with the caller, because an interrupted write would be ambiguous.
-func (r *Runner) execute(ctx context.Context, p Place, act claim.Action, timeout time.Duration) claim.Event {
+func (r *Runner) execute(ctx context.Context, p Ref, act claim.Action, timeout time.Duration) claim.Event {
 	ctx = context.WithoutCancel(ctx)
 	switch act := act.(type) {
 	case claim.Write:
@@ -52,7 +52,7 @@
 		return "condition_failed", true
 	case claim.NoRoom:
 		return "no_room", true
-	case claim.NothingWritten, claim.ReadFailed:
+	case claim.NotWritten, claim.ReadFailed:
 		return "unavailable", false
 	default:
 		return "ambiguous", false
--- a/internal/cli/claims.go
+++ b/internal/cli/claims.go
@@ -4,7 +4,7 @@
 	"io"
 	"time"
 
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 	"peardrift/internal/core/claim/batch"
 )
 
@@ -24,7 +24,7 @@
 		return err
 	}
 	defer done()
-	l, err := shared.Announce(c.ctx, store.Table(), batch.DefaultConfig())
+	l, err := sharedrows.Announce(c.ctx, store.Table(), batch.DefaultConfig())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -137,7 +137,7 @@
 	switch status.CodeOf(err) {
 	case status.CodeInvalidSettings:
 		return ExitUsage
-	case status.CodeInvalidSet, apply.CodeShares:
+	case status.CodeInvalidSet, apply.CodeSharesExceeded:
 		return ExitInvalidSet
 	case status.CodeConflict:
 		return ExitConflict
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -73,7 +73,7 @@
 	return Run(context.Background(), args, Env{
 		Stdout: &b.out, Stderr: &b.err, Nodes: b.nodes,
 		Open: func(settings.Platform) (*apply.Store, func(), error) {
-			cfg := apply.Config{Attempts: 2, Pause: time.Nanosecond, MaxPause: time.Nanosecond}
+			cfg := apply.Config{Attempts: 2, InitialDelay: time.Nanosecond, MaxDelay: time.Nanosecond}
 			return apply.New(b.table, b.objects, cfg), func() {}, nil
 		},
 	})
@@ -175,7 +175,7 @@
 	b := newBench(t)
 	b.table.SetScript(func(op porttest.Op, _ string) porttest.Fault {
 		if op == porttest.OpPut {
-			return porttest.LostAnswer
+			return porttest.LostResponse
 		}
 		return porttest.None
 	})
@@ -184,7 +184,7 @@
 	var first, again claimLayout
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &first))
 	ahead := time.Until(first.From)
-	is.True(ahead > batch.Lead-time.Minute && ahead <= batch.Lead)
+	is.True(ahead > batch.AnnounceLead-time.Minute && ahead <= batch.AnnounceLead)
 	is.Equal(b.run("--output", "json", "share-claims"), ExitOK)
 	is.NoErr(json.Unmarshal(b.out.Bytes(), &again))
 	is.Equal(again, first) // once and for all
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -6,7 +6,7 @@
 	"os"
 	"strings"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/status"
 )
 
@@ -24,7 +24,7 @@
 
 // Execute implements flags.Commander.
 func (c *keyCommand) Execute([]string) error {
-	r := keyRecord{Key: confset.NewKey()}
+	r := keyRecord{Key: configset.NewKey()}
 	key := r.Key
 	if c.Digest {
 		line, err := bufio.NewReader(os.Stdin).ReadString('\n')
@@ -33,7 +33,7 @@
 		}
 		r.Key = ""
 	}
-	r.Digest = confset.DigestKey([]byte(key)).String()
+	r.Digest = configset.DigestKey([]byte(key)).String()
 	return c.app.show(r, func(w io.Writer) {
 		if r.Key != "" {
 			c.app.printf(w, "key     %s\n", r.Key)
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -70,7 +70,7 @@
 func failureOf(err error) failure {
 	f := failure{Code: status.CodeOf(err), Detail: err.Error(), Exit: exitOf(err)}
 	errors.As(err, &f.Problems)
-	var c *apply.Conflict
+	var c *apply.ConflictError
 	if errors.As(err, &c) {
 		f.Conflict = &conflict{Tenant: c.Tenant, Base: c.Base, Current: c.Current}
 	}
--- a/internal/cli/show.go
+++ b/internal/cli/show.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/adapter/yamlset"
 	"peardrift/internal/apply"
 	"peardrift/internal/buildinfo"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
 	"peardrift/internal/status"
@@ -192,10 +192,10 @@
 }
 
 type diffResult struct {
-	Tenant      request.Tenant       `json:"tenant"`
-	From        int64                `json:"from"`
-	To          int64                `json:"to,omitempty"` // 0: the given files
-	Differences []confset.Difference `json:"differences"`
+	Tenant      request.Tenant         `json:"tenant"`
+	From        int64                  `json:"from"`
+	To          int64                  `json:"to,omitempty"` // 0: the given files
+	Differences []configset.Difference `json:"differences"`
 }
 
 // Execute implements flags.Commander.
@@ -207,7 +207,7 @@
 	if c.From < 0 || c.To < 0 {
 		return status.New(status.CodeInvalidSettings, "--from and --to must not be negative")
 	}
-	var to confset.Set
+	var to configset.Set
 	var err error
 	if files {
 		if to, err = yamlset.Load(c.Args.Paths...); err != nil {
@@ -233,12 +233,12 @@
 	if err != nil {
 		return err
 	}
-	out := diffResult{Tenant: to.Tenant, From: from.Version, To: to.Version, Differences: confset.Diff(from, to)}
+	out := diffResult{Tenant: to.Tenant, From: from.Version, To: to.Version, Differences: configset.Diff(from, to)}
 	return c.show(out, func(w io.Writer) { c.text(w, out) })
 }
 
 // version fetches an accepted version, 0 for the one in force.
-func (c *diffCommand) version(store *apply.Store, v int64) (confset.Set, error) {
+func (c *diffCommand) version(store *apply.Store, v int64) (configset.Set, error) {
 	tenant := request.Tenant(c.Tenant)
 	var r apply.Record
 	var err error
@@ -248,7 +248,7 @@
 		r, err = store.Version(c.ctx, tenant, v)
 	}
 	if err != nil {
-		return confset.Set{}, err
+		return configset.Set{}, err
 	}
 	return store.Set(c.ctx, r)
 }
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -9,7 +9,7 @@
 	"peardrift/internal/adapter/rpc/adminapi"
 	"peardrift/internal/adapter/yamlset"
 	"peardrift/internal/apply"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/status"
 )
@@ -34,8 +34,8 @@
 	Bytes    int            `json:"bytes"`
 }
 
-func summarize(s confset.Set) (setSummary, error) {
-	body, digest, err := confset.Encode(s)
+func summarize(s configset.Set) (setSummary, error) {
+	body, digest, err := configset.Encode(s)
 	classes := 0
 	for _, svc := range s.Services {
 		classes += len(svc.Classes)
@@ -113,7 +113,7 @@
 	}
 	out := applied{
 		Tenant: set.Tenant, Version: acc.Version, Digest: acc.Digest.String(),
-		Settled: acc.Settled, Unchanged: acc.Unchanged,
+		Settled: acc.AlreadyAccepted, Unchanged: acc.Unchanged,
 		Nodes: c.tell(adminapi.HeadArgs{Tenant: set.Tenant, Version: acc.Version}),
 	}
 	return c.show(out, func(w io.Writer) { c.text(w, out) })
@@ -149,7 +149,7 @@
 
 // explain shows, beside a conflict, who applied what since the base.
 func (c *applyCommand) explain(store *apply.Store, err error) {
-	var conflict *apply.Conflict
+	var conflict *apply.ConflictError
 	if !errors.As(err, &conflict) || c.opts.Output == outputJSON {
 		return
 	}
--- a/internal/core/admission/bench_test.go
+++ b/internal/core/admission/bench_test.go
@@ -40,7 +40,7 @@
 func BenchmarkSaturated(b *testing.B) {
 	const queued, slots = 10_000, 64
 	g := newGate(slots, func(c *Config) {
-		c.QueueLimit, c.MaxWait, c.StandFor = queued, 1000*time.Hour, 1000*time.Hour
+		c.QueueLimit, c.MaxWait, c.StandingDelay = queued, 1000*time.Hour, 1000*time.Hour
 	})
 	var running []Ticket
 	var out []Action
--- a/internal/core/admission/config.go
+++ b/internal/core/admission/config.go
@@ -27,13 +27,13 @@
 	// later and allow a longer queue in overload; with lower values bursts count as
 	// overload.
 	TargetDelay time.Duration
-	// TargetPart raises TargetDelay for slow requests, as a fraction of the mean
+	// TargetDelayFraction raises TargetDelay for slow requests, as a fraction of the mean
 	// service time. Default 0.5. Higher and lower values act as for TargetDelay.
-	TargetPart float64
-	// StandFor is how long the queue delay must stay above its target before the
+	TargetDelayFraction float64
+	// StandingDelay is how long the queue delay must stay above its target before the
 	// level rises. Default 100 ms. Higher values react later; with lower values
 	// bursts count as overload.
-	StandFor time.Duration
+	StandingDelay time.Duration
 	// MinWindow and MaxWindow bound the windows over which demand is measured and
 	// the level set. Defaults 50 ms and 250 ms. Higher values give steadier levels
 	// and react later.
@@ -42,16 +42,16 @@
 	// has passed. Default 32. Higher values give steadier levels for targets with
 	// little traffic.
 	WindowArrivals int
-	// IdleBelow is the utilization of the limit below which a level above 0 is
+	// IdleUtilization is the utilization of the limit below which a level above 0 is
 	// considered to refuse too much. Default 0.85. Higher values recover faster but
 	// oscillate more; lower values do the opposite.
-	IdleBelow float64
-	// SpareBelow is the utilization of the limit, from 0 to below 1, up to which no
+	IdleUtilization float64
+	// SpareUtilization is the utilization of the limit, from 0 to below 1, up to which no
 	// request is refused because of its expected service time. Default 0.5. Above
 	// it, the fraction of that time that must remain until the deadline rises
 	// linearly to 1. Higher values admit more requests that may miss their deadline;
 	// lower values refuse requests while slots are free.
-	SpareBelow float64
+	SpareUtilization float64
 	// RetryAfter is the minimum retry delay sent with a refusal. Default 1 s. It
 	// grows with the ratio of demand to capacity and gets up to 100% jitter. With
 	// higher values refused callers come back later, even after the overload has
@@ -69,20 +69,20 @@
 // DefaultConfig returns the defaults documented on the fields.
 func DefaultConfig() Config {
 	return Config{
-		Slots:          64,
-		QueuePerSlot:   4,
-		MaxWait:        time.Second,
-		TargetDelay:    5 * time.Millisecond,
-		TargetPart:     0.5,
-		StandFor:       100 * time.Millisecond,
-		MinWindow:      50 * time.Millisecond,
-		MaxWindow:      250 * time.Millisecond,
-		WindowArrivals: 32,
-		IdleBelow:      0.85,
-		SpareBelow:     0.5,
-		RetryAfter:     time.Second,
-		MaxRetryAfter:  30 * time.Second,
-		Limit:          limit.DefaultConfig(),
+		Slots:               64,
+		QueuePerSlot:        4,
+		MaxWait:             time.Second,
+		TargetDelay:         5 * time.Millisecond,
+		TargetDelayFraction: 0.5,
+		StandingDelay:       100 * time.Millisecond,
+		MinWindow:           50 * time.Millisecond,
+		MaxWindow:           250 * time.Millisecond,
+		WindowArrivals:      32,
+		IdleUtilization:     0.85,
+		SpareUtilization:    0.5,
+		RetryAfter:          time.Second,
+		MaxRetryAfter:       30 * time.Second,
+		Limit:               limit.DefaultConfig(),
 	}
 }
 
--- a/internal/core/admission/decision.go
+++ b/internal/core/admission/decision.go
@@ -17,7 +17,7 @@
 	Priority request.Priority
 	Tenant   uint16        // small index, as in SetShares
 	Deadline time.Duration // instant after which the caller stops waiting; 0: none
-	Deep     bool          // nested call: earlier hops of its call chain have already done work
+	Nested   bool          // nested call: earlier hops of its call chain have already done work
 }
 
 // Verdict is the outcome of an arrival.
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -22,7 +22,7 @@
 	service    serviceTimes
 	levels     *levels
 	window     window
-	delay      *limit.Delay
+	delay      *limit.QueueDetector
 	limitCutAt time.Duration // when the limit was last cut because requests queued inside the target
 
 	running   int
@@ -42,7 +42,7 @@
 		limiter:  limit.NewProbe(cfg.Limit, cfg.Slots),
 		pool:     pool{byID: make(map[Ticket]int)},
 		levels:   newLevels(),
-		delay:    limit.NewDelay(importances),
+		delay:    limit.NewQueueDetector(importances),
 		maxQueue: cfg.queueLimit(cfg.Slots),
 	}
 	g.queue = newQueue(&g.pool, &g.ledger)
@@ -68,7 +68,7 @@
 	if g.draining {
 		return g.refuse(status.CodeDraining), out
 	}
-	if t.refuses(a.Priority, a.Deep) {
+	if t.refuses(a.Priority, a.Nested) {
 		return g.refuse(g.overloadReason(int(a.Tenant))), out
 	}
 	left := a.remaining(now)
@@ -112,7 +112,7 @@
 // Config.SpareBelow, rising to 1 when the whole limit is in use.
 func (g *Gate) slotShortage() float64 {
 	used := float64(g.running) / float64(g.limiter.Limit())
-	return min(max((used-g.cfg.SpareBelow)/(1-g.cfg.SpareBelow), 0), 1)
+	return min(max((used-g.cfg.SpareUtilization)/(1-g.cfg.SpareUtilization), 0), 1)
 }
 
 // remaining returns the time until the deadline.
@@ -140,7 +140,7 @@
 // victim returns the queued entry to evict for the arrival; false if the arrival
 // itself ranks lowest.
 func (g *Gate) victim(a *Arrival) (int, bool) {
-	tenant := g.ledger.Most(int(a.Tenant))
+	tenant := g.ledger.MostLoaded(int(a.Tenant))
 	ln := g.queue.tenantQueue(tenant)
 	if len(ln.worst.idx) == 0 {
 		return 0, false
@@ -149,7 +149,7 @@
 	if tenant != int(a.Tenant) {
 		return worst, true
 	}
-	return worst, g.pool.entries[worst].key < queueKey(a.Priority, a.Deep)
+	return worst, g.pool.entries[worst].key < queueKey(a.Priority, a.Nested)
 }
 
 // newEntry creates an entry for an arrival and returns its index.
@@ -158,10 +158,10 @@
 	e := &g.pool.entries[i]
 	g.seq++
 	e.seq = g.seq
-	e.key = queueKey(a.Priority, a.Deep)
+	e.key = queueKey(a.Priority, a.Nested)
 	e.priority = a.Priority
 	e.tenant = int(a.Tenant)
-	e.deep = a.Deep
+	e.deep = a.Nested
 	e.expected = expected
 	e.latestStart = now + g.cfg.MaxWait
 	if a.Deadline != 0 {
@@ -178,12 +178,12 @@
 	e.started = now
 	g.running++
 	g.service.start(e)
-	g.ledger.Start(e.tenant)
+	g.ledger.Acquire(e.tenant)
 }
 
 // estimateWait estimates how long an arrival would wait for a slot.
 func (g *Gate) estimateWait(now time.Duration, a *Arrival, imp int) time.Duration {
-	ahead := g.queue.workAhead(int(a.Tenant), imp, queueKey(a.Priority, a.Deep))
+	ahead := g.queue.workAhead(int(a.Tenant), imp, queueKey(a.Priority, a.Nested))
 	if ahead == 0 {
 		return 0
 	}
@@ -216,7 +216,7 @@
 func (g *Gate) release(now time.Duration, i int, r Result) {
 	e := &g.pool.entries[i]
 	g.service.end(e)
-	g.ledger.End(e.tenant)
+	g.ledger.Release(e.tenant)
 	g.running--
 	if r == Overloaded {
 		g.window.overloaded++
@@ -230,9 +230,9 @@
 // recordLatency feeds the detection of requests that queue inside the target.
 func (g *Gate) recordLatency(now time.Duration, e *entry, downstream time.Duration) {
 	imp, took := e.importance(), now-e.started
-	g.delay.Done(imp)
+	g.delay.CountCompletion(imp)
 	if e.started >= g.limitCutAt {
-		g.delay.Note(imp, took, took-downstream)
+		g.delay.RecordTime(imp, took, took-downstream)
 	}
 }
 
@@ -343,7 +343,7 @@
 	return low
 }
 
-// LevelOf returns the admission level of one tenant, to be published to its callers.
-func (g *Gate) LevelOf(tenant uint16) request.Level {
+// TenantLevel returns the admission level of one tenant, to be published to its callers.
+func (g *Gate) TenantLevel(tenant uint16) request.Level {
 	return g.levels.tenant(int(tenant)).level
 }
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -39,7 +39,7 @@
 	g := newGate(1)
 	fill(g, 0, 1)
 	for i, a := range []Arrival{
-		{Priority: prio(10, 9)}, {Priority: prio(90, 1)}, {Priority: prio(10, 1), Deep: true},
+		{Priority: prio(10, 9)}, {Priority: prio(90, 1)}, {Priority: prio(10, 1), Nested: true},
 		{Priority: prio(90, 2)}, {Priority: prio(90, 1)},
 	} {
 		a.Ticket = Ticket(i)
--- a/internal/core/admission/model_test.go
+++ b/internal/core/admission/model_test.go
@@ -81,7 +81,7 @@
 
 func (m *model) arrive(o op) {
 	m.id++
-	a := Arrival{Ticket: m.id, Priority: prio(request.Importance(o.imp), o.hash), Tenant: o.tenant, Deep: o.deep}
+	a := Arrival{Ticket: m.id, Priority: prio(request.Importance(o.imp), o.hash), Tenant: o.tenant, Nested: o.deep}
 	if o.deadline > 0 {
 		a.Deadline = m.now + o.deadline
 	}
@@ -138,7 +138,7 @@
 		m.t.Fatalf("admitted past its deadline: %+v", a)
 	}
 	for _, w := range m.queued {
-		if w.Tenant == a.Tenant && queueKey(w.Priority, w.Deep) > queueKey(a.Priority, a.Deep) {
+		if w.Tenant == a.Tenant && queueKey(w.Priority, w.Nested) > queueKey(a.Priority, a.Nested) {
 			m.t.Fatalf("admitted %+v while %+v is queued", a, w)
 		}
 	}
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -124,7 +124,7 @@
 	q.expiry.insert(i)
 	ln.backlog[e.importance()] += e.expected
 	q.backlog += e.expected
-	q.ledger.Wait(e.tenant)
+	q.ledger.Enqueue(e.tenant)
 }
 
 func (q *queue) drop(i int) {
@@ -135,7 +135,7 @@
 	q.expiry.drop(i)
 	ln.backlog[e.importance()] -= e.expected
 	q.backlog -= e.expected
-	q.ledger.Leave(e.tenant)
+	q.ledger.Dequeue(e.tenant)
 }
 
 // next returns the entry that gets the next free slot.
--- a/internal/core/admission/window.go
+++ b/internal/core/admission/window.go
@@ -60,14 +60,14 @@
 		length:        length,
 		limit:         float64(lim),
 		utilization:   w.busy.Seconds() / (length.Seconds() * float64(lim)),
-		standingQueue: now-w.delayLowAt >= g.cfg.StandFor,
+		standingQueue: now-w.delayLowAt >= g.cfg.StandingDelay,
 		service:       g.service.mean * g.service.slowdown(now),
-	}, &g.ledger, g.cfg.IdleBelow)
-	needed := g.delay.Roll()
+	}, &g.ledger, g.cfg.IdleUtilization)
+	needed := g.delay.EndWindow()
 	g.limiter.Observe(limit.Window{
 		Length:     length,
 		Busy:       w.busy,
-		Below:      w.downstream,
+		Downstream: w.downstream,
 		Completed:  w.completed,
 		Overloaded: w.overloaded,
 		Saturated:  g.saturatedTime(length),
@@ -95,7 +95,7 @@
 // the queue is ordered by importance, the wait of dispatched requests says little;
 // the time to run the whole queue counts as its delay.
 func (g *Gate) updateQueueDelay(now time.Duration) {
-	part := time.Duration(g.cfg.TargetPart * g.service.mean * float64(time.Second))
+	part := time.Duration(g.cfg.TargetDelayFraction * g.service.mean * float64(time.Second))
 	target := max(g.cfg.TargetDelay, part)
 	if g.queue.backlog <= time.Duration(g.limiter.Limit())*target {
 		g.window.delayLowAt = now
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -20,14 +20,14 @@
 	Drain Class = iota
 	// Head is the announcement of configuration heads and other facts.
 	Head
-	// Change is the announcement of deaths and joins.
-	Change
+	// MemberChange is the announcement of deaths and joins.
+	MemberChange
 	// Bulk is the full membership, sent to joining members.
 	Bulk
-	// Conn is a separate connection for configuration changes that could be
+	// SeparateConn is a separate connection for configuration changes that could be
 	// piggybacked on heartbeats. Piggybacked, they come after heads and before
 	// changes and are not deferred.
-	Conn
+	SeparateConn
 )
 
 // reserve is the fraction of the limit that must remain for a class to be sent.
@@ -36,7 +36,7 @@
 // heads used the budget that deaths and deltas need (trials at 0.25 and 0.4). With
 // less for Conn, nodes that each had just enough left opened connections to others
 // that did not.
-var reserve = [...]float64{Drain: 0.115, Head: 0.5, Change: 0.5, Bulk: 0.5, Conn: 0.8}
+var reserve = [...]float64{Drain: 0.115, Head: 0.5, MemberChange: 0.5, Bulk: 0.5, SeparateConn: 0.8}
 
 // Bucket is a token bucket that counts bytes.
 type Bucket struct {
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -18,7 +18,7 @@
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(rt, "ms")) * time.Millisecond
 			b.Refill(now)
 			b.Spend(rapid.IntRange(0, 3000).Draw(rt, "bytes"))
-			for c := Drain; c < Conn; c++ {
+			for c := Drain; c < SeparateConn; c++ {
 				if b.Allows(c+1) && !b.Allows(c) {
 					rt.Fatalf("class %d is allowed with %d bytes, and %d isn't", c+1, b.Tokens(), c)
 				}
--- a/internal/core/claim/attempt.go
+++ b/internal/core/claim/attempt.go
@@ -39,20 +39,20 @@
 
 // New returns an attempt that waits for Begin.
 func New(cfg Config, req Request) Attempt {
-	if req.Remember == 0 {
-		req.Remember = cfg.Remember
+	if req.Retention == 0 {
+		req.Retention = cfg.Retention
 	}
 	return Attempt{cfg: &cfg, req: req}
 }
 
-// NewLook returns a read-only attempt for a call that was refused before its
+// NewReadOnly returns a read-only attempt for a call that was refused before its
 // claim. It determines whether the refusal may say "not run", or how an earlier
 // call under the key ended.
 //
 // Without this read a request can run twice: the answer to the first call is
 // lost, an overloaded target refuses the repeat as "not run", and the caller
 // starts again under another key.
-func NewLook(cfg Config, req Request, refusal *status.Error) Attempt {
+func NewReadOnly(cfg Config, req Request, refusal *status.Error) Attempt {
 	a := New(cfg, req)
 	a.refusal = refusal
 	return a
@@ -62,7 +62,7 @@
 // does not belong to the current phase, so a repeated event never causes a
 // second run.
 func (a *Attempt) Step(now time.Duration, e Event) Action {
-	if _, ok := e.(CallerGone); ok {
+	if _, ok := e.(CallerCanceled); ok {
 		a.callerGone = true
 		return nil
 	}
@@ -85,13 +85,13 @@
 	a.startedAt = now
 	// The platform may remove a row after Remember. A later repeat would find it
 	// absent and run again; the time in a dated key rules that out.
-	if a.req.KeyTime > 0 && now > a.req.KeyTime+a.req.Remember-a.cfg.Skew {
-		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
+	if a.req.KeyTime > 0 && now > a.req.KeyTime+a.req.Retention-a.cfg.MaxClockSkew {
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunByCall: true})
 	}
 	// The row of a dated key is known only for a limited time ahead, see
 	// batch.Layout.
-	if a.req.KeyTime > now+a.cfg.Ahead {
-		return a.finish(Answer{Outcome: Outcome{Code: status.CodeKeyAhead}, NotRunHere: true})
+	if a.req.KeyTime > now+a.cfg.MaxKeyAhead {
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeKeyAhead}, NotRunByCall: true})
 	}
 	if a.refusal != nil {
 		return a.readOrGiveUp(now, a.refusal.Code)
@@ -109,10 +109,10 @@
 		return a.onClaimed(now, a.baseVersion+1)
 	case ConditionFailed:
 		return a.readOrGiveUp(now, status.CodeInProgress)
-	case InDoubt:
+	case Ambiguous:
 		a.maybeWritten = true
 		return a.readOrGiveUp(now, status.CodePlatformDown)
-	case NothingWritten:
+	case NotWritten:
 		return a.giveUp(status.CodePlatformDown)
 	case NoRoom:
 		a.knownNotRun = true
@@ -128,7 +128,7 @@
 		return a.onRow(now, e.Row)
 	case RowUnreadable:
 		a.maybeWritten = false // versions only increase: this row holds no write of this attempt
-		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunByCall: true})
 	case ReadFailed:
 		return a.readOrGiveUp(now, a.refusalCode(status.CodePlatformDown))
 	}
@@ -149,18 +149,18 @@
 	case r.State == Absent || r.State == Free:
 		a.knownNotRun = true
 		return a.reclaim(now, r.Version)
-	case r.Print != a.req.Print:
+	case r.Fingerprint != a.req.Fingerprint:
 		// Had this request ever run, the row would hold its fingerprint.
-		return a.finish(Answer{Outcome: Outcome{Kind: request.Refused, Code: status.CodeKeyReused}, NotRunHere: true})
+		return a.finish(Answer{Outcome: Outcome{Kind: request.Refused, Code: status.CodeKeyReused}, NotRunByCall: true})
 	case r.State == Done:
-		return a.finish(Answer{Outcome: r.Outcome, Origin: FromRow, NotRunHere: true})
+		return a.finish(Answer{Outcome: r.Outcome, Origin: FromRow, NotRunByCall: true})
 	case now < r.Until:
 		return a.finish(Answer{
-			Outcome: Outcome{Code: status.CodeInProgress}, NotRunHere: true,
+			Outcome: Outcome{Code: status.CodeInProgress}, NotRunByCall: true,
 			RetryAfter: a.jitter(min(a.cfg.RetryAfter, r.Until-now)),
 		})
 	default:
-		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunHere: true})
+		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunByCall: true})
 	}
 }
 
@@ -172,7 +172,7 @@
 	if code, abandoned := a.abandoned(now); abandoned {
 		return a.giveUp(code)
 	}
-	if a.writes >= a.cfg.Rounds || a.opTimeout(now) <= 0 {
+	if a.writes >= a.cfg.MaxWrites || a.opTimeout(now) <= 0 {
 		return a.giveUp(status.CodePlatformDown)
 	}
 	return a.writeClaim(now, version)
@@ -186,8 +186,8 @@
 	a.baseVersion = version
 	if code, abandoned := a.abandoned(now); abandoned {
 		return a.finish(Answer{
-			Outcome: Outcome{Kind: request.Refused, Code: code}, NotRunHere: true,
-			Duty: a.releaseDuty(),
+			Outcome: Outcome{Kind: request.Refused, Code: code}, NotRunByCall: true,
+			FollowUp: a.releaseDuty(),
 		})
 	}
 	a.phase = running
@@ -199,16 +199,16 @@
 	switch e := e.(type) {
 	case TargetNotRun:
 		return a.finish(Answer{
-			Outcome:    Outcome{Kind: request.Refused, Code: e.Code},
-			Origin:     FromRun,
-			NotRunHere: true, RetryAfter: e.RetryAfter, Duty: a.releaseDuty(),
+			Outcome:      Outcome{Kind: request.Refused, Code: e.Code},
+			Origin:       FromRun,
+			NotRunByCall: true, RetryAfter: e.RetryAfter, FollowUp: a.releaseDuty(),
 		})
 	case TargetDone:
 		o := e.Outcome
 		if o.Kind == request.Refused {
 			o.Kind = request.Unknown // TargetNotRun is the event for "not run"
 		}
-		return a.finish(Answer{Outcome: o, Origin: FromRun, Duty: a.recordDuty(now, o)})
+		return a.finish(Answer{Outcome: o, Origin: FromRun, FollowUp: a.recordDuty(now, o)})
 	}
 	return nil
 }
@@ -219,7 +219,7 @@
 	a.writes++
 	a.baseVersion = version
 	return Write{Wait: a.opTimeout(now), Row: Row{
-		Version: version + 1, Token: a.req.Token, State: Held, Print: a.req.Print,
+		Version: version + 1, Token: a.req.Token, State: Held, Fingerprint: a.req.Fingerprint,
 		Since: now, Until: a.runDeadline(),
 	}}
 }
@@ -231,7 +231,7 @@
 	}
 	// A platform that refuses connections fails reads immediately; the limit
 	// keeps the attempt from spinning until its deadline.
-	if a.reads >= 2*a.cfg.Rounds || a.opTimeout(now) <= 0 {
+	if a.reads >= 2*a.cfg.MaxWrites || a.opTimeout(now) <= 0 {
 		return a.giveUp(code)
 	}
 	a.reads++
@@ -242,14 +242,14 @@
 // giveUp ends the attempt with an answer that this call ran nothing.
 func (a *Attempt) giveUp(code status.Code) Action {
 	ans := Answer{
-		Outcome: Outcome{Kind: refusedOrUnknown(a.knownNotRun), Code: code}, NotRunHere: true,
+		Outcome: Outcome{Kind: refusedOrUnknown(a.knownNotRun), Code: code}, NotRunByCall: true,
 		RetryAfter: a.jitter(a.cfg.RetryAfter),
 	}
 	if a.refusal != nil {
 		ans.RetryAfter = a.refusal.RetryAfter
 	}
 	if a.maybeWritten {
-		ans.Duty = newFenceDuty(a.cfg, a.req.Token, a.baseVersion)
+		ans.FollowUp = newFenceDuty(a.cfg, a.req.Token, a.baseVersion)
 	}
 	return a.finish(ans)
 }
@@ -281,8 +281,8 @@
 
 // opTimeout returns the timeout of the next operation in the claim phase.
 func (a *Attempt) opTimeout(now time.Duration) time.Duration {
-	end := min(a.startedAt+a.cfg.ClaimWait, a.req.Deadline)
-	return min(a.cfg.OpWait, end-now)
+	end := min(a.startedAt+a.cfg.ClaimTimeout, a.req.Deadline)
+	return min(a.cfg.OpTimeout, end-now)
 }
 
 func (a *Attempt) runDeadline() time.Duration { return a.req.Deadline + a.cfg.RunGrace }
@@ -295,13 +295,13 @@
 }
 
 // recordDuty returns the duty that records an outcome.
-func (a *Attempt) recordDuty(now time.Duration, o Outcome) Duty {
+func (a *Attempt) recordDuty(now time.Duration, o Outcome) FollowUp {
 	return newRecordDuty(a.cfg, Row{
-		Version: a.baseVersion + 1, Token: a.req.Token, State: Done, Print: a.req.Print,
-		Since: a.startedAt, Until: a.runDeadline(), Outcome: o.Trim(a.cfg.MaxKept),
-		Expires: max(now, a.req.KeyTime) + a.req.Remember,
+		Version: a.baseVersion + 1, Token: a.req.Token, State: Done, Fingerprint: a.req.Fingerprint,
+		Since: a.startedAt, Until: a.runDeadline(), Outcome: o.Trim(a.cfg.MaxStoredBody),
+		Expires: max(now, a.req.KeyTime) + a.req.Retention,
 	})
 }
 
 // releaseDuty returns the duty that releases the claim.
-func (a *Attempt) releaseDuty() Duty { return newReleaseDuty(a.cfg, a.req.Token, a.baseVersion) }
+func (a *Attempt) releaseDuty() FollowUp { return newReleaseDuty(a.cfg, a.req.Token, a.baseVersion) }
--- a/internal/core/claim/batch/batch_test.go
+++ b/internal/core/claim/batch/batch_test.go
@@ -102,14 +102,14 @@
 		r.handle(b, b.ConditionFailed(r.now, w.Row))
 		return
 	case 1:
-		r.handle(b, b.NothingWritten(r.now, w.Row))
+		r.handle(b, b.NotWritten(r.now, w.Row))
 		return
 	case 2:
 		r.store.apply(r.t, w)
 	case 3:
 		r.lateWrites = append(r.lateWrites, w)
 	}
-	r.handle(b, b.InDoubt(r.now, w.Row))
+	r.handle(b, b.Ambiguous(r.now, w.Row))
 }
 
 // submit sends a node a random op: a claim of a key, or the next version of an
@@ -119,14 +119,14 @@
 	ver := int64(rapid.IntRange(0, 2).Draw(r.t, "version"))
 	op := Op{
 		ID: id, Slot: Slot{Row: "row", Start: t0}, Key: key, IfVersion: ver,
-		Entry: Entry{Version: ver + 1, Token: fmt.Sprint("t", id)},
-		Lazy:  rapid.Bool().Draw(r.t, "lazy"),
+		Entry:      Entry{Version: ver + 1, Token: fmt.Sprint("t", id)},
+		Deferrable: rapid.Bool().Draw(r.t, "lazy"),
 	}
-	if op.Look = rapid.IntRange(0, 3).Draw(r.t, "look") == 0; op.Look {
+	if op.ReadOnly = rapid.IntRange(0, 3).Draw(r.t, "look") == 0; op.ReadOnly {
 		op.IfVersion = r.store.rows["row"].Entries[key].Version // the oldest version it may return
 	}
 	if rapid.IntRange(0, 3).Draw(r.t, "leaves") == 0 {
-		op.Until = r.now + time.Duration(rapid.IntRange(1, 100).Draw(r.t, "in ms"))*time.Millisecond
+		op.Deadline = r.now + time.Duration(rapid.IntRange(1, 100).Draw(r.t, "in ms"))*time.Millisecond
 	}
 	r.ops[id] = op
 	b := r.nodes[id%2]
@@ -181,7 +181,7 @@
 func (r *race) check() {
 	for id, rep := range r.replies {
 		op := r.ops[id]
-		if op.Look {
+		if op.ReadOnly {
 			if rep.Result == OK && rep.Current.Version < op.IfVersion {
 				r.t.Fatalf("%+v returned the older entry %+v", op, rep.Current)
 			}
@@ -206,7 +206,7 @@
 func TestFullRowRefusesNewClaimsAndAcceptsOutcomes(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	cfg.MaxRow = entryOverhead + 1 + cfg.Reserve
+	cfg.MaxRow = entryOverhead + 1 + cfg.ReservedValueSize
 	b := New(cfg)
 	slot := Slot{Row: "row", Start: t0}
 	b.Submit(t0, Op{ID: 1, Slot: slot, Key: "a", Entry: Entry{Version: 1}})
@@ -224,7 +224,7 @@
 	id, err := uuid.NewV7()
 	is.NoErr(err)
 	at, _ := claim.KeyTime(id.String())
-	l, err := Layouts(nil).Announce(at-Lead, DefaultConfig())
+	l, err := Layouts(nil).Announce(at-AnnounceLead, DefaultConfig())
 	is.NoErr(err)
 	s, ok := l.SlotOf("claim/a/b/c/"+id.String(), id.String())
 	is.True(ok)
@@ -237,18 +237,18 @@
 	moved, taken := 0, map[int]int{}
 	for i := range 1000 {
 		row := fmt.Sprint("row", i)
-		was := Pick(row, nodes, nil)
+		was := PickNode(row, nodes, nil)
 		taken[was]++
-		if was != 3 && Pick(row, nodes[:3], nil) != was {
+		if was != 3 && PickNode(row, nodes[:3], nil) != was {
 			moved++
 		}
-		is.True(Pick(row, nodes, func(i int) bool { return i == was }) != was)
+		is.True(PickNode(row, nodes, func(i int) bool { return i == was }) != was)
 	}
 	is.Equal(moved, 0) // rows of the remaining nodes stay when a node leaves
 	for i := range nodes {
 		is.True(taken[i] > 150)
 	}
-	is.Equal(Pick("row", nil, nil), -1)
+	is.Equal(PickNode("row", nil, nil), -1)
 }
 
 // Guards against a second run during a layout change: one node reads the layouts
@@ -258,9 +258,9 @@
 func TestNodesThatMayPlaceAKeyAgreeOnItsRow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clockError := func(name string) time.Duration {
-			return time.Duration(rapid.Int64Range(-int64(Margin/4), int64(Margin/4)).Draw(t, name))
+			return time.Duration(rapid.Int64Range(-int64(ClockMargin/4), int64(ClockMargin/4)).Draw(t, name))
 		}
-		inFlight := time.Duration(rapid.Int64Range(0, int64(Margin/2)).Draw(t, "write under way"))
+		inFlight := time.Duration(rapid.Int64Range(0, int64(ClockMargin/2)).Draw(t, "write under way"))
 		announced := 100 * time.Hour
 		old, err := Layouts(nil).Announce(time.Hour, Config{Slot: time.Second, Shards: 2})
 		if err != nil {
--- a/internal/core/claim/batch/batcher.go
+++ b/internal/core/claim/batch/batcher.go
@@ -61,8 +61,8 @@
 	r.lastUsed = now
 	r.queue = append(r.queue, &pendingOp{Op: op})
 	wait := time.Duration(0)
-	if op.Lazy {
-		wait = b.cfg.LazyWait
+	if op.Deferrable {
+		wait = b.cfg.DeferDelay
 	}
 	r.due = min(r.due, max(r.notBefore, now+wait))
 	return b.flush(now, r)
@@ -74,9 +74,9 @@
 // Has reports whether a row is in memory.
 func (b *Batcher) Has(name string) bool { return b.rows[name] != nil }
 
-// Hurry makes all queued ops due immediately, because a stopping node must not
+// FlushAll makes all queued ops due immediately, because a stopping node must not
 // delay them.
-func (b *Batcher) Hurry(now time.Duration) []Action {
+func (b *Batcher) FlushAll(now time.Duration) []Action {
 	for _, r := range b.rows {
 		if len(r.queue) > 0 {
 			r.due = now
@@ -93,7 +93,7 @@
 			at = min(at, r.due)
 		}
 		if r.phase == idle && len(r.queue) == 0 {
-			at = min(at, r.lastUsed+b.cfg.Idle+1)
+			at = min(at, r.lastUsed+b.cfg.IdleTimeout+1)
 		}
 	}
 	return at, at != never
@@ -105,7 +105,7 @@
 	for _, name := range sortedKeys(b.rows) {
 		r := b.rows[name]
 		acts = append(acts, b.flush(now, r)...)
-		if r.phase == idle && len(r.queue) == 0 && now-r.lastUsed > b.cfg.Idle {
+		if r.phase == idle && len(r.queue) == 0 && now-r.lastUsed > b.cfg.IdleTimeout {
 			delete(b.rows, name)
 		}
 	}
@@ -122,7 +122,7 @@
 	if len(r.batch) == 0 {
 		return acts
 	}
-	r.notBefore, r.attempts = now+b.cfg.Pace, 0
+	r.notBefore, r.attempts = now+b.cfg.MinWriteInterval, 0
 	return append(acts, b.start(now, r)...)
 }
 
@@ -134,7 +134,7 @@
 	var acts []Action
 	var remaining []*pendingOp
 	for _, op := range r.batch {
-		if op.Until == 0 || now < op.Until {
+		if op.Deadline == 0 || now < op.Deadline {
 			remaining = append(remaining, op)
 			continue
 		}
@@ -146,7 +146,7 @@
 
 // start reads or writes the row for the batch.
 func (b *Batcher) start(now time.Duration, r *row) []Action {
-	if !r.cached && now-r.slot.Start > b.cfg.Fresh {
+	if !r.cached && now-r.slot.Start > b.cfg.AssumeAbsentAge {
 		return b.read(r)
 	}
 	if !r.cached {
@@ -168,7 +168,7 @@
 	}
 	size, changed := b.totalSize(next), false
 	for _, op := range r.batch {
-		if op.Look {
+		if op.ReadOnly {
 			continue // answered by the write's confirmation or by a read
 		}
 		op.fits, op.full = next[op.Key].Version == op.IfVersion, false
@@ -202,7 +202,7 @@
 
 // entrySize returns the bytes that an entry uses or reserves.
 func (b *Batcher) entrySize(key string, e Entry) int {
-	return entryOverhead + len(key) + len(e.Token) + max(len(e.Value), b.cfg.Reserve)
+	return entryOverhead + len(key) + len(e.Token) + max(len(e.Value), b.cfg.ReservedValueSize)
 }
 
 func (b *Batcher) totalSize(entries map[string]Entry) int {
@@ -228,7 +228,7 @@
 	r.entries, r.cached, r.failures = r.next, true, 0
 	return b.finish(now, r, func(op *pendingOp) Result {
 		switch {
-		case op.fits, op.Look:
+		case op.fits, op.ReadOnly:
 			return OK
 		case op.full:
 			return Full
@@ -243,10 +243,10 @@
 	return b.retry(now, name, false)
 }
 
-// InDoubt reports that the write may have taken effect or may still do so. The
+// Ambiguous reports that the write may have taken effect or may still do so. The
 // batcher resolves this by reading the row; a further write under the same
 // condition keeps the lost one from taking effect after it.
-func (b *Batcher) InDoubt(now time.Duration, name string) []Action {
+func (b *Batcher) Ambiguous(now time.Duration, name string) []Action {
 	return b.retry(now, name, true)
 }
 
@@ -258,7 +258,7 @@
 	for _, op := range r.batch {
 		op.maybeWritten = op.maybeWritten || ambiguous && op.fits
 	}
-	if r.attempts++; r.attempts >= b.cfg.Tries {
+	if r.attempts++; r.attempts >= b.cfg.MaxAttempts {
 		return b.fail(now, r)
 	}
 	acts := b.dropExpired(now, r)
@@ -268,8 +268,8 @@
 	return append(acts, b.read(r)...)
 }
 
-// NothingWritten reports that the platform certainly did not receive the write.
-func (b *Batcher) NothingWritten(now time.Duration, name string) []Action {
+// NotWritten reports that the platform certainly did not receive the write.
+func (b *Batcher) NotWritten(now time.Duration, name string) []Action {
 	r := b.rows[name]
 	if r == nil || r.phase != writing {
 		return nil
@@ -299,7 +299,7 @@
 		// An op whose entry is older than its condition stays: the op that it
 		// follows may be in this batch, with a write of both in flight.
 		e := entries[op.Key]
-		if op.Look {
+		if op.ReadOnly {
 			acts = append(acts, Reply{ID: op.ID, Result: OK, Current: e})
 			continue
 		}
@@ -361,9 +361,9 @@
 // its failed ops each Pace, which together exceeds the platform's capacity, so
 // all of them fail again.
 func (b *Batcher) backOff(now time.Duration, r *row) {
-	pause := b.cfg.Pace
+	pause := b.cfg.MinWriteInterval
 	for range r.failures {
-		pause = min(2*pause, b.cfg.MaxPace)
+		pause = min(2*pause, b.cfg.MaxWriteInterval)
 	}
 	r.failures++
 	r.notBefore = now + pause
--- a/internal/core/claim/batch/bench_test.go
+++ b/internal/core/claim/batch/bench_test.go
@@ -147,7 +147,7 @@
 	s.ops[id] = op
 	s.after(oneWayLatency, func() {
 		s.execute(s.batcher.Submit(s.now, Op{
-			ID: id, Slot: op.slot, Key: EntryKey(op.rowKey), IfVersion: ifVersion, Lazy: op.outcome,
+			ID: id, Slot: op.slot, Key: EntryKey(op.rowKey), IfVersion: ifVersion, Deferrable: op.outcome,
 			Entry: Entry{Version: ifVersion + 1, Token: op.token[:16], Value: value, Expires: row.Expires},
 		}))
 	})
@@ -279,7 +279,7 @@
 	} {
 		b.Run(fmt.Sprintf("shards=%d,slot=%v,lazy=%v", c.shards, c.slot, c.lazy), func(b *testing.B) {
 			cfg := DefaultConfig()
-			cfg.Shards, cfg.Slot, cfg.LazyWait = c.shards, c.slot, c.lazy
+			cfg.Shards, cfg.Slot, cfg.DeferDelay = c.shards, c.slot, c.lazy
 			measure(b, cfg, 3100, 0)
 		})
 	}
--- a/internal/core/claim/batch/config.go
+++ b/internal/core/claim/batch/config.go
@@ -12,44 +12,44 @@
 	// claims per second at the cost of more writes per second; lowering it does
 	// the reverse.
 	Shards int
-	// Pace is the minimum interval between two writes of a row. Default 50 ms.
+	// MinWriteInterval is the minimum interval between two writes of a row. Default 50 ms.
 	// Raising it batches more ops per write; lowering it answers claims sooner.
-	Pace time.Duration
-	// MaxPace bounds the interval between two writes of a row while the platform
+	MinWriteInterval time.Duration
+	// MaxWriteInterval bounds the interval between two writes of a row while the platform
 	// does not answer; the interval doubles from Pace with each failure. Default
 	// 1 s. Raising it reduces load on a recovering platform; lowering it answers
 	// sooner after recovery.
-	MaxPace time.Duration
-	// LazyWait bounds the delay of an op without a waiting caller. Default
+	MaxWriteInterval time.Duration
+	// DeferDelay bounds the delay of an op without a waiting caller. Default
 	// 250 ms. Raising it saves writes; lowering it makes outcomes visible to
 	// repeats sooner, and leaves fewer keys "unknown" when a node dies.
-	LazyWait time.Duration
+	DeferDelay time.Duration
 	// MaxRow bounds a row's value in bytes; a full row refuses new entries.
 	// Default 60 KiB. It must stay below port.MaxValue.
 	MaxRow int
-	// Reserve is the minimum space in bytes reserved for each claim's value, so
+	// ReservedValueSize is the minimum space in bytes reserved for each claim's value, so
 	// that its outcome fits later. Default 192. Raising it means fewer claims per
 	// row; it must stay above the size of an outcome without a body.
-	Reserve int
-	// Tries bounds the writes of a batch whose condition failed or whose answer
+	ReservedValueSize int
+	// MaxAttempts bounds the writes of a batch whose condition failed or whose answer
 	// was lost. Default 4. Raising it tolerates more conflicts; lowering it
 	// replies sooner.
-	Tries int
-	// Fresh is the age up to which a row that is not in memory is assumed absent
+	MaxAttempts int
+	// AssumeAbsentAge is the age up to which a row that is not in memory is assumed absent
 	// without a read. Default 1 s. Raising it costs failed writes; lowering it
 	// costs reads.
-	Fresh time.Duration
-	// Idle is how long a row is cached after its last op. Default 5 s.
+	AssumeAbsentAge time.Duration
+	// IdleTimeout is how long a row is cached after its last op. Default 5 s.
 	// Raising it costs memory; lowering it costs reads.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // DefaultConfig returns the defaults documented at each field.
 func DefaultConfig() Config {
 	return Config{
 		Slot: 64 * time.Millisecond, Shards: 2,
-		Pace: 50 * time.Millisecond, MaxPace: time.Second, LazyWait: 250 * time.Millisecond,
-		MaxRow: 60 << 10, Reserve: 192, Tries: 4,
-		Fresh: time.Second, Idle: 5 * time.Second,
+		MinWriteInterval: 50 * time.Millisecond, MaxWriteInterval: time.Second, DeferDelay: 250 * time.Millisecond,
+		MaxRow: 60 << 10, ReservedValueSize: 192, MaxAttempts: 4,
+		AssumeAbsentAge: time.Second, IdleTimeout: 5 * time.Second,
 	}
 }
--- a/internal/core/claim/batch/layout.go
+++ b/internal/core/claim/batch/layout.go
@@ -20,12 +20,12 @@
 const (
 	// LayoutKey is the table's row that holds the Layouts.
 	LayoutKey = "claims/layouts"
-	// Lead is how far ahead a layout is announced.
-	Lead = 2 * time.Hour
-	// Margin is the part of Lead reserved for the clock difference between
+	// AnnounceLead is how far ahead a layout is announced.
+	AnnounceLead = 2 * time.Hour
+	// ClockMargin is the part of Lead reserved for the clock difference between
 	// announcer and reader and for the time that the announcement's write may be
 	// in flight.
-	Margin = time.Hour
+	ClockMargin = time.Hour
 	// maxLayouts bounds the list, and the memory used by a corrupt row.
 	maxLayouts = 64
 	maxShards  = 1024
@@ -44,7 +44,7 @@
 
 // KnownUntil returns the latest key date for which a list read from the table at
 // the reader's time at is complete.
-func KnownUntil(at time.Duration) time.Duration { return at + Lead - Margin }
+func KnownUntil(at time.Duration) time.Duration { return at + AnnounceLead - ClockMargin }
 
 // SlotOf returns the shared row of a claim; ok is false for a key with a row of
 // its own.
@@ -79,7 +79,7 @@
 // Announce returns the list extended by the layout of cfg, for keys dated Lead or
 // more after now.
 func (l Layouts) Announce(now time.Duration, cfg Config) (Layouts, error) {
-	next := append(l[:len(l):len(l)], Layout{From: now + Lead, Slot: cfg.Slot, Shards: cfg.Shards})
+	next := append(l[:len(l):len(l)], Layout{From: now + AnnounceLead, Slot: cfg.Slot, Shards: cfg.Shards})
 	return next, next.validate()
 }
 
--- a/internal/core/claim/batch/op.go
+++ b/internal/core/claim/batch/op.go
@@ -4,14 +4,14 @@
 
 // Op is a conditional write of one entry.
 type Op struct {
-	ID        uint64 // set by the caller, returned in Reply
-	Slot      Slot
-	Key       string        // EntryKey
-	Entry     Entry         // Entry.Version must be IfVersion+1
-	IfVersion int64         // condition; 0: the entry is absent
-	Lazy      bool          // may be delayed, as no caller waits for it
-	Until     time.Duration // when its sender gives up; 0: never
-	Look      bool          // read-only: Reply.Current is the entry, read after Submit
+	ID         uint64 // set by the caller, returned in Reply
+	Slot       Slot
+	Key        string        // EntryKey
+	Entry      Entry         // Entry.Version must be IfVersion+1
+	IfVersion  int64         // condition; 0: the entry is absent
+	Deferrable bool          // may be delayed, as no caller waits for it
+	Deadline   time.Duration // when its sender gives up; 0: never
+	ReadOnly   bool          // read-only: Reply.Current is the entry, read after Submit
 }
 
 // Result is the result of an Op.
--- a/internal/core/claim/batch/slot.go
+++ b/internal/core/claim/batch/slot.go
@@ -25,11 +25,11 @@
 	return string(sum[:EntryKeySize])
 }
 
-// Pick returns the index of the node that batches a row, by rendezvous hashing
+// PickNode returns the index of the node that batches a row, by rendezvous hashing
 // over the nodes' ids: when a node joins or leaves, only its own rows move. Nodes
 // for which skip returns true are excluded; a nil skip excludes none. Pick returns
 // -1 if no node is left.
-func Pick(row string, ids []uint64, skip func(i int) bool) int {
+func PickNode(row string, ids []uint64, skip func(i int) bool) int {
 	best, weight := -1, uint64(0)
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], xxhash.Sum64String(row))
--- a/internal/core/claim/breaker.go
+++ b/internal/core/claim/breaker.go
@@ -8,18 +8,18 @@
 	// Default 3. Raising it lets more calls wait for a platform that is down;
 	// lowering it opens on isolated losses.
 	Failures int
-	// ProbeEvery is the pause before the first probe. Default 500 ms. Raising
+	// ProbeInterval is the pause before the first probe. Default 500 ms. Raising
 	// it detects recovery later; lowering it sends more probes.
-	ProbeEvery time.Duration
-	// ProbeMax bounds the pause, which doubles with each failed probe. Default
+	ProbeInterval time.Duration
+	// MaxProbeInterval bounds the pause, which doubles with each failed probe. Default
 	// 8 s. Raising it reduces load on a recovering platform; lowering it detects
 	// recovery sooner.
-	ProbeMax time.Duration
+	MaxProbeInterval time.Duration
 }
 
 // DefaultBreakerConfig returns the defaults documented at each field.
 func DefaultBreakerConfig() BreakerConfig {
-	return BreakerConfig{Failures: 3, ProbeEvery: 500 * time.Millisecond, ProbeMax: 8 * time.Second}
+	return BreakerConfig{Failures: 3, ProbeInterval: 500 * time.Millisecond, MaxProbeInterval: 8 * time.Second}
 }
 
 // Breaker is a circuit breaker for operations at the platform. While the
@@ -71,9 +71,9 @@
 	b.failures++
 	switch {
 	case b.Open() && b.probing:
-		b.pause = min(2*b.pause, b.cfg.ProbeMax)
+		b.pause = min(2*b.pause, b.cfg.MaxProbeInterval)
 	case !b.Open() && b.failures >= b.cfg.Failures:
-		b.pause = b.cfg.ProbeEvery
+		b.pause = b.cfg.ProbeInterval
 	default:
 		// Not a probe: the operation was in flight when the breaker opened. If
 		// each of these doubled the pause, a short fault under load would refuse
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -16,7 +16,7 @@
 const t0 = 1_000_000 * time.Second
 
 func testRequest(token string) Request {
-	return Request{Token: token, Print: Fingerprint("POST", "/pay", Sum([]byte("1"))), Deadline: t0 + time.Second}
+	return Request{Token: token, Fingerprint: Fingerprint("POST", "/pay", Sum([]byte("1"))), Deadline: t0 + time.Second}
 }
 
 // startedAttempt returns an attempt whose first claim write is in flight.
@@ -28,21 +28,21 @@
 
 func TestAnswersByRow(t *testing.T) {
 	req := testRequest("other")
-	held := Row{Version: 1, Token: "other", State: Held, Print: req.Print, Until: t0 + time.Second}
+	held := Row{Version: 1, Token: "other", State: Held, Fingerprint: req.Fingerprint, Until: t0 + time.Second}
 	late, body, done := held, held, held
 	late.Until = t0 - 1
-	body.Print = Digest{}
+	body.Fingerprint = Digest{}
 	done.State = Done
-	done.Outcome = Outcome{Kind: request.Completed, Status: 201, Body: "paid", Kept: true}
+	done.Outcome = Outcome{Kind: request.Completed, Status: 201, Body: "paid", BodyStored: true}
 	for name, c := range map[string]struct {
 		row    Row
 		code   status.Code
 		kind   request.Outcome
 		origin Origin
 	}{
-		"held by a call in time":   {held, status.CodeInProgress, request.Unknown, FromRules},
-		"held by a call past time": {late, status.CodeOutcomeUnknown, request.Unknown, FromRules},
-		"held for another body":    {body, status.CodeKeyReused, request.Refused, FromRules},
+		"held by a call in time":   {held, status.CodeInProgress, request.Unknown, FromDecision},
+		"held by a call past time": {late, status.CodeOutcomeUnknown, request.Unknown, FromDecision},
+		"held for another body":    {body, status.CodeKeyReused, request.Refused, FromDecision},
 		"recorded":                 {done, "", request.Completed, FromRow},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,18 +54,18 @@
 			is.Equal(ans.Outcome.Code, c.code)
 			is.Equal(ans.Outcome.Kind, c.kind)
 			is.Equal(ans.Origin, c.origin)
-			is.True(ans.NotRunHere)
-			is.True(!ans.Duty.Pending())
+			is.True(ans.NotRunByCall)
+			is.True(!ans.FollowUp.Pending())
 		})
 	}
 }
 
 func TestPlatformDownLeavesEarlierCallsUnknown(t *testing.T) {
 	is := is.New(t)
-	ans := startedAttempt("me").Step(t0, NothingWritten{}).(Answer)
+	ans := startedAttempt("me").Step(t0, NotWritten{}).(Answer)
 	is.Equal(ans.Outcome.Code, status.CodePlatformDown)
 	is.Equal(ans.Outcome.Kind, request.Unknown) // an earlier call may have run
-	is.True(ans.NotRunHere)
+	is.True(ans.NotRunByCall)
 	is.True(ans.RetryAfter > 0)
 }
 
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	ans := startedAttempt("me").Step(t0+time.Hour, Written{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Kind: request.Refused, Code: status.CodeDeadline})
-	w := ans.Duty.Step(t0+time.Hour, Begin{}).(Write)
+	w := ans.FollowUp.Step(t0+time.Hour, Begin{}).(Write)
 	is.Equal(w.Row.State, Free)
 	is.Equal(w.Row.Version, int64(2))
 }
@@ -85,19 +85,19 @@
 func TestDatedKeyPastRetentionIsNotRun(t *testing.T) {
 	is := is.New(t)
 	req := testRequest("me")
-	req.KeyTime = t0 - DefaultConfig().Remember
+	req.KeyTime = t0 - DefaultConfig().Retention
 	a := New(DefaultConfig(), req)
 	ans := a.Step(t0, Begin{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Code: status.CodeOutcomeUnknown})
 
 	// Retention starts at the key's own time if the caller's clock is ahead.
-	req.KeyTime, req.Remember = t0+DefaultConfig().Ahead, 72*time.Hour
+	req.KeyTime, req.Retention = t0+DefaultConfig().MaxKeyAhead, 72*time.Hour
 	a = New(DefaultConfig(), req)
 	a.Step(t0, Begin{})
 	a.Step(t0, Written{})
 	ans = a.Step(t0, TargetDone{Outcome{Kind: request.Completed}}).(Answer)
-	w := ans.Duty.Step(t0, Begin{}).(Write)
-	is.Equal(w.Row.Expires, t0+DefaultConfig().Ahead+72*time.Hour)
+	w := ans.FollowUp.Step(t0, Begin{}).(Write)
+	is.Equal(w.Row.Expires, t0+DefaultConfig().MaxKeyAhead+72*time.Hour)
 }
 
 // Guards against a second run while a fleet moves to shared rows: a caller's clock
@@ -105,11 +105,11 @@
 func TestKeyDatedAheadIsNotRun(t *testing.T) {
 	is := is.New(t)
 	req := testRequest("me")
-	req.KeyTime = t0 + DefaultConfig().Ahead + 1
+	req.KeyTime = t0 + DefaultConfig().MaxKeyAhead + 1
 	a := New(DefaultConfig(), req)
 	ans := a.Step(t0, Begin{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Code: status.CodeKeyAhead}) // unknown: another clock may have let it run
-	is.True(ans.NotRunHere)
+	is.True(ans.NotRunByCall)
 }
 
 // Guards against treating a full shared row like an unavailable platform: the
@@ -119,7 +119,7 @@
 	is := is.New(t)
 	ans := startedAttempt("me").Step(t0, NoRoom{}).(Answer)
 	is.Equal(ans.Outcome, Outcome{Kind: request.Refused, Code: status.CodeNoRoom})
-	is.True(!ans.Duty.Pending())
+	is.True(!ans.FollowUp.Pending())
 
 	cfg := DefaultConfig()
 	d := newFenceDuty(&cfg, "me", 0)
@@ -139,10 +139,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := Outcome{
 			Kind: request.Outcome(rapid.IntRange(0, 3).Draw(t, "kind")), Status: rapid.IntRange(0, 599).Draw(t, "status"),
-			ContentType: rapid.String().Draw(t, "type"), Body: string(rapid.SliceOf(rapid.Byte()).Draw(t, "body")), Kept: true,
+			ContentType: rapid.String().Draw(t, "type"), Body: string(rapid.SliceOf(rapid.Byte()).Draw(t, "body")), BodyStored: true,
 		}
 		o.Size, o.Sum = int64(len(o.Body)), Sum([]byte(o.Body))
-		want := Row{Version: 7, Token: "t", State: Done, Print: Sum([]byte("p")), Since: 5, Until: 9, Outcome: o}
+		want := Row{Version: 7, Token: "t", State: Done, Fingerprint: Sum([]byte("p")), Since: 5, Until: 9, Outcome: o}
 		b, err := want.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -203,7 +203,7 @@
 	for range 100 {
 		b.Report(now, false) // operations in flight fail as well
 	}
-	is.Equal(b.Wait(now), cfg.ProbeEvery)
+	is.Equal(b.Wait(now), cfg.ProbeInterval)
 	probes := 0
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
 		if b.Allow(now) {
@@ -221,7 +221,7 @@
 // answer is lost, then an overloaded target refuses the repeat as "not run"
 // without reading the claim.
 func TestRefusalChecksForEarlierCalls(t *testing.T) {
-	print := testRequest("x").Print
+	print := testRequest("x").Fingerprint
 	done := Outcome{Kind: request.Completed, Status: 200}
 	for name, tc := range map[string]struct {
 		ev   Event
@@ -230,28 +230,28 @@
 	}{
 		"absent":     {RowRead{}, request.Refused, status.CodeOverloaded},
 		"free":       {RowRead{Row{Version: 2, State: Free}}, request.Refused, status.CodeOverloaded},
-		"held":       {RowRead{Row{Version: 1, State: Held, Print: print, Until: time.Hour * 1e6}}, request.Unknown, status.CodeInProgress},
-		"done":       {RowRead{Row{Version: 2, State: Done, Print: print, Outcome: done}}, request.Completed, ""},
+		"held":       {RowRead{Row{Version: 1, State: Held, Fingerprint: print, Until: time.Hour * 1e6}}, request.Unknown, status.CodeInProgress},
+		"done":       {RowRead{Row{Version: 2, State: Done, Fingerprint: print, Outcome: done}}, request.Completed, ""},
 		"unreadable": {RowUnreadable{}, request.Unknown, status.CodeOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			refusal := status.Refuse(status.CodeOverloaded, time.Second, "full")
-			a := NewLook(DefaultConfig(), testRequest("x"), refusal)
+			a := NewReadOnly(DefaultConfig(), testRequest("x"), refusal)
 			_, reads := a.Step(0, Begin{}).(Read)
 			is.True(reads) // and writes nothing
 			ans, ok := a.Step(0, tc.ev).(Answer)
 			is.True(ok)
 			is.Equal(ans.Outcome.Kind, tc.want)
 			is.Equal(ans.Outcome.Code, tc.code)
-			is.True(ans.NotRunHere)
+			is.True(ans.NotRunByCall)
 		})
 	}
 }
 
 func TestRefusalIsUnknownWhilePlatformIsDown(t *testing.T) {
 	is := is.New(t)
-	a := NewLook(DefaultConfig(), testRequest("x"), status.Refuse(status.CodeOverloaded, time.Second, "full"))
+	a := NewReadOnly(DefaultConfig(), testRequest("x"), status.Refuse(status.CodeOverloaded, time.Second, "full"))
 	act := a.Step(0, Begin{})
 	for range 100 {
 		if ans, ok := act.(Answer); ok {
--- a/internal/core/claim/duty.go
+++ b/internal/core/claim/duty.go
@@ -11,12 +11,12 @@
 	taskFence
 )
 
-// Duty is the state machine for the work that an attempt leaves at the table. It
+// FollowUp is the state machine for the work that an attempt leaves at the table. It
 // may be retried without limit after the caller has its answer; each try starts
 // with Begin. Until it is Finished the key stays as the attempt left it, and
 // repeats are answered "in progress" or "unknown". A Duty lost with its node
 // makes that key unusable but never causes a second run.
-type Duty struct {
+type FollowUp struct {
 	cfg         *Config
 	task        task
 	token       string
@@ -26,34 +26,34 @@
 }
 
 // Pending reports whether any work is left.
-func (d *Duty) Pending() bool { return d.task != taskNone }
+func (d *FollowUp) Pending() bool { return d.task != taskNone }
 
-// Urgent reports whether the first try should precede the answer, because a
+// BeforeAnswer reports whether the first try should precede the answer, because a
 // caller that repeats immediately then finds the outcome recorded or the claim
 // released.
-func (d *Duty) Urgent() bool { return d.task == taskRecord || d.task == taskRelease }
+func (d *FollowUp) BeforeAnswer() bool { return d.task == taskRecord || d.task == taskRelease }
 
-// Records reports whether the duty records an outcome.
-func (d *Duty) Records() bool { return d.task == taskRecord }
+// RecordsOutcome reports whether the duty records an outcome.
+func (d *FollowUp) RecordsOutcome() bool { return d.task == taskRecord }
 
-func newRecordDuty(cfg *Config, row Row) Duty {
-	return Duty{cfg: cfg, task: taskRecord, token: row.Token, row: row}
+func newRecordDuty(cfg *Config, row Row) FollowUp {
+	return FollowUp{cfg: cfg, task: taskRecord, token: row.Token, row: row}
 }
 
-func newReleaseDuty(cfg *Config, token string, held int64) Duty {
-	return Duty{cfg: cfg, task: taskRelease, token: token, baseVersion: held}
+func newReleaseDuty(cfg *Config, token string, held int64) FollowUp {
+	return FollowUp{cfg: cfg, task: taskRelease, token: token, baseVersion: held}
 }
 
 // newFenceDuty returns the duty that undoes a claim write whose result is
 // unknown. The write may have taken effect or may still do so, so reading the row
 // as absent is not enough. The duty writes a Free row under the same condition,
 // so that one of the two writes fails.
-func newFenceDuty(cfg *Config, token string, base int64) Duty {
-	return Duty{cfg: cfg, task: taskFence, token: token, baseVersion: base}
+func newFenceDuty(cfg *Config, token string, base int64) FollowUp {
+	return FollowUp{cfg: cfg, task: taskFence, token: token, baseVersion: base}
 }
 
 // Step handles an event and returns Write, Read, Later or Finished.
-func (d *Duty) Step(now time.Duration, e Event) Action {
+func (d *FollowUp) Step(now time.Duration, e Event) Action {
 	if _, ok := e.(Begin); ok {
 		return d.start(now)
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-func (d *Duty) start(now time.Duration) Action {
+func (d *FollowUp) start(now time.Duration) Action {
 	switch d.task {
 	case taskRecord:
 		return d.write(d.row)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (d *Duty) onWriteResult(e Event) Action {
+func (d *FollowUp) onWriteResult(e Event) Action {
 	switch e.(type) {
 	case Written:
 		return d.finish(false)
@@ -91,23 +91,23 @@
 	case ConditionFailed:
 		return d.onConditionFailed()
 	default:
-		return Later{}
+		return RetryLater{}
 	}
 }
 
 // onConditionFailed handles a failed condition. Only the holder moves a row on
 // from its claim, so a release that fails was already done by an earlier try.
-func (d *Duty) onConditionFailed() Action {
+func (d *FollowUp) onConditionFailed() Action {
 	if d.task == taskRelease {
 		return d.finish(false)
 	}
 	return d.readRow()
 }
 
-func (d *Duty) onReadResult(now time.Duration, e Event) Action {
+func (d *FollowUp) onReadResult(now time.Duration, e Event) Action {
 	r, ok := e.(RowRead)
 	if !ok {
-		return Later{}
+		return RetryLater{}
 	}
 	if d.task == taskRecord {
 		return d.finish(r.Row.State != Done || r.Row.Token != d.token)
@@ -123,23 +123,23 @@
 }
 
 // writeFree replaces the row at version with a Free row.
-func (d *Duty) writeFree(now time.Duration, version int64) Action {
+func (d *FollowUp) writeFree(now time.Duration, version int64) Action {
 	return d.write(Row{
-		Version: version + 1, Token: d.token, State: Free, Expires: now + d.cfg.FreeFor,
+		Version: version + 1, Token: d.token, State: Free, Expires: now + d.cfg.FreeRetention,
 	})
 }
 
-func (d *Duty) write(r Row) Action {
+func (d *FollowUp) write(r Row) Action {
 	d.phase = writing
-	return Write{Row: r, Wait: d.cfg.OpWait}
+	return Write{Row: r, Wait: d.cfg.OpTimeout}
 }
 
-func (d *Duty) readRow() Action {
+func (d *FollowUp) readRow() Action {
 	d.phase = reading
-	return Read{Wait: d.cfg.OpWait}
+	return Read{Wait: d.cfg.OpTimeout}
 }
 
-func (d *Duty) finish(lost bool) Action {
+func (d *FollowUp) finish(lost bool) Action {
 	d.phase, d.task = ended, taskNone
 	return Finished{Lost: lost}
 }
