--- a/internal/core/claim/event.go
+++ b/internal/core/claim/event.go
@@ -18,10 +18,10 @@
 	Written struct{}
 	// ConditionFailed: the row's version did not match the write's condition.
 	ConditionFailed struct{}
-	// InDoubt: the write may have taken effect or may still do so.
-	InDoubt struct{}
-	// NothingWritten: the platform certainly did not receive the write.
-	NothingWritten struct{}
+	// Ambiguous: the write may have taken effect or may still do so.
+	Ambiguous struct{}
+	// NotWritten: the platform certainly did not receive the write.
+	NotWritten struct{}
 	// NoRoom: the shared row does not hold the claim and has no room for it.
 	NoRoom struct{}
 	// RowRead: the row, of State Absent if there is none.
@@ -37,23 +37,23 @@
 		Code       status.Code
 		RetryAfter time.Duration
 	}
-	// CallerGone: the caller no longer waits. It may come at any time and is not
+	// CallerCanceled: the caller no longer waits. It may come at any time and is not
 	// the result of an action; a run that has started continues.
-	CallerGone struct{}
+	CallerCanceled struct{}
 )
 
 func (Begin) event()           {}
 func (Written) event()         {}
 func (ConditionFailed) event() {}
-func (InDoubt) event()         {}
-func (NothingWritten) event()  {}
+func (Ambiguous) event()       {}
+func (NotWritten) event()      {}
 func (NoRoom) event()          {}
 func (RowRead) event()         {}
 func (RowUnreadable) event()   {}
 func (ReadFailed) event()      {}
 func (TargetDone) event()      {}
 func (TargetNotRun) event()    {}
-func (CallerGone) event()      {}
+func (CallerCanceled) event()  {}
 
 // Action is the next step for the caller of an Attempt or a Duty. Nil means that
 // the last action is still in flight.
@@ -73,32 +73,32 @@
 	Run struct{ Until time.Duration }
 	// Answer ends the attempt.
 	Answer struct {
-		Outcome    Outcome
-		Origin     Origin
-		NotRunHere bool          // this call ran nothing
-		RetryAfter time.Duration // 0: no advice
-		Duty       Duty          // work left at the table
+		Outcome      Outcome
+		Origin       Origin
+		NotRunByCall bool          // this call ran nothing
+		RetryAfter   time.Duration // 0: no advice
+		FollowUp     FollowUp      // work left at the table
 	}
-	// Later requests Begin after a pause, because the platform does not answer.
-	Later struct{}
+	// RetryLater requests Begin after a pause, because the platform does not answer.
+	RetryLater struct{}
 	// Finished ends a duty. Lost means that the table does not hold the outcome
 	// to be recorded, which only an outside change to the table can cause.
 	Finished struct{ Lost bool }
 )
 
-func (Write) action()    {}
-func (Read) action()     {}
-func (Run) action()      {}
-func (Answer) action()   {}
-func (Later) action()    {}
-func (Finished) action() {}
+func (Write) action()      {}
+func (Read) action()       {}
+func (Run) action()        {}
+func (Answer) action()     {}
+func (RetryLater) action() {}
+func (Finished) action()   {}
 
 // Origin is the source of an answer's outcome.
 type Origin uint8
 
 const (
-	// FromRules: the attempt decided without an answer from a target.
-	FromRules Origin = iota
+	// FromDecision: the attempt decided without an answer from a target.
+	FromDecision Origin = iota
 	// FromRun: this call ran; the run's answer follows.
 	FromRun
 	// FromRow: an earlier call ran; its recorded outcome follows.
@@ -107,11 +107,11 @@
 
 // Request describes the call of an attempt.
 type Request struct {
-	Token    string        // unique to the attempt
-	Print    Digest        // Fingerprint of the request
-	Deadline time.Duration // when the caller stops waiting
-	KeyTime  time.Duration // 0 for an undated key
-	Remember time.Duration // how long the outcome is kept; 0: Config.Remember
+	Token       string        // unique to the attempt
+	Fingerprint Digest        // Fingerprint of the request
+	Deadline    time.Duration // when the caller stops waiting
+	KeyTime     time.Duration // 0 for an undated key
+	Retention   time.Duration // how long the outcome is kept; 0: Config.Remember
 }
 
 // refusedOrUnknown returns Refused if it is known that nothing ran, else Unknown.
--- a/internal/core/claim/exhaustive_test.go
+++ b/internal/core/claim/exhaustive_test.go
@@ -62,20 +62,20 @@
 		return a.Step(now, e)
 	}, "run 2"},
 	"a lost answer means written": {func(a *Attempt, now time.Duration, e Event) Action {
-		if _, ok := e.(InDoubt); ok {
+		if _, ok := e.(Ambiguous); ok {
 			e = Written{}
 		}
 		return a.Step(now, e)
 	}, "run 2"},
 	"a lost answer means not written": {func(a *Attempt, now time.Duration, e Event) Action {
-		if _, ok := e.(InDoubt); ok {
-			e = NothingWritten{}
+		if _, ok := e.(Ambiguous); ok {
+			e = NotWritten{}
 		}
 		return a.Step(now, e)
 	}, "held by nobody"},
 	"what reads absent never arrives": {func(a *Attempt, now time.Duration, e Event) Action {
 		if r, ok := e.(RowRead); ok && r.Row.State == Absent {
-			return a.finish(Answer{NotRunHere: true})
+			return a.finish(Answer{NotRunByCall: true})
 		}
 		return a.Step(now, e)
 	}, "held by nobody"},
--- a/internal/core/claim/model_test.go
+++ b/internal/core/claim/model_test.go
@@ -21,7 +21,7 @@
 // call is one attempt with its duty in the model.
 type call struct {
 	attempt         Attempt
-	duty            Duty
+	duty            FollowUp
 	act             Action // to be carried out; nil when done or when ev is pending
 	ev              Event  // result to be delivered
 	started         bool
@@ -123,7 +123,7 @@
 			m.read(name, w, i)
 		case Run:
 			m.run(name, w, i)
-		case Later:
+		case RetryLater:
 			m.deliver(name+" tries again", w, i, Begin{})
 		default:
 			return
@@ -180,11 +180,11 @@
 	if again := did; again.addInFlight(r) {
 		m.add(name+" writes twice", again, nil)
 	}
-	did.calls[i].ev = InDoubt{}
+	did.calls[i].ev = Ambiguous{}
 	m.add(name+" writes, answer lost", did, nil)
-	w.calls[i].ev = NothingWritten{}
+	w.calls[i].ev = NotWritten{}
 	m.add(name+" can't write", w, nil)
-	w.calls[i].ev = InDoubt{}
+	w.calls[i].ev = Ambiguous{}
 	m.add(name+" loses its write", w, nil)
 	if w.addInFlight(r) {
 		m.add(name+" writes late", w, nil)
@@ -203,7 +203,7 @@
 
 // runOutcome is the outcome of the run of call i.
 func runOutcome(i int) Outcome {
-	return Outcome{Kind: request.Completed, Status: 200, Body: string(rune('a' + i)), Kept: true}
+	return Outcome{Kind: request.Completed, Status: 200, Body: string(rune('a' + i)), BodyStored: true}
 }
 
 func (m *enumerator) run(name string, w modelState, i int) {
@@ -247,7 +247,7 @@
 	}
 	if ans, ok := c.act.(Answer); ok {
 		err = w.check(i, ans)
-		c.duty, c.act = ans.Duty, nil
+		c.duty, c.act = ans.FollowUp, nil
 		if c.duty.Pending() {
 			c.act = c.duty.Step(modelTimes[w.timeIndex], Begin{})
 		}
@@ -267,11 +267,11 @@
 // check verifies an answer against the history of the model.
 func (w *modelState) check(i int, ans Answer) error {
 	c := &w.calls[i]
-	c.refused = ans.NotRunHere
+	c.refused = ans.NotRunByCall
 	switch {
 	case ans.Outcome.Kind == request.Refused && c.runsAtStart > 0:
 		return fmt.Errorf("%c is told not run, though it ran before %c came", 'a'+i, 'a'+i)
-	case ans.NotRunHere && c.ran:
+	case ans.NotRunByCall && c.ran:
 		return fmt.Errorf("%c is told that it ran nothing", 'a'+i)
 	case ans.Origin == FromRow && ans.Outcome != w.row.Outcome:
 		return fmt.Errorf("%c gets %v, recorded is %v", 'a'+i, ans.Outcome, w.row.Outcome)
--- a/internal/core/claim/row.go
+++ b/internal/core/claim/row.go
@@ -29,14 +29,14 @@
 // Row is one claim. Version and Token live in the table's item, the rest in
 // its value.
 type Row struct {
-	Version int64
-	Token   string // of the attempt that wrote it last
-	State   State
-	Print   Digest        // fingerprint of the request; zero when Free
-	Since   time.Duration // when it was claimed
-	Until   time.Duration // deadline of the run
-	Outcome Outcome       // set when Done
-	Expires time.Duration // when the platform may remove it; 0: never
+	Version     int64
+	Token       string // of the attempt that wrote it last
+	State       State
+	Fingerprint Digest        // fingerprint of the request; zero when Free
+	Since       time.Duration // when it was claimed
+	Until       time.Duration // deadline of the run
+	Outcome     Outcome       // set when Done
+	Expires     time.Duration // when the platform may remove it; 0: never
 }
 
 // Outcome is how a request ended.
@@ -48,7 +48,7 @@
 	Body        string // the answer's bytes, if Kept
 	Size        int64  // of the complete answer, in bytes
 	Sum         Digest // of the complete answer
-	Kept        bool   // whether Body is the complete answer
+	BodyStored  bool   // whether Body is the complete answer
 }
 
 // maxContentTypeLen is the longest content type stored with a body, in bytes.
@@ -58,7 +58,7 @@
 // long; its size and digest stay.
 func (o Outcome) Trim(limit int) Outcome {
 	if len(o.Body) > limit || len(o.ContentType) > maxContentTypeLen {
-		o.Body, o.ContentType, o.Kept = "", "", false
+		o.Body, o.ContentType, o.BodyStored = "", "", false
 	}
 	return o
 }
@@ -90,10 +90,10 @@
 	v := encodedRow{
 		Format: rowFormat, State: r.State, Since: r.Since, Until: r.Until,
 		Kind: uint8(o.Kind), Code: o.Code, Status: o.Status, Type: o.ContentType,
-		Body: []byte(o.Body), Size: o.Size, Kept: o.Kept,
+		Body: []byte(o.Body), Size: o.Size, Kept: o.BodyStored,
 	}
 	if r.State == Held || r.State == Done {
-		v.Print = r.Print[:]
+		v.Print = r.Fingerprint[:]
 	}
 	if r.State == Done {
 		v.Sum = o.Sum[:]
@@ -119,10 +119,10 @@
 		return Row{}, status.New(status.CodeProtocol, "claim of state %d and kind %d", v.State, v.Kind)
 	}
 	r := Row{Version: version, Token: token, State: v.State, Since: v.Since, Until: v.Until}
-	copy(r.Print[:], v.Print)
+	copy(r.Fingerprint[:], v.Print)
 	r.Outcome = Outcome{
 		Kind: request.Outcome(v.Kind), Code: v.Code, Status: v.Status, ContentType: v.Type,
-		Body: string(v.Body), Size: v.Size, Kept: v.Kept,
+		Body: string(v.Body), Size: v.Size, BodyStored: v.Kept,
 	}
 	copy(r.Outcome.Sum[:], v.Sum)
 	return r, nil
--- a/internal/core/confset/confset_test.go
+++ b/internal/core/configset/confset_test.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"slices"
@@ -18,7 +18,7 @@
 				Classes: []Class{
 					{Name: "lookup", Path: "/payouts", Importance: 30, Deadline: time.Second, Attempts: 1, MaxBody: 10},
 					{Name: "approve", Method: "POST", Path: "/payouts", Importance: 95, Deadline: time.Second,
-						AtMostOnce: true, Remember: time.Hour, MaxBody: 10},
+						AtMostOnce: true, KeyRetention: time.Hour, MaxBody: 10},
 					{Name: "rest", Path: "/", Importance: 1, Deadline: time.Second},
 				}},
 			{Name: "claimtrack", Slots: 65, Connections: 500, Calls: []request.Service{"settleworks.kalahari"},
@@ -60,7 +60,7 @@
 func TestIndex(t *testing.T) {
 	is := is.New(t)
 	idx := NewIndex(testSet())
-	other := idx.With(Set{Tenant: "khaosan", Version: 9, Share: 0.25, Services: []Service{{Name: "feed"}}})
+	other := idx.WithSet(Set{Tenant: "khaosan", Version: 9, Share: 0.25, Services: []Service{{Name: "feed"}}})
 	is.Equal(idx.Share("khaosan"), 0.0) // the first index is not changed
 	is.Equal(other.Share("khaosan"), 0.25)
 	is.Equal(other.Version("kalahari"), int64(3))
@@ -68,10 +68,10 @@
 	next := testSet()
 	next.Services = next.Services[:1]
 	next.Services[0].Calls = nil
-	_, ok := other.With(next).Service("claimtrack.kalahari")
+	_, ok := other.WithSet(next).Service("claimtrack.kalahari")
 	is.True(!ok) // a set replaces all of its tenant's previous one
 	info, _ := other.Service("settleworks.kalahari")
-	is.True(info.Accepts("khaosan") && info.Accepts("kalahari") && !info.Accepts("other"))
+	is.True(info.AllowsTenant("khaosan") && info.AllowsTenant("kalahari") && !info.AllowsTenant("other"))
 	var none *Index
 	_, ok = none.Service("feed.khaosan")
 	is.True(!ok)
@@ -97,7 +97,7 @@
 	s.Services[0].Slots = 0
 	s.Services[0].Classes[1].Method = "GET"
 	s.Services[0].Classes[0].Path = "/a/../b"
-	s.Services[0].Classes[0].Remember = time.Hour
+	s.Services[0].Classes[0].KeyRetention = time.Hour
 	s.Services[1].Name = "settleworks"
 	s.Services[1].Calls = []request.Service{"nowhere.kalahari", "x"}
 	var fields []string
--- a/internal/core/confset/diff.go
+++ b/internal/core/configset/diff.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"crypto/sha256"
@@ -100,6 +100,6 @@
 	}
 	if c.AtMostOnce {
 		out[at+"atMostOnce"] = "true"
-		out[at+"remember"] = c.Remember.String()
+		out[at+"remember"] = c.KeyRetention.String()
 	}
 }
--- a/internal/core/confset/doc.go
+++ b/internal/core/configset/doc.go
@@ -12,4 +12,4 @@
 //
 // A Set is a plain value that must not be changed once it has been handed on.
 // An Index is immutable and safe for concurrent reads.
-package confset
+package configset
--- a/internal/core/confset/encode.go
+++ b/internal/core/configset/encode.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"bytes"
--- a/internal/core/confset/index.go
+++ b/internal/core/configset/index.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"cmp"
@@ -30,15 +30,15 @@
 func NewIndex(sets ...Set) *Index {
 	idx := &Index{}
 	for _, s := range sets {
-		idx = idx.With(s)
+		idx = idx.WithSet(s)
 	}
 	return idx
 }
 
-// With returns an index in which s replaces the tenant's set; the receiver is
+// WithSet returns an index in which s replaces the tenant's set; the receiver is
 // not changed. Unchanged services are compiled again too, so counters must be
 // keyed by name and not by *ServiceInfo.
-func (x *Index) With(s Set) *Index {
+func (x *Index) WithSet(s Set) *Index {
 	next := &Index{
 		services: make(map[request.Service]*ServiceInfo, len(s.Services)),
 		tenants:  make(map[request.Tenant]tenantInfo),
@@ -170,8 +170,8 @@
 	return nil, false
 }
 
-// Accepts reports whether requests of tenant t may call this service.
-func (s *ServiceInfo) Accepts(t request.Tenant) bool {
+// AllowsTenant reports whether requests of tenant t may call this service.
+func (s *ServiceInfo) AllowsTenant(t request.Tenant) bool {
 	return t == s.Tenant || slices.Contains(s.Allow, t)
 }
 
--- a/internal/core/inforce/main_test.go
+++ b/internal/core/configset/main_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configset
 
 import (
 	"testing"
--- a/internal/core/confset/organisation.go
+++ b/internal/core/configset/organisation.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"cmp"
@@ -103,9 +103,9 @@
 // tenant's services.
 type organisationsByKey map[KeyDigest]*OrganisationInfo
 
-// Keyed reports whether requests from outside to a tenant's services need a
+// RequiresKey reports whether requests from outside to a tenant's services need a
 // key.
-func (x *Index) Keyed(t request.Tenant) bool {
+func (x *Index) RequiresKey(t request.Tenant) bool {
 	if x == nil {
 		return false
 	}
@@ -113,9 +113,9 @@
 	return ok
 }
 
-// ByKey returns the organisation that holds a key for a tenant's services. It
+// OrganisationByKey returns the organisation that holds a key for a tenant's services. It
 // does not allocate.
-func (x *Index) ByKey(t request.Tenant, key []byte) (*OrganisationInfo, bool) {
+func (x *Index) OrganisationByKey(t request.Tenant, key []byte) (*OrganisationInfo, bool) {
 	if x == nil || len(key) == 0 {
 		return nil, false
 	}
--- a/internal/core/confset/organisation_test.go
+++ b/internal/core/configset/organisation_test.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"strings"
@@ -24,25 +24,25 @@
 func TestLookupByKey(t *testing.T) {
 	is := is.New(t)
 	idx := NewIndex(withOrganisations(3))
-	is.True(idx.Keyed("kalahari"))
+	is.True(idx.RequiresKey("kalahari"))
 	for key, want := range map[string]request.Organisation{"key-a": "acme", "key-b": "acme", "key-c": "cargo"} {
-		o, ok := idx.ByKey("kalahari", []byte(key))
+		o, ok := idx.OrganisationByKey("kalahari", []byte(key))
 		is.True(ok)
 		is.Equal(o.Name, want)
 	}
 	for _, key := range []string{"", "key", "key-a ", DigestKey([]byte("key-a")).String()} {
-		_, ok := idx.ByKey("kalahari", []byte(key))
+		_, ok := idx.OrganisationByKey("kalahari", []byte(key))
 		is.True(!ok)
 	}
-	is.True(!NewIndex(testSet()).Keyed("kalahari"))
+	is.True(!NewIndex(testSet()).RequiresKey("kalahari"))
 	var none *Index
-	_, ok := none.ByKey("kalahari", []byte("key-a"))
+	_, ok := none.OrganisationByKey("kalahari", []byte("key-a"))
 	is.True(!ok)
 }
 
 func TestKeyLookupDoesNotAllocate(t *testing.T) {
 	idx, key := NewIndex(withOrganisations(3)), []byte("key-a")
-	is.New(t).Equal(testing.AllocsPerRun(100, func() { idx.ByKey("kalahari", key) }), 0.0)
+	is.New(t).Equal(testing.AllocsPerRun(100, func() { idx.OrganisationByKey("kalahari", key) }), 0.0)
 }
 
 func BenchmarkKeyLookup(b *testing.B) {
@@ -55,7 +55,7 @@
 	idx, key := NewIndex(s), []byte("kmgjqnirth5mgjy5rcpi")
 	b.ReportAllocs()
 	for b.Loop() {
-		idx.ByKey("kalahari", key)
+		idx.OrganisationByKey("kalahari", key)
 	}
 }
 
@@ -93,7 +93,7 @@
 	next := withOrganisations(4)
 	next.Organisations[0].Keys = next.Organisations[0].Keys[:1]
 	next.Organisations = next.Organisations[:2]
-	d, ok := mustPack(t, next).Following(old).Since(3)
+	d, ok := mustPack(t, next).WithHistoryOf(old).DeltaSince(3)
 	is.True(ok)
 	is.Equal(len(d.Services)+len(d.Patches), 0)
 	is.Equal(len(d.Organisations), 1)
@@ -102,11 +102,11 @@
 	is.NoErr(err)
 	back, err := DecodeDelta(body)
 	is.NoErr(err)
-	got, err := old.With(back, mustPack(t, next).Head())
+	got, err := old.Apply(back, mustPack(t, next).Head())
 	is.NoErr(err)
-	_, ok = NewIndex(got.Set()).ByKey("kalahari", []byte("key-a"))
+	_, ok = NewIndex(got.Set()).OrganisationByKey("kalahari", []byte("key-a"))
 	is.True(!ok)
-	_, ok = NewIndex(got.Set()).ByKey("kalahari", []byte("key-b"))
+	_, ok = NewIndex(got.Set()).OrganisationByKey("kalahari", []byte("key-b"))
 	is.True(ok)
 	whole, err := got.Bytes()
 	is.NoErr(err)
--- a/internal/core/confset/packed.go
+++ b/internal/core/configset/packed.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"cmp"
@@ -13,11 +13,11 @@
 	"peardrift/internal/status"
 )
 
-// Packed is an accepted set with its encoded services. For each service it has
+// EncodedSet is an accepted set with its encoded services. For each service it has
 // an upper bound of the version that changed it last, which is enough to
 // compute a delta for a peer that holds an older version. It is immutable; the
 // sets of successive versions share the unchanged services.
-type Packed struct {
+type EncodedSet struct {
 	head            Head
 	share           float64
 	services        []*packedService // sorted by name
@@ -48,9 +48,9 @@
 }
 
 // Pack encodes a set. It returns CodeTooLarge for a set that is too large.
-func Pack(s Set) (*Packed, error) {
+func Pack(s Set) (*EncodedSet, error) {
 	s = Canonical(s)
-	p := &Packed{head: Head{Tenant: s.Tenant, Version: s.Version}, share: s.Share, historyStart: s.Version}
+	p := &EncodedSet{head: Head{Tenant: s.Tenant, Version: s.Version}, share: s.Share, historyStart: s.Version}
 	size := 0
 	for _, svc := range s.Services {
 		body, err := marshal(svc)
@@ -75,7 +75,7 @@
 
 // Unpack decodes a canonical encoding. It returns an error if the result is not
 // the set that want identifies.
-func Unpack(body []byte, want Head) (*Packed, error) {
+func Unpack(body []byte, want Head) (*EncodedSet, error) {
 	var encoded encodedSet
 	if err := unmarshal(body, &encoded); err != nil {
 		return nil, err
@@ -83,14 +83,14 @@
 	return unpack(encoded, want)
 }
 
-func unpack(encoded encodedSet, want Head) (*Packed, error) {
+func unpack(encoded encodedSet, want Head) (*EncodedSet, error) {
 	if encoded.Format != formatVersion {
 		return nil, status.New(status.CodeProtocol, "unsupported set format %d", encoded.Format)
 	}
 	if encoded.Tenant != want.Tenant {
 		return nil, status.New(status.CodeProtocol, "expected a set of %s, got one of %s", want.Tenant, encoded.Tenant)
 	}
-	p := &Packed{head: want, share: encoded.Share, historyStart: want.Version}
+	p := &EncodedSet{head: want, share: encoded.Share, historyStart: want.Version}
 	for _, raw := range encoded.Services {
 		packed, err := newPackedService(raw, want.Version)
 		if err != nil {
@@ -112,7 +112,7 @@
 
 // verify returns an error if the digest differs from the head's, or if the set
 // is invalid.
-func (p *Packed) verify() error {
+func (p *EncodedSet) verify() error {
 	if got := p.computeDigest(); got != p.head.Digest {
 		return status.New(status.CodeProtocol, "version %d of %s has digest %v, want %v",
 			p.head.Version, p.head.Tenant, got, p.head.Digest)
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (p *Packed) computeDigest() Digest {
+func (p *EncodedSet) computeDigest() Digest {
 	h := sha256.New()
 	var number [8]byte
 	for _, n := range [...]uint64{formatVersion, math.Float64bits(p.share), uint64(len(p.services)), uint64(len(p.head.Tenant))} {
@@ -142,10 +142,10 @@
 }
 
 // Head returns the head that identifies the set.
-func (p *Packed) Head() Head { return p.head }
+func (p *EncodedSet) Head() Head { return p.head }
 
 // Set returns the set as a value; its services must not be modified.
-func (p *Packed) Set() Set {
+func (p *EncodedSet) Set() Set {
 	s := Set{Tenant: p.head.Tenant, Version: p.head.Version, Share: p.share, Services: make([]Service, len(p.services))}
 	for i, packed := range p.services {
 		s.Services[i] = packed.service
@@ -157,7 +157,7 @@
 }
 
 // Bytes returns the canonical encoding.
-func (p *Packed) Bytes() ([]byte, error) {
+func (p *EncodedSet) Bytes() ([]byte, error) {
 	encoded := encodedSet{
 		Format: formatVersion, Tenant: p.head.Tenant, Share: p.share,
 		Services: make([]msgpack.RawMessage, len(p.services)), Organisations: bodiesOf(p.organisations),
@@ -182,10 +182,10 @@
 	RemovedOrganisations []string             `msgpack:"x,omitempty"`
 }
 
-// Since returns the changes after a version, as far as they are known here; the
+// DeltaSince returns the changes after a version, as far as they are known here; the
 // receiver verifies the result by its digest. ok is false if that version is
 // newer than this set or older than the known history.
-func (p *Packed) Since(version int64) (d Delta, ok bool) {
+func (p *EncodedSet) DeltaSince(version int64) (d Delta, ok bool) {
 	if version < p.historyStart || version > p.head.Version {
 		return Delta{}, false
 	}
@@ -218,14 +218,14 @@
 	return d, unmarshal(body, &d)
 }
 
-// With applies a delta and verifies that the result is the set that want
+// Apply applies a delta and verifies that the result is the set that want
 // identifies.
-func (p *Packed) With(d Delta, want Head) (*Packed, error) {
+func (p *EncodedSet) Apply(d Delta, want Head) (*EncodedSet, error) {
 	if d.Tenant != p.head.Tenant || want.Tenant != d.Tenant || d.Since != p.head.Version || d.Version != want.Version {
 		return nil, status.New(status.CodeProtocol, "delta of %s from version %d to %d does not lead from version %d of %s to version %d of %s",
 			d.Tenant, d.Since, d.Version, p.head.Version, p.head.Tenant, want.Version, want.Tenant)
 	}
-	next := &Packed{head: want, share: d.Share, historyStart: p.historyStart}
+	next := &EncodedSet{head: want, share: d.Share, historyStart: p.historyStart}
 	changed := make(map[string]*packedService, len(d.Services))
 	for _, raw := range d.Services {
 		packed, err := newPackedService(raw, d.Version)
@@ -250,11 +250,11 @@
 	return next, next.verify()
 }
 
-// Following returns p with the change history of an older version of the same
+// WithHistoryOf returns p with the change history of an older version of the same
 // tenant: services that did not change since keep the bounds of that version.
 // Without it, a node that read a whole set could not send deltas to it.
-func (p *Packed) Following(old *Packed) *Packed {
-	next := &Packed{head: p.head, share: p.share, historyStart: old.historyStart}
+func (p *EncodedSet) WithHistoryOf(old *EncodedSet) *EncodedSet {
+	next := &EncodedSet{head: p.head, share: p.share, historyStart: old.historyStart}
 	changed := make(map[string]*packedService, len(p.services))
 	for _, have := range p.services {
 		packed := *have
@@ -273,7 +273,7 @@
 
 // mergeServices builds the services from an older set's and the changed and
 // removed ones.
-func (p *Packed) mergeServices(old *Packed, changed map[string]*packedService, gone map[string]bool) {
+func (p *EncodedSet) mergeServices(old *EncodedSet, changed map[string]*packedService, gone map[string]bool) {
 	p.services = make([]*packedService, 0, len(old.services)+len(changed))
 	for _, have := range old.services {
 		name := have.service.Name
@@ -298,11 +298,11 @@
 
 // recordRemoved records which services are removed, at the new version for
 // those removed now.
-func (p *Packed) recordRemoved(old *Packed, gone map[string]bool) {
+func (p *EncodedSet) recordRemoved(old *EncodedSet, gone map[string]bool) {
 	p.removedServices = mergeRemovals(old.removedServices, gone, p.head.Version, p.hasService)
 }
 
-func (p *Packed) hasService(name string) bool {
+func (p *EncodedSet) hasService(name string) bool {
 	_, ok := slices.BinarySearchFunc(p.services, name, func(q *packedService, name string) int {
 		return cmp.Compare(q.service.Name, name)
 	})
--- a/internal/core/confset/packed_organisation.go
+++ b/internal/core/configset/packed_organisation.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"cmp"
@@ -72,7 +72,7 @@
 
 // addOrganisationChanges adds the changes of organisations after a version to a
 // delta.
-func (p *Packed) addOrganisationChanges(version int64, d *Delta) {
+func (p *EncodedSet) addOrganisationChanges(version int64, d *Delta) {
 	for _, o := range p.organisations {
 		if o.lastChanged > version {
 			d.Organisations = append(d.Organisations, o.body)
@@ -87,7 +87,7 @@
 
 // mergeOrganisations builds the organisations from an older set's and the
 // changed and removed ones.
-func (p *Packed) mergeOrganisations(old *Packed, changed []*packedOrganisation, gone map[string]bool) {
+func (p *EncodedSet) mergeOrganisations(old *EncodedSet, changed []*packedOrganisation, gone map[string]bool) {
 	next := make(map[string]*packedOrganisation, len(changed))
 	for _, o := range changed {
 		next[o.name()] = o
@@ -110,7 +110,7 @@
 	p.removedOrganisations = mergeRemovals(old.removedOrganisations, gone, p.head.Version, p.hasOrganisation)
 }
 
-func (p *Packed) hasOrganisation(name string) bool {
+func (p *EncodedSet) hasOrganisation(name string) bool {
 	_, ok := slices.BinarySearchFunc(p.organisations, name, func(o *packedOrganisation, name string) int {
 		return cmp.Compare(o.name(), name)
 	})
@@ -119,7 +119,7 @@
 
 // organisationsRemovedSince returns the names of the older set's organisations
 // that p lacks.
-func (p *Packed) organisationsRemovedSince(old *Packed) map[string]bool {
+func (p *EncodedSet) organisationsRemovedSince(old *EncodedSet) map[string]bool {
 	gone := make(map[string]bool)
 	for _, have := range old.organisations {
 		if !p.hasOrganisation(have.name()) {
--- a/internal/core/confset/packed_test.go
+++ b/internal/core/configset/packed_test.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 			svc.Classes = append(svc.Classes, Class{
 				Name: request.Class(fmt.Sprintf("class-%d", j)), Method: "POST", Path: fmt.Sprintf("/resource-%d", j),
 				Importance: request.Importance(20 * j), Deadline: time.Second, Attempts: 1,
-				AtMostOnce: j == 3, Remember: map[bool]time.Duration{true: DefaultRemember}[j == 3], MaxBody: DefaultMaxBody,
+				AtMostOnce: j == 3, KeyRetention: map[bool]time.Duration{true: DefaultRemember}[j == 3], MaxBody: DefaultMaxBody,
 			})
 		}
 		s.Services = append(s.Services, svc)
@@ -34,7 +34,7 @@
 	return s
 }
 
-func mustPack(t testing.TB, s Set) *Packed {
+func mustPack(t testing.TB, s Set) *EncodedSet {
 	t.Helper()
 	p, err := Pack(s)
 	if err != nil {
@@ -49,7 +49,7 @@
 func TestDeltaYieldsAnnouncedSetOrFails(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		history := drawHistory(rt)
-		nodes := make([]*Packed, rapid.IntRange(2, 4).Draw(rt, "nodes"))
+		nodes := make([]*EncodedSet, rapid.IntRange(2, 4).Draw(rt, "nodes"))
 		for i := range nodes {
 			nodes[i] = history[0]
 		}
@@ -58,18 +58,18 @@
 			j := rapid.IntRange(0, len(nodes)-1).Draw(rt, "peer")
 			if rapid.Bool().Draw(rt, "whole") {
 				whole := unpackLaterVersion(rt, nodes[i], history)
-				nodes[i] = whole.Following(nodes[i])
+				nodes[i] = whole.WithHistoryOf(nodes[i])
 				if !equalSets(nodes[i].Set(), whole.Set()) {
 					rt.Fatalf("version %d is %v, want %v", whole.head.Version, nodes[i].Set(), whole.Set())
 				}
 				continue
 			}
-			d, ok := nodes[j].Since(nodes[i].head.Version)
+			d, ok := nodes[j].DeltaSince(nodes[i].head.Version)
 			if !ok {
 				continue
 			}
 			want := history[d.Version-1]
-			next, err := nodes[i].With(d, want.head)
+			next, err := nodes[i].Apply(d, want.head)
 			if err != nil {
 				continue // detected by the digest: fetched whole instead
 			}
@@ -82,10 +82,10 @@
 }
 
 // drawHistory generates successive versions of a set of up to five services.
-func drawHistory(rt *rapid.T) []*Packed {
+func drawHistory(rt *rapid.T) []*EncodedSet {
 	s := testSet()
 	s.Services = s.Services[:1]
-	var out []*Packed
+	var out []*EncodedSet
 	for v := int64(1); v <= 8; v++ {
 		s.Version = v
 		s.Share = rapid.SampledFrom([]float64{0.5, 0.5, 0.25}).Draw(rt, "share")
@@ -124,7 +124,7 @@
 
 // unpackLaterVersion decodes the whole set of a random version that is not
 // older.
-func unpackLaterVersion(rt *rapid.T, have *Packed, history []*Packed) *Packed {
+func unpackLaterVersion(rt *rapid.T, have *EncodedSet, history []*EncodedSet) *EncodedSet {
 	want := history[rapid.Int64Range(have.head.Version, int64(len(history))).Draw(rt, "version")-1]
 	body, err := want.Bytes()
 	if err != nil {
@@ -150,7 +150,7 @@
 	next.Version, next.Share = 4, 0.25
 	from, to := mustPack(t, old), mustPack(t, next)
 	d := Delta{Tenant: "kalahari", Since: 3, Version: 4, Share: 0.25}
-	got, err := from.With(d, to.Head())
+	got, err := from.Apply(d, to.Head())
 	is.NoErr(err)
 	is.Equal(got.Set(), to.Set())
 	for _, bad := range []Delta{
@@ -160,12 +160,12 @@
 		{Tenant: "kalahari", Since: 3, Version: 4, Share: 0.2},
 		{Tenant: "kalahari", Since: 3, Version: 4, Share: 0.25, Removed: []string{"claimtrack"}},
 	} {
-		_, err := from.With(bad, to.Head())
+		_, err := from.Apply(bad, to.Head())
 		is.True(err != nil)
 	}
-	_, ok := to.Since(3)
+	_, ok := to.DeltaSince(3)
 	is.True(!ok) // packed as version 4 without the earlier history
-	d, ok = got.Since(3)
+	d, ok = got.DeltaSince(3)
 	is.True(ok)
 	is.Equal(len(d.Services), 0)
 }
@@ -211,21 +211,21 @@
 		b.Fatal(err)
 	}
 	d := Delta{Tenant: s.Tenant, Since: 1, Version: 2, Share: s.Share, Services: append(Delta{}.Services, changed)}
-	to, err := from.With(d, want)
+	to, err := from.Apply(d, want)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Run("answer", func(b *testing.B) {
 		var body []byte
 		for b.Loop() {
-			d, _ := to.Since(1)
+			d, _ := to.DeltaSince(1)
 			body, _ = d.Encode()
 		}
 		b.ReportMetric(float64(len(body)), "wire-B")
 	})
 	b.Run("apply", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := from.With(d, want); err != nil {
+			if _, err := from.Apply(d, want); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -233,7 +233,7 @@
 	b.Run("index", func(b *testing.B) {
 		idx := NewIndex(from.Set())
 		for b.Loop() {
-			idx.With(to.Set())
+			idx.WithSet(to.Set())
 		}
 	})
 }
--- a/internal/core/confset/patch.go
+++ b/internal/core/configset/patch.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"bytes"
@@ -16,10 +16,10 @@
 	// Array encoding: the field names would be a quarter of the size.
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
-	Name   string
-	Begin  int    // length in bytes of the common prefix
-	End    int    // length in bytes of the common suffix
-	Middle []byte // new bytes between them
+	Name      string
+	PrefixLen int    // length in bytes of the common prefix
+	SuffixLen int    // length in bytes of the common suffix
+	Middle    []byte // new bytes between them
 
 	// Changed is the version that changed the service last, as far as the
 	// sender knows. Without it, each node that skips versions would know less
@@ -80,12 +80,12 @@
 	for end < limit-begin && old[len(old)-1-end] == body[len(body)-1-end] {
 		end++
 	}
-	return Patch{Begin: begin, End: end, Middle: body[begin : len(body)-end]}
+	return Patch{PrefixLen: begin, SuffixLen: end, Middle: body[begin : len(body)-end]}
 }
 
 // applyPatch applies a patch to the service in p. The version is the one that
 // the delta leads to.
-func (p *Packed) applyPatch(d *Patch, version int64) (*packedService, error) {
+func (p *EncodedSet) applyPatch(d *Patch, version int64) (*packedService, error) {
 	i, ok := slices.BinarySearchFunc(p.services, d.Name, func(q *packedService, name string) int {
 		return cmp.Compare(q.service.Name, name)
 	})
@@ -96,8 +96,8 @@
 		return have, nil
 	}
 	old := p.services[i].body
-	if d.Begin < 0 || d.End < 0 || d.Begin > len(old) || d.End > len(old)-d.Begin {
+	if d.PrefixLen < 0 || d.SuffixLen < 0 || d.PrefixLen > len(old) || d.SuffixLen > len(old)-d.PrefixLen {
 		return nil, status.New(status.CodeProtocol, "patch for service %q exceeds its %d bytes", d.Name, len(old))
 	}
-	return newPackedService(slices.Concat(old[:d.Begin], d.Middle, old[len(old)-d.End:]), max(min(d.Changed, version), p.head.Version+1))
+	return newPackedService(slices.Concat(old[:d.PrefixLen], d.Middle, old[len(old)-d.SuffixLen:]), max(min(d.Changed, version), p.head.Version+1))
 }
--- a/internal/core/confset/patch_test.go
+++ b/internal/core/configset/patch_test.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"testing"
@@ -12,26 +12,26 @@
 func TestSmallChangeIsSentAsPatch(t *testing.T) {
 	is := is.New(t)
 	set := largeSet(20)
-	held := []*Packed{mustPack(t, set)}
+	held := []*EncodedSet{mustPack(t, set)}
 	for v := int64(2); v <= 2+maxHistory; v++ {
 		set.Version = v
 		set.Services[7].Slots++
 		next := mustPack(t, set)
-		d, ok := next.Following(held[len(held)-1]).Since(v - 1)
+		d, ok := next.WithHistoryOf(held[len(held)-1]).DeltaSince(v - 1)
 		is.True(ok)
 		is.Equal(len(d.Services), 0)
-		got, err := held[len(held)-1].With(d, next.Head())
+		got, err := held[len(held)-1].Apply(d, next.Head())
 		is.NoErr(err)
 		held = append(held, got)
 	}
 	newest := held[len(held)-1]
 	for i, from := range held[:len(held)-1] {
-		d, ok := newest.Since(from.head.Version)
+		d, ok := newest.DeltaSince(from.head.Version)
 		is.True(ok)
 		is.Equal(len(d.Patches), min(i, 1)) // the oldest is further back than the history kept
 		body, err := d.Encode()
 		is.NoErr(err)
-		got, err := from.With(d, newest.head)
+		got, err := from.Apply(d, newest.head)
 		is.NoErr(err)
 		is.Equal(got.Set(), newest.Set())
 		is.True(i == 0 || 2*len(body) < len(newest.services[7].body))
@@ -50,21 +50,21 @@
 	good := diffBodies(from.services[1].body, to.services[1].body)
 	good.Name = set.Services[1].Name
 	d := Delta{Tenant: set.Tenant, Since: 1, Version: 2, Share: set.Share, Patches: []Patch{good}}
-	got, err := from.With(d, to.Head())
+	got, err := from.Apply(d, to.Head())
 	is.NoErr(err)
 	is.Equal(got.Set(), to.Set())
 	size := len(from.services[1].body)
 	for _, bad := range []Patch{
-		{Name: "unheard-of", Begin: good.Begin, End: good.End, Middle: good.Middle},
-		{Name: good.Name, Begin: -1, End: good.End, Middle: good.Middle},
-		{Name: good.Name, Begin: good.Begin, End: -1, Middle: good.Middle},
-		{Name: good.Name, Begin: size + 1, End: 0, Middle: good.Middle},
-		{Name: good.Name, Begin: good.Begin, End: size, Middle: good.Middle},
-		{Name: good.Name, Begin: good.Begin, End: good.End},
-		{Name: set.Services[2].Name, Begin: good.Begin, End: good.End, Middle: good.Middle},
+		{Name: "unheard-of", PrefixLen: good.PrefixLen, SuffixLen: good.SuffixLen, Middle: good.Middle},
+		{Name: good.Name, PrefixLen: -1, SuffixLen: good.SuffixLen, Middle: good.Middle},
+		{Name: good.Name, PrefixLen: good.PrefixLen, SuffixLen: -1, Middle: good.Middle},
+		{Name: good.Name, PrefixLen: size + 1, SuffixLen: 0, Middle: good.Middle},
+		{Name: good.Name, PrefixLen: good.PrefixLen, SuffixLen: size, Middle: good.Middle},
+		{Name: good.Name, PrefixLen: good.PrefixLen, SuffixLen: good.SuffixLen},
+		{Name: set.Services[2].Name, PrefixLen: good.PrefixLen, SuffixLen: good.SuffixLen, Middle: good.Middle},
 	} {
 		d.Patches = []Patch{bad}
-		_, err := from.With(d, to.Head())
+		_, err := from.Apply(d, to.Head())
 		is.True(err != nil)
 	}
 }
--- a/internal/core/confset/route.go
+++ b/internal/core/configset/route.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"cmp"
@@ -42,10 +42,10 @@
 	// Runs is the number of targets on which one request may run, at least 1.
 	Runs int `msgpack:"r"`
 
-	// Once requests must never run twice, so they are not retried once they may
+	// NeverRepeat requests must never run twice, so they are not retried once they may
 	// have run. Unlike an at-most-once class they need no key: a repeated call
 	// is a new request.
-	Once bool `msgpack:"u,omitempty"`
+	NeverRepeat bool `msgpack:"u,omitempty"`
 
 	// MaxBody is the maximum size of a request's body in bytes.
 	MaxBody int64 `msgpack:"b"`
@@ -62,15 +62,15 @@
 
 // RouteInfo is a compiled route. Its fields are read-only.
 type RouteInfo struct {
-	Host   string
-	Prefix string
-	Class  Class // the route's declarations for its requests
-	Parts  []Part
-	Total  int // sum of the weights of Parts
+	Host        string
+	Prefix      string
+	Class       Class // the route's declarations for its requests
+	Services    []WeightedService
+	TotalWeight int // sum of the weights of Parts
 }
 
-// Part is one of the services that share a route's requests.
-type Part struct {
+// WeightedService is one of the services that share a route's requests.
+type WeightedService struct {
 	Service *ServiceInfo
 	Weight  int
 }
@@ -84,8 +84,8 @@
 		Objective: r.Objective, Attempts: r.Runs + extraRouteAttempts, Runs: r.Runs,
 		Repeat: Repeatable, MaxBody: r.MaxBody, Anonymous: r.Anonymous,
 	}
-	if r.Once {
-		c.Repeat = Once
+	if r.NeverRepeat {
+		c.Repeat = NeverRepeatable
 	}
 	return c
 }
@@ -115,9 +115,9 @@
 	return nil, false
 }
 
-// Routed reports whether requests are routed by host and path instead of by
+// HasRoutes reports whether requests are routed by host and path instead of by
 // service name.
-func (x *Index) Routed() bool { return x != nil && len(x.routes) > 0 }
+func (x *Index) HasRoutes() bool { return x != nil && len(x.routes) > 0 }
 
 // compileRoutes compiles the routes of all services of an index, by host.
 func compileRoutes(services map[request.Service]*ServiceInfo) map[string][]*RouteInfo {
@@ -132,13 +132,13 @@
 				have = &RouteInfo{Host: r.Host, Prefix: r.Prefix, Class: r.toClass()}
 				found[key] = have
 			}
-			have.Parts = append(have.Parts, Part{Service: info, Weight: r.Weight})
-			have.Total += r.Weight
+			have.Services = append(have.Services, WeightedService{Service: info, Weight: r.Weight})
+			have.TotalWeight += r.Weight
 		}
 	}
 	hosts := make(map[string][]*RouteInfo)
 	for _, r := range found {
-		slices.SortFunc(r.Parts, func(a, b Part) int { return cmp.Compare(a.Service.Name, b.Service.Name) })
+		slices.SortFunc(r.Services, func(a, b WeightedService) int { return cmp.Compare(a.Service.Name, b.Service.Name) })
 		hosts[r.Host] = append(hosts[r.Host], r)
 	}
 	for _, rs := range hosts {
--- a/internal/core/confset/route_test.go
+++ b/internal/core/configset/route_test.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"testing"
@@ -32,15 +32,15 @@
 	r, ok := idx.Route("x.example", "/p/q/r")
 	is.True(ok)
 	is.Equal(r.Class.Name, request.Class("r-deep"))
-	is.Equal(r.Total, 100)
-	is.Equal(len(r.Parts), 2)
+	is.Equal(r.TotalWeight, 100)
+	is.Equal(len(r.Services), 2)
 	r, ok = idx.Route("x.example", "/p/qq/")
 	is.True(ok)
 	is.Equal(r.Class.Name, request.Class("r-all"))
 	_, ok = idx.Route("y.example", "/p/q/r")
 	is.True(!ok)
-	is.True(idx.Routed())
-	is.True(!NewIndex().Routed())
+	is.True(idx.HasRoutes())
+	is.True(!NewIndex().HasRoutes())
 }
 
 // Checks that a set with routes is encoded, verified and sent as a delta like
@@ -60,13 +60,13 @@
 	next.Services[1].Routes[0].Weight = 40
 	p, err := Pack(next)
 	is.NoErr(err)
-	d, ok := p.Following(old).Since(3)
+	d, ok := p.WithHistoryOf(old).DeltaSince(3)
 	is.True(ok)
-	got, err := back.With(d, p.Head())
+	got, err := back.Apply(d, p.Head())
 	is.NoErr(err)
 	is.Equal(NewIndex(got.Set()).Services(), NewIndex(next).Services())
 	r, _ := NewIndex(got.Set()).Route("x.example", "/p/q/")
-	is.Equal(r.Total, 130)
+	is.Equal(r.TotalWeight, 130)
 }
 
 func TestValidateRoutes(t *testing.T) {
@@ -80,7 +80,7 @@
 		"no deadline":    func(s *Set) { s.Services[0].Routes[0].Deadline = 0 },
 		"weight":         func(s *Set) { s.Services[0].Routes[0].Weight = -1 },
 		"twice":          func(s *Set) { s.Services[0].Routes[1].Name = s.Services[0].Routes[0].Name },
-		"told otherwise": func(s *Set) { s.Services[1].Routes[0].Once = true },
+		"told otherwise": func(s *Set) { s.Services[1].Routes[0].NeverRepeat = true },
 	} {
 		set := routedSet()
 		mutate(&set)
--- a/internal/core/confset/set.go
+++ b/internal/core/configset/set.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"time"
@@ -86,9 +86,9 @@
 	// AtMostOnce requests carry an idempotency key and never run twice.
 	AtMostOnce bool `msgpack:"o,omitempty"`
 
-	// Remember is the retention time of an at-most-once request's key.
+	// KeyRetention is the retention time of an at-most-once request's key.
 	// DefaultRemember if not declared; 0 for other classes.
-	Remember time.Duration `msgpack:"r,omitempty"`
+	KeyRetention time.Duration `msgpack:"r,omitempty"`
 
 	// MaxBody is the maximum size of a request's body in bytes. DefaultMaxBody
 	// if not declared.
@@ -104,23 +104,23 @@
 	Objective time.Duration `msgpack:"-"`
 
 	// Repeat says whether a request may run more than once.
-	Repeat Repeat `msgpack:"-"`
+	Repeat RepeatPolicy `msgpack:"-"`
 
 	// Runs is the number of targets on which a request may run; 0: limited by
 	// its attempts only.
 	Runs int `msgpack:"-"`
 }
 
-// Repeat says whether a request that may have run may be sent again.
-type Repeat uint8
+// RepeatPolicy says whether a request that may have run may be sent again.
+type RepeatPolicy uint8
 
 const (
 	// ByMethod follows the method's definition (RFC 9110, 9.2.2).
-	ByMethod Repeat = iota
+	ByMethod RepeatPolicy = iota
 	// Repeatable requests may run more than once, whatever their method.
 	Repeatable
-	// Once requests never run twice, whatever their method.
-	Once
+	// NeverRepeatable requests never run twice, whatever their method.
+	NeverRepeatable
 )
 
 // Defaults of classes.
--- a/internal/core/confset/validate.go
+++ b/internal/core/configset/validate.go
@@ -1,4 +1,4 @@
-package confset
+package configset
 
 import (
 	"fmt"
@@ -173,11 +173,11 @@
 // checkRemember validates the fields that concern only at-most-once classes.
 func (v *validator) checkRemember(field fieldPath, c Class) {
 	switch {
-	case !c.AtMostOnce && c.Remember != 0:
+	case !c.AtMostOnce && c.KeyRetention != 0:
 		v.report(field.withKey("remember"), "is only for atMostOnce classes")
-	case c.AtMostOnce && c.Remember > MaxRemember:
+	case c.AtMostOnce && c.KeyRetention > MaxRemember:
 		v.report(field.withKey("remember"), "must be at most %v", MaxRemember)
-	case c.AtMostOnce && c.Remember < c.Deadline:
+	case c.AtMostOnce && c.KeyRetention < c.Deadline:
 		v.report(field.withKey("remember"), "must be at least the deadline of %v, or a key is forgotten while its request runs",
 			c.Deadline)
 	}
--- a/internal/core/inforce/call.go
+++ b/internal/core/configsync/call.go
@@ -1,10 +1,10 @@
-package inforce
+package configsync
 
 import (
 	"slices"
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -12,7 +12,7 @@
 type pendingCall struct {
 	kind     callKind
 	tenant   request.Tenant
-	head     confset.Head     // for callObject: the set to load
+	head     configset.Head   // for callObject: the set to load
 	peer     request.TargetID // for callKnownHeads
 	deadline time.Duration
 }
@@ -105,7 +105,7 @@
 
 // HandleHead reports the outcome of ReadHead; a zero head means that the row
 // does not exist.
-func (s *State) HandleHead(now time.Duration, id uint64, h confset.Head) []Action {
+func (s *State) HandleHead(now time.Duration, id uint64, h configset.Head) []Action {
 	if c, ok := s.calls[id]; ok && c.kind == callHeadRow {
 		s.endCall(id)
 		s.handleHeadRow(now, c.tenant, h)
--- a/internal/core/inforce/cluster_test.go
+++ b/internal/core/configsync/cluster_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"peardrift/internal/apply"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port/porttest"
 )
@@ -35,21 +35,21 @@
 	frozen            bool
 	partition         int
 	installedVersions map[request.Tenant]int64
-	gossipedHeads     map[request.Tenant]confset.Head
+	gossipedHeads     map[request.Tenant]configset.Head
 }
 
 func newCluster(n int, fatal func(string, ...any)) *cluster {
 	c := &cluster{
 		fatal: fatal, now: time.Minute, asks: make(map[uint64]func(Reply)),
 		store: apply.New(porttest.NewTable(), porttest.NewObjects(),
-			apply.Config{Attempts: 2, Pause: time.Nanosecond, MaxPause: time.Nanosecond}),
+			apply.Config{Attempts: 2, InitialDelay: time.Nanosecond, MaxDelay: time.Nanosecond}),
 	}
 	for i := range n {
 		name := fmt.Sprintf("node-%d", i)
 		c.peers = append(c.peers, Peer{ID: request.TargetIDOf(name), Region: "bangkok", Addr: name})
 	}
 	for i := range n {
-		c.nodes = append(c.nodes, &node{cluster: c, peer: c.peers[i], gossipedHeads: make(map[request.Tenant]confset.Head)})
+		c.nodes = append(c.nodes, &node{cluster: c, peer: c.peers[i], gossipedHeads: make(map[request.Tenant]configset.Head)})
 		c.nodes[i].restart()
 	}
 	return c
@@ -93,7 +93,7 @@
 			}
 		case Install:
 			n.checkInstall(a)
-		case Spread:
+		case GossipHead:
 			n.gossipedHeads[a.Head.Tenant] = a.Head
 		default:
 			n.enqueue(func() { n.callPlatform(a) })
@@ -136,7 +136,7 @@
 			return
 		}
 		r, _ := c.store.Head(ctx, a.Tenant) // zero record if there is none
-		n.execute(n.state.HandleHead(c.now, a.ID, confset.Head{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest}))
+		n.execute(n.state.HandleHead(c.now, a.ID, configset.Head{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest}))
 	case ReadTenants:
 		tenants, _, err := c.store.Tenants(ctx)
 		if err != nil || c.platformDown {
@@ -214,12 +214,12 @@
 }
 
 // testSet returns a valid set; the slots distinguish it from others.
-func testSet(t request.Tenant, slots int) confset.Set {
-	s := confset.Set{Tenant: t, Share: 0.5}
+func testSet(t request.Tenant, slots int) configset.Set {
+	s := configset.Set{Tenant: t, Share: 0.5}
 	for _, name := range []string{"archive", "feed"} {
-		s.Services = append(s.Services, confset.Service{
+		s.Services = append(s.Services, configset.Service{
 			Name: name, Slots: 1, Connections: 1_000_000,
-			Classes: []confset.Class{{Name: "read", Path: "/", Deadline: time.Second}},
+			Classes: []configset.Class{{Name: "read", Path: "/", Deadline: time.Second}},
 		})
 	}
 	s.Services[slots%2].Slots = slots
--- a/internal/core/inforce/config.go
+++ b/internal/core/configsync/config.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import "time"
 
@@ -28,11 +28,11 @@
 	// tenants each row is read less often. Default 100.
 	PollReads int
 
-	// Spacing is the minimum time between two fetches of a tenant's set.
+	// MinFetchInterval is the minimum time between two fetches of a tenant's set.
 	// Default 500 ms. A higher value batches changes in busy periods, which
 	// costs fewer messages and installs; each level of the tree may add this
 	// delay.
-	Spacing time.Duration
+	MinFetchInterval time.Duration
 
 	// AskTimeout is the timeout of a request to a peer. Default 1.5 s. It must
 	// exceed ServeWait by at least one round trip. A lower value abandons a
@@ -56,11 +56,11 @@
 	// spare a failing platform.
 	RetryMin, RetryMax time.Duration
 
-	// ServeRate (bytes per second) and ServeBurst (bytes) limit the whole sets
+	// WholeSetRate (bytes per second) and ServeBurst (bytes) limit the whole sets
 	// that a node sends to peers. Defaults 1 KB/s and 256 KB. Lower values
 	// limit a node's control traffic when many nodes start at once, and send
 	// some of them to the object store. Deltas are not limited.
-	ServeRate, ServeBurst int
+	WholeSetRate, WholeSetBurst int
 
 	// StartPeers is the number of informed peers that report the newest
 	// versions to a starting node. Default 5. A higher value makes it less
@@ -71,21 +71,21 @@
 	// peers that it asked. Default 2 s.
 	StartWait time.Duration
 
-	// ColdReads limits how many starting nodes per second read the platform
+	// PlatformStartRate limits how many starting nodes per second read the platform
 	// because no informed peer answered. Default 50. A lower value spares the
 	// platform when the whole fleet starts at once, and makes the first nodes
 	// wait longer.
-	ColdReads int
+	PlatformStartRate int
 
-	// RideFor is how long a node that is behind relies on piggybacking on
+	// PiggybackTimeout is how long a node that is behind relies on piggybacking on
 	// heartbeats while its control budget is exhausted, before it opens a
 	// connection anyway. Default 5 s. A lower value bounds the delay more
 	// tightly and costs bytes when they are scarce.
-	RideFor time.Duration
+	PiggybackTimeout time.Duration
 
-	// HintFor is how long a hint is retried while the platform does not confirm
+	// HintTTL is how long a hint is retried while the platform does not confirm
 	// it. Default 1 m.
-	HintFor time.Duration
+	HintTTL time.Duration
 }
 
 // DefaultConfig returns the default configuration.
@@ -93,13 +93,13 @@
 	return Config{
 		Fanout: 3, Roots: 2,
 		Pollers: 2, PollEvery: 2 * time.Second, PollReads: 100,
-		Spacing:    500 * time.Millisecond,
-		AskTimeout: 1500 * time.Millisecond, LoadTimeout: 5 * time.Second,
+		MinFetchInterval: 500 * time.Millisecond,
+		AskTimeout:       1500 * time.Millisecond, LoadTimeout: 5 * time.Second,
 		ServeWait: time.Second, MaxWaiters: 64,
 		RetryMin: 500 * time.Millisecond, RetryMax: 30 * time.Second,
-		ServeRate: 1 << 10, ServeBurst: 256 << 10,
-		StartPeers: 5, StartWait: 2 * time.Second, ColdReads: 50,
-		HintFor: time.Minute,
-		RideFor: 5 * time.Second,
+		WholeSetRate: 1 << 10, WholeSetBurst: 256 << 10,
+		StartPeers: 5, StartWait: 2 * time.Second, PlatformStartRate: 50,
+		HintTTL:          time.Minute,
+		PiggybackTimeout: 5 * time.Second,
 	}
 }
--- a/internal/core/inforce/cost_test.go
+++ b/internal/core/configsync/cost_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"fmt"
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
 // fullSet returns a set with the given number of services, each with four
 // classes and three callees.
-func fullSet(services int) confset.Set {
-	s := confset.Set{Tenant: "khaosan", Share: 0.5, Version: 1}
+func fullSet(services int) configset.Set {
+	s := configset.Set{Tenant: "khaosan", Share: 0.5, Version: 1}
 	name := func(i int) string { return fmt.Sprintf("service-%d", i%services) }
 	for i := range services {
-		svc := confset.Service{Name: name(i), Slots: 100 + i%50, Connections: 1000}
+		svc := configset.Service{Name: name(i), Slots: 100 + i%50, Connections: 1000}
 		for j := 1; j <= 3; j++ {
-			svc.Calls = append(svc.Calls, confset.FullName(name(i+j), s.Tenant))
+			svc.Calls = append(svc.Calls, configset.FullName(name(i+j), s.Tenant))
 		}
 		for j := range 4 {
-			svc.Classes = append(svc.Classes, confset.Class{
+			svc.Classes = append(svc.Classes, configset.Class{
 				Name: request.Class(fmt.Sprintf("class-%d", j)), Method: "POST", Path: fmt.Sprintf("/resource-%d", j),
-				Importance: request.Importance(20 * j), Deadline: time.Second, Attempts: 1, MaxBody: confset.DefaultMaxBody,
+				Importance: request.Importance(20 * j), Deadline: time.Second, Attempts: 1, MaxBody: configset.DefaultMaxBody,
 			})
 		}
 		s.Services = append(s.Services, svc)
@@ -38,7 +38,7 @@
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			peers := manyPeers(n, 1)
 			cfg := DefaultConfig()
-			order := treeOrdering(confset.Head{Tenant: "khaosan", Version: 7}, 0)
+			order := treeOrdering(configset.Head{Tenant: "khaosan", Version: 7}, 0)
 			for b.Loop() {
 				order.parent(cfg.Roots, cfg.Fanout, peers[n/2].ID, peers)
 			}
@@ -74,11 +74,11 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			p, err := confset.Pack(fullSet(services))
+			p, err := configset.Pack(fullSet(services))
 			if err != nil {
 				b.Fatal(err)
 			}
-			idx := confset.NewIndex(p.Set())
+			idx := configset.NewIndex(p.Set())
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			x := &tenant{held: p}
--- a/internal/core/inforce/doc.go
+++ b/internal/core/configsync/doc.go
@@ -38,4 +38,4 @@
 //
 // State is not safe for concurrent use. Index may be published to other
 // goroutines.
-package inforce
+package configsync
--- a/internal/core/inforce/fetch.go
+++ b/internal/core/configsync/fetch.go
@@ -1,9 +1,9 @@
-package inforce
+package configsync
 
 import (
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 )
 
 // A fetch tries the sources in this order before it backs off: parents in
@@ -29,12 +29,12 @@
 		// busy period its roots have often learnt of a newer one before they
 		// learn of it.
 		if peer = !x.poll.isPoller; peer {
-			x.nextFetch = now + s.cfg.Spacing
+			x.nextFetch = now + s.cfg.MinFetchInterval
 			return
 		}
 	}
 	x.fetching = true
-	x.nextFetch = now + s.cfg.Spacing
+	x.nextFetch = now + s.cfg.MinFetchInterval
 	if peer {
 		id := s.beginCall(pendingCall{kind: callAsk, tenant: x.known.Tenant, deadline: now + s.cfg.AskTimeout})
 		have := x.heldVersion()
@@ -104,7 +104,7 @@
 // A peer that was paused or partitioned replies with what it has, which helps a
 // node that is further behind. A starting node must not accept such a set: the
 // previous process may have had a newer version in force.
-func (s *State) verifyReply(x *tenant, r Reply) (*confset.Packed, error) {
+func (s *State) verifyReply(x *tenant, r Reply) (*configset.EncodedSet, error) {
 	if r.Head.Tenant != x.known.Tenant || r.Head.Version <= x.heldVersion() || r.Head.Version < x.minVersion {
 		return nil, nil
 	}
@@ -113,17 +113,17 @@
 	}
 	switch {
 	case len(r.Delta) > 0 && x.held != nil:
-		d, err := confset.DecodeDelta(r.Delta)
+		d, err := configset.DecodeDelta(r.Delta)
 		if err != nil {
 			return nil, err
 		}
-		return x.held.With(d, r.Head)
+		return x.held.Apply(d, r.Head)
 	case len(r.Whole) > 0:
 		body, err := decompress(r.Whole)
 		if err != nil {
 			return nil, err
 		}
-		return confset.Unpack(body, r.Head)
+		return configset.Unpack(body, r.Head)
 	default:
 		return nil, nil
 	}
@@ -139,8 +139,8 @@
 }
 
 // handleObject handles a set's bytes from the object store.
-func (s *State) handleObject(now time.Duration, x *tenant, h confset.Head, body []byte) {
-	p, err := confset.Unpack(body, h)
+func (s *State) handleObject(now time.Duration, x *tenant, h configset.Head, body []byte) {
+	p, err := configset.Unpack(body, h)
 	if err != nil {
 		s.stats.Refused++
 		s.handleFetchFailure(now, x)
@@ -150,7 +150,7 @@
 	s.completeFetch(now, x, p, ByObject)
 }
 
-func (s *State) completeFetch(now time.Duration, x *tenant, p *confset.Packed, by Source) {
+func (s *State) completeFetch(now time.Duration, x *tenant, p *configset.EncodedSet, by Source) {
 	x.fetching = false
 	x.failures = 0
 	s.install(now, x, p, by)
--- a/internal/core/inforce/fuzz_test.go
+++ b/internal/core/configsync/fuzz_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"math/rand/v2"
@@ -6,23 +6,23 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 )
 
 // FuzzReply feeds a node arbitrary replies from a peer: it must not panic, and
 // must install only the announced set.
 func FuzzReply(f *testing.F) {
-	pack := func(slots int, version int64) *confset.Packed {
+	pack := func(slots int, version int64) *configset.EncodedSet {
 		set := testSet("khaosan", slots)
 		set.Version = version
-		p, err := confset.Pack(set)
+		p, err := configset.Pack(set)
 		if err != nil {
 			f.Fatal(err)
 		}
 		return p
 	}
 	old, next := pack(2, 1), pack(4, 2)
-	d, _ := next.Following(old).Since(1)
+	d, _ := next.WithHistoryOf(old).DeltaSince(1)
 	delta, err := d.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -31,7 +31,7 @@
 		{Head: next.Head(), Delta: delta},
 		{Head: next.Head(), Whole: (&tenant{held: next}).compressed()},
 		{Head: next.Head(), Whole: (&tenant{held: old}).compressed()},
-		{Heads: []confset.Head{next.Head(), old.Head()}, Informed: true},
+		{Heads: []configset.Head{next.Head(), old.Head()}, Informed: true},
 	} {
 		body, err := msgpack.Marshal(r)
 		if err != nil {
--- a/internal/core/inforce/inforce_test.go
+++ b/internal/core/configsync/inforce_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/status"
 )
@@ -77,10 +77,10 @@
 	old := c.nodes[0].state.tenants["khaosan"]
 	c.nodes[1].restart()
 	s := c.nodes[1].state
-	want := confset.Head{Tenant: "khaosan", Version: 2}
+	want := configset.Head{Tenant: "khaosan", Version: 2}
 	for _, a := range s.Tick(c.now) {
 		if ask, ok := a.(AskPeer); ok {
-			s.HandleReply(c.now, ask.ID, Reply{Informed: true, Heads: []confset.Head{want}})
+			s.HandleReply(c.now, ask.ID, Reply{Informed: true, Heads: []configset.Head{want}})
 		}
 	}
 	is.True(s.startup.informed)
@@ -134,7 +134,7 @@
 	c.runFor(5 * time.Second)
 	c.platformDown = true
 	n := c.nodes[0]
-	n.execute(n.state.Learn(c.now, confset.Head{Tenant: "khaosan", Version: 1}))
+	n.execute(n.state.Learn(c.now, configset.Head{Tenant: "khaosan", Version: 1}))
 	c.runFor(10 * time.Minute)
 	rounds := n.state.Stats().Failed / sourceCount
 	is.True(rounds >= 20 && rounds <= 60) // one round per 15 to 30 s, and a few before
@@ -148,7 +148,7 @@
 	c.runFor(5 * time.Second)
 	c.platformDown = true
 	s := c.nodes[0].state
-	want := confset.Head{Tenant: "khaosan", Version: 1}
+	want := configset.Head{Tenant: "khaosan", Version: 1}
 	s.HandleAsk(c.now, 7, Ask{Want: want})
 	answered := func(actions []Action) bool {
 		return slices.ContainsFunc(actions, func(a Action) bool {
@@ -162,7 +162,7 @@
 		s.HandleAsk(c.now, i, Ask{Want: want})
 	}
 	is.Equal(len(s.tenants["khaosan"].waiters), DefaultConfig().MaxWaiters)
-	for _, hostile := range []Ask{{}, {Want: confset.Head{Tenant: "khaosan", Version: -1}}, {Want: confset.Head{Version: 1}}} {
+	for _, hostile := range []Ask{{}, {Want: configset.Head{Tenant: "khaosan", Version: -1}}, {Want: configset.Head{Version: 1}}} {
 		is.Equal(len(s.HandleAsk(c.now, 9, hostile)), 1) // answered without a set
 	}
 }
@@ -174,7 +174,7 @@
 	c := newCluster(1, t.Fatalf)
 	c.runFor(5 * time.Second)
 	s := c.nodes[0].state
-	p, err := confset.Pack(testSet("khaosan", 3))
+	p, err := configset.Pack(testSet("khaosan", 3))
 	is.NoErr(err)
 	body, err := p.Bytes()
 	is.NoErr(err)
@@ -210,7 +210,7 @@
 		s.Hint(c.now, request.Tenant("tenant-"+string(rune('a'+i%26))+time.Duration(i).String()), 1)
 	}
 	is.True(len(s.tenantNames) <= maxTenants)
-	s.Hint(c.now, request.Tenant(make([]byte, confset.MaxTenantName+1)), 1)
+	s.Hint(c.now, request.Tenant(make([]byte, configset.MaxTenantName+1)), 1)
 	is.True(len(s.tenantNames) <= maxTenants)
 }
 
@@ -229,7 +229,7 @@
 
 func TestFact(t *testing.T) {
 	is := is.New(t)
-	h := confset.Head{Tenant: "khaosan", Version: 7, Digest: confset.Digest{1, 2, 3}}
+	h := configset.Head{Tenant: "khaosan", Version: 7, Digest: configset.Digest{1, 2, 3}}
 	key, version, value := FactOf(h)
 	is.True(len(value) <= 64)
 	got, err := HeadOf(key, version, value)
--- a/internal/core/confset/main_test.go
+++ b/internal/core/configsync/main_test.go
@@ -1,4 +1,4 @@
-package confset
+package configsync
 
 import (
 	"testing"
--- a/internal/core/inforce/message.go
+++ b/internal/core/configsync/message.go
@@ -1,7 +1,7 @@
-package inforce
+package configsync
 
 import (
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -20,7 +20,7 @@
 
 	// Want is the version that the sender has learnt of. The peer may reply
 	// with a newer one.
-	Want confset.Head `msgpack:"w"`
+	Want configset.Head `msgpack:"w"`
 
 	// Have is the version that the sender holds, 0 for none.
 	Have int64 `msgpack:"h,omitempty"`
@@ -30,7 +30,7 @@
 // peer has nothing to send at the moment.
 type Reply struct {
 	// Head is the version that Delta or Whole produces.
-	Head confset.Head `msgpack:"h"`
+	Head configset.Head `msgpack:"h"`
 
 	// Delta is an encoded confset.Delta from the version that the requester
 	// holds.
@@ -44,7 +44,7 @@
 	Informed bool `msgpack:"i,omitempty"`
 
 	// Heads is the response to Ask.Heads.
-	Heads []confset.Head `msgpack:"n,omitempty"`
+	Heads []configset.Head `msgpack:"n,omitempty"`
 }
 
 // Action is an operation for the control goroutine to carry out.
@@ -62,7 +62,7 @@
 // with HandleLoaded or HandleFailure.
 type LoadObject struct {
 	ID   uint64
-	Head confset.Head
+	Head configset.Head
 }
 
 // ReadHead reads a tenant's head row; report the outcome with HandleHead or
@@ -86,8 +86,8 @@
 // Install publishes the index to the traffic path. Head is the set that
 // changed, By is the source that it came from.
 type Install struct {
-	Head  confset.Head
-	Index *confset.Index
+	Head  configset.Head
+	Index *configset.Index
 	By    Source
 }
 
@@ -102,8 +102,8 @@
 	ByObject    Source = "object"    // read from the object store
 )
 
-// Spread gossips the head as a fact.
-type Spread struct{ Head confset.Head }
+// GossipHead gossips the head as a fact.
+type GossipHead struct{ Head configset.Head }
 
 func (AskPeer) action()     {}
 func (LoadObject) action()  {}
@@ -111,4 +111,4 @@
 func (ReadTenants) action() {}
 func (Answer) action()      {}
 func (Install) action()     {}
-func (Spread) action()      {}
+func (GossipHead) action()  {}
--- a/internal/core/inforce/offer.go
+++ b/internal/core/configsync/offer.go
@@ -1,16 +1,16 @@
-package inforce
+package configsync
 
 import (
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
-// Offer handles an accepted set that this node has read from the platform. A
+// HandlePlatformSet handles an accepted set that this node has read from the platform. A
 // newer set is installed at once, even if the node is not informed yet: no peer
 // can know more than the platform.
-func (s *State) Offer(now time.Duration, p *confset.Packed) []Action {
+func (s *State) HandlePlatformSet(now time.Duration, p *configset.EncodedSet) []Action {
 	x, ok := s.tenant(p.Head().Tenant)
 	if !ok {
 		return s.takeActions()
@@ -22,17 +22,17 @@
 	return s.takeActions()
 }
 
-// OfferNone handles the platform's answer that no set has been accepted.
-func (s *State) OfferNone(now time.Duration) []Action {
+// HandlePlatformEmpty handles the platform's answer that no set has been accepted.
+func (s *State) HandlePlatformEmpty(now time.Duration) []Action {
 	if !s.startup.informed {
 		s.markInformed(now)
 	}
 	return s.takeActions()
 }
 
-// Base returns the version that a tenant's next delta must start from; 0
+// DeltaBase returns the version that a tenant's next delta must start from; 0
 // requests the whole set.
-func (s *State) Base(t request.Tenant) int64 {
+func (s *State) DeltaBase(t request.Tenant) int64 {
 	x := s.tenants[t]
 	if x == nil || x.deltaRejected {
 		return 0
@@ -40,10 +40,10 @@
 	return x.heldVersion()
 }
 
-// Since returns the changes for a peer that holds the given version of a
+// ReplySince returns the changes for a peer that holds the given version of a
 // tenant's set. It returns nil if this node has nothing newer, or if the whole
 // set would exceed the limit on whole sets.
-func (s *State) Since(now time.Duration, t request.Tenant, base int64) *Reply {
+func (s *State) ReplySince(now time.Duration, t request.Tenant, base int64) *Reply {
 	x := s.tenants[t]
 	if x == nil || x.heldVersion() <= base {
 		return nil
@@ -55,10 +55,10 @@
 	return &r
 }
 
-// Give handles a set that the parent pushed in the watch, without a request for
+// HandlePush handles a set that the parent pushed in the watch, without a request for
 // that version. A node that is not informed yet ignores it: the parent may be
 // behind.
-func (s *State) Give(now time.Duration, t request.Tenant, r Reply) []Action {
+func (s *State) HandlePush(now time.Duration, t request.Tenant, r Reply) []Action {
 	x, ok := s.tenant(t)
 	if !ok || !s.startup.informed {
 		return s.takeActions()
--- a/internal/core/inforce/offer_test.go
+++ b/internal/core/configsync/offer_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"math/rand/v2"
@@ -7,12 +7,12 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 )
 
-func packedSet(t *testing.T, version int64) *confset.Packed {
-	p, err := confset.Pack(confset.Set{Tenant: "t", Version: version, Share: 1, Services: []confset.Service{
-		{Name: "a", Slots: 1, Connections: 1, Routes: []confset.Route{{
+func packedSet(t *testing.T, version int64) *configset.EncodedSet {
+	p, err := configset.Pack(configset.Set{Tenant: "t", Version: version, Share: 1, Services: []configset.Service{
+		{Name: "a", Slots: 1, Connections: 1, Routes: []configset.Route{{
 			Name: "r", Host: "x", Prefix: "/", Weight: int(version), Deadline: time.Second, Runs: 1,
 		}}},
 	}})
@@ -28,14 +28,14 @@
 	is := is.New(t)
 	s := New(DefaultConfig(), Peer{ID: 1}, rand.New(rand.NewPCG(1, 2)), 0)
 	is.True(!s.Ready())
-	s.Offer(0, packedSet(t, 5))
+	s.HandlePlatformSet(0, packedSet(t, 5))
 	is.True(s.Ready()) // no peer can know more than the store
 	is.Equal(s.InForce("t"), int64(5))
-	s.Offer(1, packedSet(t, 4))
+	s.HandlePlatformSet(1, packedSet(t, 4))
 	is.Equal(s.InForce("t"), int64(5))
 	spread := 0
-	for _, a := range s.Offer(2, packedSet(t, 7)) {
-		if _, ok := a.(Spread); ok {
+	for _, a := range s.HandlePlatformSet(2, packedSet(t, 7)) {
+		if _, ok := a.(GossipHead); ok {
 			spread++
 		}
 	}
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	s := New(DefaultConfig(), Peer{ID: 1}, rand.New(rand.NewPCG(1, 1)), 0)
 	s.SetPeers([]Peer{{ID: 1}}, []Peer{{ID: 1}}, true)
-	s.OfferNone(0)
+	s.HandlePlatformEmpty(0)
 	is.True(s.Ready())
 	s.tickStartup(time.Hour)
 	is.Equal(len(s.takeActions()), 0)
@@ -61,15 +61,15 @@
 	c := newCluster(1, t.Fatalf)
 	c.apply("khaosan", 1, 0)
 	c.runFor(5 * time.Second)
-	given := c.nodes[0].state.Since(c.now, "khaosan", 0)
+	given := c.nodes[0].state.ReplySince(c.now, "khaosan", 0)
 	is.True(given != nil)
 	s := New(DefaultConfig(), Peer{ID: 9}, rand.New(rand.NewPCG(1, 1)), 0)
-	s.Give(0, "khaosan", *given)
+	s.HandlePush(0, "khaosan", *given)
 	is.Equal(s.InForce("khaosan"), int64(0))
-	s.OfferNone(0)
-	s.Give(0, "khaosan", *given)
+	s.HandlePlatformEmpty(0)
+	s.HandlePush(0, "khaosan", *given)
 	is.Equal(s.InForce("khaosan"), int64(1))
-	is.Equal(s.Since(0, "khaosan", 1) == nil, true) // nothing newer to send
+	is.Equal(s.ReplySince(0, "khaosan", 1) == nil, true) // nothing newer to send
 }
 
 // Guards against requesting a delta again from a version for which one was
@@ -80,8 +80,8 @@
 	c.apply("khaosan", 1, 0)
 	c.runFor(5 * time.Second)
 	s := c.nodes[0].state
-	is.Equal(s.Base("khaosan"), int64(1))
-	s.Give(c.now, "khaosan", Reply{Head: confset.Head{Tenant: "khaosan", Version: 2}, Delta: []byte{1}})
+	is.Equal(s.DeltaBase("khaosan"), int64(1))
+	s.HandlePush(c.now, "khaosan", Reply{Head: configset.Head{Tenant: "khaosan", Version: 2}, Delta: []byte{1}})
 	is.Equal(s.InForce("khaosan"), int64(1))
-	is.Equal(s.Base("khaosan"), int64(0))
+	is.Equal(s.DeltaBase("khaosan"), int64(0))
 }
--- a/internal/core/inforce/piggyback.go
+++ b/internal/core/configsync/piggyback.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"peardrift/internal/core/budget"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/status"
 )
 
@@ -54,7 +54,7 @@
 // fetched anyway: its peers may all be behind, or hold too little history for a
 // delta.
 func (s *State) waitsForHeartbeat(now time.Duration, x *tenant) bool {
-	return x.held != nil && !s.budget.Allows(budget.Conn) && now-x.behindSince < s.cfg.RideFor
+	return x.held != nil && !s.budget.Allows(budget.SeparateConn) && now-x.behindSince < s.cfg.PiggybackTimeout
 }
 
 // isBehind reports whether a version newer than the one in force is known for
@@ -68,13 +68,13 @@
 	return false
 }
 
-// RideAsk returns a query to piggyback on the next heartbeat, of at most room
+// PiggybackQuery returns a query to piggyback on the next heartbeat, of at most room
 // bytes; nil if there is nothing to ask. Several peers are queried at a time:
 // some answers are duplicates, but at most a third of the queried peers have
 // something newer.
-func (s *State) RideAsk(room int) []byte {
+func (s *State) PiggybackQuery(room int) []byte {
 	n := min(room-queryOverhead, maxQueryVersions, len(s.tenantNames))
-	if !s.startup.informed || s.budget.Allows(budget.Conn) && !s.isBehind() || n <= 0 {
+	if !s.startup.informed || s.budget.Allows(budget.SeparateConn) && !s.isBehind() || n <= 0 {
 		return nil
 	}
 	q := versionQuery{TenantsHash: s.tenantNamesHash(), From: s.nextQueried, Versions: make([]byte, n)}
@@ -97,9 +97,9 @@
 	return uint32(d.Sum64())
 }
 
-// RideAnswer answers a peer's query with deltas to newer versions, in at most
+// PiggybackAnswer answers a peer's query with deltas to newer versions, in at most
 // room bytes; nil if there are none.
-func (s *State) RideAnswer(body []byte, room int) []byte {
+func (s *State) PiggybackAnswer(body []byte, room int) []byte {
 	var q versionQuery
 	if msgpack.Unmarshal(body, &q) != nil || len(q.Versions) > min(maxQueryVersions, len(s.tenantNames)) ||
 		q.From < 0 || q.From >= len(s.tenantNames) || q.TenantsHash != s.tenantNamesHash() {
@@ -125,8 +125,8 @@
 	return encodeArray(deltas)
 }
 
-// RideTake handles a peer's answer.
-func (s *State) RideTake(now time.Duration, body []byte) []Action {
+// HandlePiggyback handles a peer's answer.
+func (s *State) HandlePiggyback(now time.Duration, body []byte) []Action {
 	deltas, err := decodeTenantDeltas(body)
 	if err != nil {
 		s.stats.Refused++
@@ -142,11 +142,11 @@
 }
 
 func (s *State) applyTenantDelta(now time.Duration, x *tenant, p tenantDelta) {
-	h := confset.Head{Tenant: x.known.Tenant, Version: p.Version}
+	h := configset.Head{Tenant: x.known.Tenant, Version: p.Version}
 	if x.held == nil || p.Version <= x.heldVersion() || len(p.Digest) != len(h.Digest) {
 		return
 	}
-	if d, err := confset.DecodeDelta(p.Delta); err == nil && d.Since < x.heldVersion() {
+	if d, err := configset.DecodeDelta(p.Delta); err == nil && d.Since < x.heldVersion() {
 		return // stale: a newer version was installed after the query
 	}
 	copy(h.Digest[:], p.Digest)
@@ -155,10 +155,10 @@
 		// The delta is invalid, as its digest shows. The set is then fetched
 		// over a connection, from other peers.
 		s.rejectDelta(x)
-		x.behindSince = now - s.cfg.RideFor
+		x.behindSince = now - s.cfg.PiggybackTimeout
 		return
 	}
-	s.stats.ByRide++
+	s.stats.ByPiggyback++
 	s.install(now, x, set, ByHeartbeat)
 }
 
--- a/internal/core/inforce/piggyback_test.go
+++ b/internal/core/configsync/piggyback_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"math/rand/v2"
@@ -8,19 +8,19 @@
 	"github.com/matryer/is"
 
 	"peardrift/internal/core/budget"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
 // nodesOverBudget returns two nodes with an exhausted budget that hold version
 // 1 of two tenants, and versions 1 to 4 of the first tenant's set, each with
 // the history of the previous one.
-func nodesOverBudget(t testing.TB) (a, b *State, versions []*confset.Packed) {
+func nodesOverBudget(t testing.TB) (a, b *State, versions []*configset.EncodedSet) {
 	peers := manyPeers(2, 1)
-	pack := func(tenant request.Tenant, v int64) *confset.Packed {
+	pack := func(tenant request.Tenant, v int64) *configset.EncodedSet {
 		set := testSet(tenant, int(2*v))
 		set.Version = v
-		p, err := confset.Pack(set)
+		p, err := configset.Pack(set)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 	for v := int64(1); v <= 4; v++ {
 		p := pack("khaosan", v)
 		if v > 1 {
-			p = p.Following(versions[v-2])
+			p = p.WithHistoryOf(versions[v-2])
 		}
 		versions = append(versions, p)
 	}
@@ -40,7 +40,7 @@
 		empty := budget.New(1000, time.Second, 0)
 		empty.Spend(1000)
 		s.SetBudget(empty)
-		for _, p := range []*confset.Packed{versions[0], other} {
+		for _, p := range []*configset.EncodedSet{versions[0], other} {
 			s.Learn(1, p.Head())
 			x := s.tenants[p.Head().Tenant]
 			s.install(1, x, p, ByWatch)
@@ -63,15 +63,15 @@
 		_, asks := action.(AskPeer)
 		is.True(!asks) // waits for a heartbeat
 	}
-	answer := b.RideAnswer(a.RideAsk(200), 700)
-	again := b.RideAnswer(a.RideAsk(200), 700)
-	a.RideTake(now, answer)
+	answer := b.PiggybackAnswer(a.PiggybackQuery(200), 700)
+	again := b.PiggybackAnswer(a.PiggybackQuery(200), 700)
+	a.HandlePiggyback(now, answer)
 	is.Equal(a.InForce("khaosan"), int64(3))
-	is.Equal(a.Stats().ByRide, 1)
-	a.RideTake(now, again) // duplicate answer
-	is.Equal(a.Stats(), Stats{Installed: 3, ByRide: 1})
-	is.Equal(b.RideAnswer(a.RideAsk(200), 700), nil) // nothing newer
-	is.Equal(b.RideAnswer(a.RideAsk(0), 700), nil)   // no room
+	is.Equal(a.Stats().ByPiggyback, 1)
+	a.HandlePiggyback(now, again) // duplicate answer
+	is.Equal(a.Stats(), Stats{Installed: 3, ByPiggyback: 1})
+	is.Equal(b.PiggybackAnswer(a.PiggybackQuery(200), 700), nil) // nothing newer
+	is.Equal(b.PiggybackAnswer(a.PiggybackQuery(0), 700), nil)   // no room
 }
 
 // Guards against a node that waits for heartbeats forever: its peers are as far
@@ -91,9 +91,9 @@
 		return n
 	}
 	a.tenants["khaosan"].failures = parentAttempts // skips the parents, as the node may be a root
-	a.Tick(now + DefaultConfig().Spacing)
-	is.Equal(asked(a.Tick(now+DefaultConfig().RideFor-1)), 0)
-	is.Equal(asked(a.Tick(now+DefaultConfig().RideFor+DefaultConfig().Spacing)), 1)
+	a.Tick(now + DefaultConfig().MinFetchInterval)
+	is.Equal(asked(a.Tick(now+DefaultConfig().PiggybackTimeout-1)), 0)
+	is.Equal(asked(a.Tick(now+DefaultConfig().PiggybackTimeout+DefaultConfig().MinFetchInterval)), 1)
 }
 
 // Guards against downgrades, panics and unaccepted sets caused by a piggybacked
@@ -101,7 +101,7 @@
 func TestInvalidPiggybackIsIgnored(t *testing.T) {
 	is := is.New(t)
 	a, _, versions := nodesOverBudget(t)
-	d, _ := versions[1].Since(1)
+	d, _ := versions[1].DeltaSince(1)
 	delta, err := d.Encode()
 	is.NoErr(err)
 	right := versions[1].Head().Digest
@@ -115,11 +115,11 @@
 		{Tenant: 2, Version: 2, Digest: right[:], Delta: delta},
 		{Tenant: 1, Version: 1, Digest: right[:], Delta: delta},
 	} {
-		a.RideTake(time.Minute, encodeArray([]tenantDelta{p}))
+		a.HandlePiggyback(time.Minute, encodeArray([]tenantDelta{p}))
 		is.Equal(a.InForce("khaosan"), int64(1))
 		is.Equal(a.InForce("kalahari"), int64(1))
 	}
-	a.RideTake(time.Minute, encodeArray([]tenantDelta{{Tenant: 1, Version: 2, Digest: right[:], Delta: delta}}))
+	a.HandlePiggyback(time.Minute, encodeArray([]tenantDelta{{Tenant: 1, Version: 2, Digest: right[:], Delta: delta}}))
 	is.Equal(a.InForce("khaosan"), int64(2))
 }
 
@@ -127,20 +127,20 @@
 // other than the announced one.
 func FuzzPiggyback(f *testing.F) {
 	a, b, versions := nodesOverBudget(f)
-	question := a.RideAsk(200)
+	question := a.PiggybackQuery(200)
 	b.install(1, b.tenants["khaosan"], versions[1], ByWatch)
 	f.Add(question)
-	f.Add(b.RideAnswer(question, 700))
+	f.Add(b.PiggybackAnswer(question, 700))
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}) // array header announcing 2^32-1 elements
 	f.Fuzz(func(t *testing.T, body []byte) {
 		a, b, versions := nodesOverBudget(t)
 		a.Learn(time.Minute, versions[1].Head())
 		b.install(1, b.tenants["khaosan"], versions[3], ByWatch)
-		a.RideTake(time.Minute, body)
+		a.HandlePiggyback(time.Minute, body)
 		if a.InForce("khaosan") == 2 && a.tenants["khaosan"].held.Head() != versions[1].Head() {
 			t.Fatal("version 2 in force is not the announced set")
 		}
-		if len(b.RideAnswer(body, 700)) > 700 {
+		if len(b.PiggybackAnswer(body, 700)) > 700 {
 			t.Fatal("answer exceeds the available room")
 		}
 	})
--- a/internal/core/inforce/poll.go
+++ b/internal/core/configsync/poll.go
@@ -1,9 +1,9 @@
-package inforce
+package configsync
 
 import (
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -78,7 +78,7 @@
 
 // handleHeadRow handles a head row; a zero head means that the row does not
 // exist.
-func (s *State) handleHeadRow(now time.Duration, t request.Tenant, h confset.Head) {
+func (s *State) handleHeadRow(now time.Duration, t request.Tenant, h configset.Head) {
 	x := s.tenants[t]
 	if x == nil {
 		return
--- a/internal/core/inforce/serve.go
+++ b/internal/core/configsync/serve.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/status"
 )
 
@@ -93,7 +93,7 @@
 func (s *State) buildReply(now time.Duration, x *tenant, have int64) Reply {
 	r := Reply{Head: x.held.Head(), Delta: x.deltaSince(have)}
 	if r.Delta == nil {
-		if body := x.compressed(); s.wholeSetBucket.take(now, len(body), s.cfg.ServeRate, s.cfg.ServeBurst) {
+		if body := x.compressed(); s.wholeSetBucket.take(now, len(body), s.cfg.WholeSetRate, s.cfg.WholeSetBurst) {
 			r.Whole = body
 		}
 	}
@@ -110,7 +110,7 @@
 // deltaSince returns an encoded delta, nil if the whole set should be sent
 // instead.
 func (x *tenant) deltaSince(have int64) []byte {
-	d, ok := x.held.Since(have)
+	d, ok := x.held.DeltaSince(have)
 	if !ok || have == 0 {
 		return nil
 	}
@@ -147,12 +147,12 @@
 // may decompress to gigabytes.
 func decompress(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
-	out, err := io.ReadAll(io.LimitReader(r, confset.MaxEncoded+1))
+	out, err := io.ReadAll(io.LimitReader(r, configset.MaxEncoded+1))
 	if err != nil {
 		return nil, status.Wrap(status.CodeProtocol, err, "cannot decompress set")
 	}
-	if len(out) > confset.MaxEncoded {
-		return nil, status.New(status.CodeTooLarge, "set exceeds %d bytes", confset.MaxEncoded)
+	if len(out) > configset.MaxEncoded {
+		return nil, status.New(status.CodeTooLarge, "set exceeds %d bytes", configset.MaxEncoded)
 	}
 	return out, nil
 }
--- a/internal/core/inforce/spread_test.go
+++ b/internal/core/configsync/spread_test.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"peardrift/internal/apply"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port/porttest"
 	"peardrift/internal/simtime"
@@ -31,7 +31,7 @@
 	for _, n := range []int{1, 2, 3, 10, 300, 5000} {
 		is := is.New(t)
 		peers := manyPeers(n, 1)
-		order := treeOrdering(confset.Head{Tenant: "khaosan", Version: 7}, 0)
+		order := treeOrdering(configset.Head{Tenant: "khaosan", Version: 7}, 0)
 		parents := make(map[request.TargetID]request.TargetID)
 		children := make(map[request.TargetID]int)
 		for _, p := range peers {
@@ -79,7 +79,7 @@
 	peers            []Peer
 	regionPeers      map[string][]Peer
 	nodes            []*State
-	heads            [][]confset.Head
+	heads            [][]configset.Head
 	installedAt      []time.Duration         // when the last version was installed
 	installedVersion []int64                 // version in force
 	nodesWith        map[int64]int           // by version: number of nodes with that version or a newer one in force
@@ -104,7 +104,7 @@
 func newFleet(cfg Config, n int, loss float64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(1, 2)), peers: manyPeers(n, 3), regionPeers: make(map[string][]Peer),
-		heads: make([][]confset.Head, n), installedAt: make([]time.Duration, n), trafficBytes: make([]int, n),
+		heads: make([][]configset.Head, n), installedAt: make([]time.Duration, n), trafficBytes: make([]int, n),
 		asks: make(map[uint64]func(Reply)), loss: loss,
 		installedVersion: make([]int64, n), nodesWith: make(map[int64]int), completeAt: make(map[int64]time.Duration),
 		store: apply.New(porttest.NewTable(), porttest.NewObjects(), apply.DefaultConfig()),
@@ -203,8 +203,8 @@
 			reply(a.Reply)
 		case Install:
 			f.recordInstall(i, a.Head.Version)
-		case Spread:
-			f.heads[i] = []confset.Head{a.Head}
+		case GossipHead:
+			f.heads[i] = []configset.Head{a.Head}
 		case LoadObject:
 			f.objectReads++
 			f.After(platformRTT, func() {
@@ -214,7 +214,7 @@
 		case ReadHead:
 			f.After(platformRTT, func() {
 				r, _ := f.store.Head(ctx, a.Tenant)
-				f.execute(i, s.HandleHead(f.Now, a.ID, confset.Head{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest}))
+				f.execute(i, s.HandleHead(f.Now, a.ID, configset.Head{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest}))
 			})
 		case ReadTenants:
 			f.After(platformRTT, func() {
@@ -255,7 +255,7 @@
 
 // realisticSet has enough services for a delta to be smaller than the whole
 // set.
-func realisticSet() confset.Set {
+func realisticSet() configset.Set {
 	set := testSet("khaosan", 2)
 	for i := range 20 {
 		svc := set.Services[0]
@@ -265,7 +265,7 @@
 	return set
 }
 
-func (f *fleet) apply(b *testing.B, set confset.Set, base int64) {
+func (f *fleet) apply(b *testing.B, set configset.Set, base int64) {
 	if _, err := f.store.Apply(context.Background(), set, base, "ada"); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/core/inforce/startup.go
+++ b/internal/core/configsync/startup.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"cmp"
@@ -109,7 +109,7 @@
 		}
 		s.startup.platformReadAt = max(now, 1)
 		if n := s.otherCount; n > 0 {
-			window := time.Second * time.Duration(n) / time.Duration(s.cfg.ColdReads)
+			window := time.Second * time.Duration(n) / time.Duration(s.cfg.PlatformStartRate)
 			s.startup.platformReadAt += s.cfg.StartWait + time.Duration(s.rng.Int64N(int64(window)+1))
 		}
 	}
--- a/internal/core/inforce/state.go
+++ b/internal/core/configsync/state.go
@@ -1,4 +1,4 @@
-package inforce
+package configsync
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"time"
 
 	"peardrift/internal/core/budget"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -18,7 +18,7 @@
 
 	tenants     map[request.Tenant]*tenant
 	tenantNames []request.Tenant // sorted, for a deterministic order of actions
-	index       *confset.Index
+	index       *configset.Index
 
 	peers         []Peer // all nodes; may include this node
 	regionPeers   []Peer // nodes of this node's region
@@ -40,8 +40,8 @@
 
 // tenant is the state of one tenant's set.
 type tenant struct {
-	known      confset.Head    // the highest version known
-	held       *confset.Packed // the set in force, nil if none
+	known      configset.Head        // the highest version known
+	held       *configset.EncodedSet // the set in force, nil if none
 	poll       poll
 	hint       hint
 	minVersion int64 // the version known when this node became informed; older ones are rejected
@@ -64,15 +64,15 @@
 
 // Stats counts events since the start of the process.
 type Stats struct {
-	Installed int // versions put in force
-	ByDelta   int // of these, by a delta from a peer
-	ByWhole   int // of these, by a whole set from a peer
-	ByObject  int // of these, from the object store
-	Refused   int // rejected sets and heads
-	Failed    int // failed fetches
-	Reads     int // reads of the platform's table
-	Answered  int // requests answered with a delta or a whole set
-	ByRide    int // of the installed versions, by a piggybacked delta
+	Installed   int // versions put in force
+	ByDelta     int // of these, by a delta from a peer
+	ByWhole     int // of these, by a whole set from a peer
+	ByObject    int // of these, from the object store
+	Refused     int // rejected sets and heads
+	Failed      int // failed fetches
+	Reads       int // reads of the platform's table
+	Answered    int // requests answered with a delta or a whole set
+	ByPiggyback int // of the installed versions, by a piggybacked delta
 }
 
 // New returns the state of a starting node. The random source must not be
@@ -81,16 +81,16 @@
 	return &State{
 		cfg: cfg, self: self, rng: rng,
 		tenants:        make(map[request.Tenant]*tenant),
-		index:          confset.NewIndex(),
+		index:          configset.NewIndex(),
 		calls:          make(map[uint64]pendingCall),
 		startup:        startup{answered: make(map[request.TargetID]bool)},
-		wholeSetBucket: tokenBucket{tokens: cfg.ServeBurst, refilledAt: now},
+		wholeSetBucket: tokenBucket{tokens: cfg.WholeSetBurst, refilledAt: now},
 	}
 }
 
 // Index returns the index of the sets in force; it may be published to other
 // goroutines.
-func (s *State) Index() *confset.Index { return s.index }
+func (s *State) Index() *configset.Index { return s.index }
 
 // Stats returns the counters.
 func (s *State) Stats() Stats { return s.stats }
@@ -104,8 +104,8 @@
 }
 
 // Known returns the known heads, sorted by tenant.
-func (s *State) Known() []confset.Head {
-	var out []confset.Head
+func (s *State) Known() []configset.Head {
+	var out []configset.Head
 	for _, name := range s.tenantNames {
 		if h := s.tenants[name].known; h.Version > 0 {
 			out = append(out, h)
@@ -141,7 +141,7 @@
 }
 
 // Learn handles a head that other nodes report as accepted.
-func (s *State) Learn(now time.Duration, h confset.Head) []Action {
+func (s *State) Learn(now time.Duration, h configset.Head) []Action {
 	s.learn(now, h)
 	return s.takeActions()
 }
@@ -152,7 +152,7 @@
 	x, ok := s.tenant(t)
 	if ok && version > x.known.Version {
 		x.hint.version = max(version, x.hint.version)
-		x.hint.until = now + s.cfg.HintFor
+		x.hint.until = now + s.cfg.HintTTL
 		s.followHint(now, t, x)
 	}
 	return s.takeActions()
@@ -192,11 +192,11 @@
 	if x, ok := s.tenants[name]; ok {
 		return x, true
 	}
-	if len(name) == 0 || len(name) > confset.MaxTenantName || len(s.tenantNames) >= maxTenants {
+	if len(name) == 0 || len(name) > configset.MaxTenantName || len(s.tenantNames) >= maxTenants {
 		s.stats.Refused++
 		return nil, false
 	}
-	x = &tenant{known: confset.Head{Tenant: name}}
+	x = &tenant{known: configset.Head{Tenant: name}}
 	s.tenants[name] = x
 	i, _ := slices.BinarySearch(s.tenantNames, name)
 	s.tenantNames = slices.Insert(s.tenantNames, i, name)
@@ -222,7 +222,7 @@
 // learn records a head if it is newer. Two heads with the same version can't
 // both be accepted: the first one received stays, so that they don't replace
 // each other across the fleet, and the digest decides when the set is fetched.
-func (s *State) learn(now time.Duration, h confset.Head) {
+func (s *State) learn(now time.Duration, h configset.Head) {
 	if h.Version <= 0 {
 		return
 	}
@@ -240,8 +240,8 @@
 		x.behindSince = now
 	}
 	x.known = h
-	x.failures, x.nextFetch = 0, min(x.nextFetch, now+s.cfg.Spacing)
-	s.emit(Spread{Head: h})
+	x.failures, x.nextFetch = 0, min(x.nextFetch, now+s.cfg.MinFetchInterval)
+	s.emit(GossipHead{Head: h})
 	s.fetchIfDue(now, x)
 }
 
@@ -250,17 +250,17 @@
 // It accepts only a higher version, so a late answer changes nothing. Otherwise
 // an answer delayed by an outage or a pause could arrive after a newer one and
 // lower the version in force.
-func (s *State) install(now time.Duration, x *tenant, p *confset.Packed, by Source) {
+func (s *State) install(now time.Duration, x *tenant, p *configset.EncodedSet, by Source) {
 	h := p.Head()
 	if h.Version <= x.heldVersion() {
 		return
 	}
 	if x.held != nil {
-		p = p.Following(x.held)
+		p = p.WithHistoryOf(x.held)
 	}
 	x.held, x.compressedBody, x.deltaRejected = p, nil, false
 	x.behindSince = now
-	s.index = s.index.With(p.Set())
+	s.index = s.index.WithSet(p.Set())
 	s.stats.Installed++
 	s.emit(Install{Head: h, Index: s.index, By: by})
 	s.learn(now, h)
--- a/internal/core/inforce/tree.go
+++ b/internal/core/configsync/tree.go
@@ -1,11 +1,11 @@
-package inforce
+package configsync
 
 import (
 	"math"
 
 	"github.com/cespare/xxhash/v2"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -23,7 +23,7 @@
 
 // position returns a member's position in the order.
 func (o ordering) position(id request.TargetID) uint64 {
-	return id.Order(o.tenant, o.version, o.variant)
+	return id.SortKey(o.tenant, o.version, o.variant)
 }
 
 // isAmongFirst reports whether self is one of the first n in the order. Most
@@ -75,7 +75,7 @@
 
 // treeOrdering returns the order that defines the tree of a version; each
 // attempt uses another tree, for nodes whose parent did not help.
-func treeOrdering(h confset.Head, attempt int) ordering {
+func treeOrdering(h configset.Head, attempt int) ordering {
 	return newOrdering(h.Tenant, h.Version, attempt)
 }
 
--- a/internal/core/watch/config.go
+++ b/internal/core/configwatch/config.go
@@ -1,4 +1,4 @@
-package watch
+package configwatch
 
 import "time"
 
@@ -15,23 +15,23 @@
 	// each child costs one call per Wait.
 	Fanout int
 
-	// Wait is how long a poll waits at the platform for a change. A lower value
+	// PollWait is how long a poll waits at the platform for a change. A lower value
 	// keeps watermarks more recent and costs calls.
-	Wait time.Duration
+	PollWait time.Duration
 
-	// Limit is the timeout of a poll to the platform. It must exceed Wait by
+	// PollTimeout is the timeout of a poll to the platform. It must exceed Wait by
 	// the response time of a slow platform.
-	Limit time.Duration
+	PollTimeout time.Duration
 
-	// Stale is the age of the watermark above which a node polls the platform
+	// StaleAfter is the age of the watermark above which a node polls the platform
 	// itself. It must exceed Wait by the time that replies take to propagate
 	// down the tree.
-	Stale time.Duration
+	StaleAfter time.Duration
 
 	// PeerWait is how long a node holds a child's poll without news; PeerLimit
 	// is the timeout of the child's poll. Higher values tolerate slower parents
 	// and detect dead ones later; the bound does not depend on them.
-	PeerWait, PeerLimit time.Duration
+	PeerWait, PeerTimeout time.Duration
 
 	// RetryMin and RetryMax bound the delay after a failed poll to the
 	// platform. It doubles, except at roots, and is drawn between half of it
@@ -39,20 +39,20 @@
 	// on a failing platform.
 	RetryMin, RetryMax time.Duration
 
-	// RetryRate bounds the polls per second that all nodes of a region send
+	// MaxRetryRate bounds the polls per second that all nodes of a region send
 	// during an outage: where RetryMax allows more, the delay is longer.
 	// Default 100. A lower value reduces the load on the platform, and delays
 	// the recovery of nodes whose roots fail at the end of an outage.
-	RetryRate int
+	MaxRetryRate int
 
-	// Settle is the time after its start during which a node does not become a
+	// RootDelay is the time after its start during which a node does not become a
 	// root, as it may not know the other nodes yet. It must be less than Stale
 	// by more than Wait, or all nodes that start together poll a second time.
-	Settle time.Duration
+	RootDelay time.Duration
 
-	// Spacing is the minimum time between the starts of two polls to the
+	// MinPollInterval is the minimum time between the starts of two polls to the
 	// platform. A higher value batches more changes into one reply.
-	Spacing time.Duration
+	MinPollInterval time.Duration
 
 	// MaxWaiters bounds the polls of children held at a node. Default 256.
 	MaxWaiters int
@@ -69,12 +69,12 @@
 	wait := bound / 3
 	return Config{
 		Roots: 3, Fanout: 32,
-		Wait: wait, Limit: wait + max(bound/4, minSlack),
-		Stale:    bound * 3 / 5,
-		PeerWait: bound * 2 / 3, PeerLimit: bound,
-		RetryMin: bound / 4, RetryMax: bound / 2, RetryRate: 100,
-		Settle:     bound / 5,
-		Spacing:    100 * time.Millisecond,
-		MaxWaiters: 256,
+		PollWait: wait, PollTimeout: wait + max(bound/4, minSlack),
+		StaleAfter: bound * 3 / 5,
+		PeerWait:   bound * 2 / 3, PeerTimeout: bound,
+		RetryMin: bound / 4, RetryMax: bound / 2, MaxRetryRate: 100,
+		RootDelay:       bound / 5,
+		MinPollInterval: 100 * time.Millisecond,
+		MaxWaiters:      256,
 	}
 }
--- a/internal/core/watch/doc.go
+++ b/internal/core/configwatch/doc.go
@@ -29,4 +29,4 @@
 // a failure after its limit. The clock that is passed in must include the time
 // for which the machine is suspended: otherwise a watermark from before the
 // suspension would look recent.
-package watch
+package configwatch
--- a/internal/core/watch/simulation_test.go
+++ b/internal/core/configwatch/simulation_test.go
@@ -1,4 +1,4 @@
-package watch
+package configwatch
 
 import (
 	"fmt"
@@ -59,7 +59,7 @@
 	deferred    []func()
 	version     int64
 	disturbedAt time.Duration // time of the last fault
-	answers     map[uint64]func(Reply)
+	answers     map[uint64]func(PollReply)
 	lastPollID  uint64
 }
 
@@ -102,7 +102,7 @@
 	n.generation++
 	n.up, n.frozen, n.deferred = true, false, nil
 	n.version = 0
-	n.answers = make(map[uint64]func(Reply))
+	n.answers = make(map[uint64]func(PollReply))
 	n.state = New(ConfigFor(bound), n.peer.ID, rand.New(rand.NewPCG(n.sim.rng.Uint64(), 2)), n.sim.Now)
 	n.schedule(time.Duration(n.sim.rng.Int64N(int64(tick))), n.tick)
 }
@@ -130,11 +130,11 @@
 func (n *node) runActions(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case AskPlatform:
+		case PollPlatform:
 			n.pollPlatform(a)
-		case AskPeer:
+		case PollPeer:
 			n.pollPeer(a)
-		case Answer:
+		case SendReply:
 			if f := n.answers[a.ID]; f != nil {
 				delete(n.answers, a.ID)
 				f(a.Reply)
@@ -150,7 +150,7 @@
 	}
 }
 
-func (n *node) pollPlatform(a AskPlatform) {
+func (n *node) pollPlatform(a PollPlatform) {
 	sim := n.sim
 	sim.platformCalls++
 	n.schedule(a.Limit, func() { n.runActions(n.state.HandleFailure(sim.Now, a.ID)) })
@@ -171,7 +171,7 @@
 					return
 				}
 				n.setVersion(version)
-				n.runActions(n.state.HandlePlatform(sim.Now, a.ID, version, unchanged))
+				n.runActions(n.state.HandlePlatformReply(sim.Now, a.ID, version, unchanged))
 			})
 		}
 		if p.version > a.After {
@@ -187,7 +187,7 @@
 	})
 }
 
-func (n *node) pollPeer(a AskPeer) {
+func (n *node) pollPeer(a PollPeer) {
 	sim := n.sim
 	n.schedule(a.Limit, func() { n.runActions(n.state.HandleFailure(sim.Now, a.ID)) })
 	to := sim.byID[a.To.ID]
@@ -196,7 +196,7 @@
 			return
 		}
 		to.lastPollID++
-		to.answers[to.lastPollID] = func(r Reply) {
+		to.answers[to.lastPollID] = func(r PollReply) {
 			n.schedule(oneWay, func() {
 				if to.isolated || n.isolated {
 					return
@@ -205,7 +205,7 @@
 				n.runActions(n.state.HandleReply(sim.Now, a.ID, r))
 			})
 		}
-		to.runActions(to.state.HandleAsk(sim.Now, to.lastPollID, a.Ask))
+		to.runActions(to.state.HandlePoll(sim.Now, to.lastPollID, a.Request))
 	})
 }
 
--- a/internal/core/watch/state.go
+++ b/internal/core/configwatch/state.go
@@ -1,4 +1,4 @@
-package watch
+package configwatch
 
 import (
 	"math/rand/v2"
@@ -53,7 +53,7 @@
 // New returns the state of a starting node: it has no version and no watermark.
 // The random source must not be shared.
 func New(cfg Config, self request.TargetID, rng *rand.Rand, now time.Duration) *State {
-	return &State{cfg: cfg, self: self, rng: rng, rootAfter: now + cfg.Settle}
+	return &State{cfg: cfg, self: self, rng: rng, rootAfter: now + cfg.RootDelay}
 }
 
 // SetPeers sets the alive nodes of the region, with or without this one.
@@ -92,26 +92,26 @@
 	return s.takeActions()
 }
 
-// Mark returns the watermark: the time as of which no version newer than the
+// Watermark returns the watermark: the time as of which no version newer than the
 // current one was accepted. ok is false if there is none.
-func (s *State) Mark() (at time.Duration, ok bool) { return s.watermark, s.hasWatermark }
+func (s *State) Watermark() (at time.Duration, ok bool) { return s.watermark, s.hasWatermark }
 
-// Stale reports whether the watermark is missing or so old that the node polls
+// IsStale reports whether the watermark is missing or so old that the node polls
 // the platform whatever the parent replies.
-func (s *State) Stale(now time.Duration) bool {
-	return !s.hasWatermark || now-s.watermark > s.cfg.Stale
+func (s *State) IsStale(now time.Duration) bool {
+	return !s.hasWatermark || now-s.watermark > s.cfg.StaleAfter
 }
 
-// Root reports whether the node is a root, which polls the platform
+// IsRoot reports whether the node is a root, which polls the platform
 // continuously.
-func (s *State) Root(now time.Duration) bool {
+func (s *State) IsRoot(now time.Duration) bool {
 	return s.peersComplete && s.tree.root && now >= s.rootAfter
 }
 
 // startPolls starts the polls that are due.
 func (s *State) startPolls(now time.Duration) {
-	root := s.Root(now)
-	stale := s.Stale(now)
+	root := s.IsRoot(now)
+	stale := s.IsStale(now)
 	if s.platformPoll.id == 0 && now >= s.nextPlatformPoll && (root || stale) {
 		s.pollPlatform(now)
 	}
@@ -121,9 +121,9 @@
 }
 
 func (s *State) pollPlatform(now time.Duration) {
-	s.platformPoll = s.newPoll(now, s.cfg.Limit)
-	s.nextPlatformPoll = now + s.cfg.Spacing
-	s.emit(AskPlatform{ID: s.platformPoll.id, After: s.version, Wait: s.cfg.Wait, Limit: s.cfg.Limit})
+	s.platformPoll = s.newPoll(now, s.cfg.PollTimeout)
+	s.nextPlatformPoll = now + s.cfg.MinPollInterval
+	s.emit(PollPlatform{ID: s.platformPoll.id, After: s.version, Wait: s.cfg.PollWait, Limit: s.cfg.PollTimeout})
 }
 
 func (s *State) pollPeer(now time.Duration) {
@@ -132,8 +132,8 @@
 		return
 	}
 	s.parent = p
-	s.peerPoll = s.newPoll(now, s.cfg.PeerLimit)
-	s.emit(AskPeer{ID: s.peerPoll.id, To: p, Ask: Ask{Have: s.version}, Limit: s.cfg.PeerLimit})
+	s.peerPoll = s.newPoll(now, s.cfg.PeerTimeout)
+	s.emit(PollPeer{ID: s.peerPoll.id, To: p, Request: PollRequest{Version: s.version}, Limit: s.cfg.PeerTimeout})
 }
 
 func (s *State) newPoll(now, limit time.Duration) poll {
@@ -143,10 +143,10 @@
 
 func (p poll) expired(now time.Duration) bool { return p.id != 0 && now >= p.deadline }
 
-// HandlePlatform reports that the platform replied to AskPlatform. version is
+// HandlePlatformReply reports that the platform replied to AskPlatform. version is
 // that of the returned set, 0 for none; if it is in force, call SetVersion
 // first. unchanged means that the poll waited for all of Wait without a change.
-func (s *State) HandlePlatform(now time.Duration, id uint64, version int64, unchanged bool) []Action {
+func (s *State) HandlePlatformReply(now time.Duration, id uint64, version int64, unchanged bool) []Action {
 	p := s.platformPoll
 	if id == 0 || id != p.id {
 		return nil
@@ -156,7 +156,7 @@
 	// The platform evaluated the poll at some time after it was sent.
 	at := p.sentAt
 	if unchanged {
-		at = min(p.sentAt+s.cfg.Wait, now)
+		at = min(p.sentAt+s.cfg.PollWait, now)
 	}
 	s.advanceWatermark(now, version, at)
 	s.startPolls(now)
@@ -165,7 +165,7 @@
 
 // HandleReply reports the reply to AskPeer. If it came with a set, call
 // SetVersion first.
-func (s *State) HandleReply(now time.Duration, id uint64, r Reply) []Action {
+func (s *State) HandleReply(now time.Duration, id uint64, r PollReply) []Action {
 	p := s.peerPoll
 	if id == 0 || id != p.id {
 		return nil
@@ -173,18 +173,18 @@
 	s.peerPoll = poll{}
 	news := s.version > p.have
 	// The poll arrived at some time after it was sent.
-	if r.Marked && r.Since <= now-p.sentAt {
-		news = s.advanceWatermark(now, r.Version, p.sentAt+r.Since) || news
+	if r.HasWatermark && r.WatermarkOffset <= now-p.sentAt {
+		news = s.advanceWatermark(now, r.Version, p.sentAt+r.WatermarkOffset) || news
 	}
 	if r.Version > s.version {
 		s.hasWatermark = false // there is a newer version that the parent could not supply
 	}
-	if !news || s.Stale(now) {
+	if !news || s.IsStale(now) {
 		s.abandonParent()
 	}
 	// After a peer that replies immediately without news, the next one is
 	// polled at the next tick, not immediately.
-	if news || now-p.sentAt >= s.cfg.Spacing {
+	if news || now-p.sentAt >= s.cfg.MinPollInterval {
 		s.startPolls(now)
 	}
 	return s.takeActions()
@@ -205,8 +205,8 @@
 func (s *State) handlePlatformFailure(now time.Duration) {
 	s.platformPoll = poll{}
 	pause := s.cfg.RetryMin
-	if !s.Root(now) {
-		maxPause := max(s.cfg.RetryMax, time.Second*time.Duration(s.regionSize)/time.Duration(s.cfg.RetryRate))
+	if !s.IsRoot(now) {
+		maxPause := max(s.cfg.RetryMax, time.Second*time.Duration(s.regionSize)/time.Duration(s.cfg.MaxRetryRate))
 		pause = min(s.cfg.RetryMin<<min(s.platformFailures, 16), maxPause)
 	}
 	s.platformFailures++
@@ -231,9 +231,9 @@
 	return true
 }
 
-// HandleAsk handles a child's poll; Answer returns the caller's id.
-func (s *State) HandleAsk(now time.Duration, id uint64, a Ask) []Action {
-	w := waiter{id: id, have: a.Have, arrivedAt: now, deadline: now + s.cfg.PeerWait}
+// HandlePoll handles a child's poll; Answer returns the caller's id.
+func (s *State) HandlePoll(now time.Duration, id uint64, a PollRequest) []Action {
+	w := waiter{id: id, have: a.Version, arrivedAt: now, deadline: now + s.cfg.PeerWait}
 	if s.hasNews(w) || len(s.waiters) >= s.cfg.MaxWaiters {
 		s.reply(w)
 	} else {
@@ -261,7 +261,7 @@
 }
 
 func (s *State) reply(w waiter) {
-	s.emit(Answer{ID: w.id, Have: w.have, Reply: Reply{Version: s.version, Marked: s.hasWatermark, Since: s.watermark - w.arrivedAt}})
+	s.emit(SendReply{ID: w.id, Have: w.have, Reply: PollReply{Version: s.version, HasWatermark: s.hasWatermark, WatermarkOffset: s.watermark - w.arrivedAt}})
 }
 
 // takeActions returns and clears the actions collected so far.
--- a/internal/core/watch/tree.go
+++ b/internal/core/configwatch/tree.go
@@ -1,4 +1,4 @@
-package watch
+package configwatch
 
 import (
 	"cmp"
@@ -30,10 +30,10 @@
 // newTree computes the level above a node; it examines each peer twice and
 // sorts only those of the upper levels.
 func newTree(cfg Config, self request.TargetID, peers []Peer) tree {
-	own := self.Order(rankSalt)
+	own := self.SortKey(rankSalt)
 	rank := 0
 	for _, p := range peers {
-		if p.ID.Order(rankSalt) < own {
+		if p.ID.SortKey(rankSalt) < own {
 			rank++
 		}
 	}
@@ -82,7 +82,7 @@
 func peersBelow(peers []Peer, limit uint64) []rankedPeer {
 	var out []rankedPeer
 	for _, p := range peers {
-		if position := p.ID.Order(rankSalt); position <= limit {
+		if position := p.ID.SortKey(rankSalt); position <= limit {
 			out = append(out, rankedPeer{position, p})
 		}
 	}
@@ -92,7 +92,7 @@
 // parent returns the node to poll; each attempt selects a different one. ok is
 // false if there is none.
 func (t tree) parent(self request.TargetID, attempt int) (p Peer, ok bool) {
-	first := int(self.Order(parentSalt) % uint64(max(1, len(t.above))))
+	first := int(self.SortKey(parentSalt) % uint64(max(1, len(t.above))))
 	for i := range t.above {
 		if p := t.above[(first+attempt+i)%len(t.above)]; p.ID != self {
 			return p, true
--- a/internal/core/watch/watch_test.go
+++ b/internal/core/configwatch/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package configwatch
 
 import (
 	"fmt"
@@ -32,7 +32,7 @@
 				sim.runChecked(time.Second)
 			}
 			cfg := ConfigFor(bound)
-			perRoot := seconds*int(time.Second/cfg.Wait+1) + seconds
+			perRoot := seconds*int(time.Second/cfg.PollWait+1) + seconds
 			is.True(sim.platformCalls-before <= cfg.Roots*perRoot)
 			for _, n := range sim.nodes {
 				is.True(n.version >= sim.platform.version)
@@ -85,7 +85,7 @@
 func (sim *simulation) roots() []*node {
 	var out []*node
 	for _, n := range sim.nodes {
-		if n.state.Root(sim.Now) {
+		if n.state.IsRoot(sim.Now) {
 			out = append(out, n)
 		}
 	}
@@ -218,7 +218,7 @@
 	sim.runChecked(seconds * time.Second)
 	// The first delays are shorter, and each delay is at least half of the
 	// longest one.
-	is.True(sim.platformCalls-before <= 5*len(sim.nodes)+2*seconds*ConfigFor(bound).RetryRate)
+	is.True(sim.platformCalls-before <= 5*len(sim.nodes)+2*seconds*ConfigFor(bound).MaxRetryRate)
 	sim.runChecked(5 * time.Second)
 	before = sim.platformCalls
 	sim.runChecked(10 * time.Second)
@@ -234,13 +234,13 @@
 	child := New(ConfigFor(bound), 2, rand.New(rand.NewPCG(1, 1)), 0)
 	child.SetPeers(0, []Peer{{ID: 1}, {ID: 2}}, false)
 	pollID := peerPollID(child.Tick(13 * time.Second))
-	parent.HandleAsk(13*time.Second, 1, Ask{})
+	parent.HandlePoll(13*time.Second, 1, PollRequest{})
 	for _, a := range parent.Tick(13*time.Second + ConfigFor(bound).PeerWait) {
-		if a, ok := a.(Answer); ok {
+		if a, ok := a.(SendReply); ok {
 			child.HandleReply(20*time.Second, pollID, a.Reply)
 		}
 	}
-	at, ok := child.Mark()
+	at, ok := child.Watermark()
 	is.True(ok)
 	is.Equal(at, 10*time.Second)
 }
@@ -248,7 +248,7 @@
 // peerPollID returns the ID of the poll to a peer.
 func peerPollID(actions []Action) uint64 {
 	for _, a := range actions {
-		if ask, ok := a.(AskPeer); ok {
+		if ask, ok := a.(PollPeer); ok {
 			return ask.ID
 		}
 	}
@@ -259,17 +259,17 @@
 // that the node does not have, or replies to another poll.
 func TestInvalidRepliesDoNotAdvanceWatermark(t *testing.T) {
 	is := is.New(t)
-	for _, r := range []Reply{
-		{Marked: true, Since: time.Hour},
-		{Marked: true, Version: 9},
+	for _, r := range []PollReply{
+		{HasWatermark: true, WatermarkOffset: time.Hour},
+		{HasWatermark: true, Version: 9},
 		{Version: -1},
 	} {
 		s := New(ConfigFor(bound), 2, rand.New(rand.NewPCG(1, 1)), 0)
 		pollID := peerPollID(s.SetPeers(time.Second, []Peer{{ID: 1}, {ID: 2}}, false))
 		is.True(pollID != 0)
-		s.HandleReply(time.Second, pollID+1, Reply{Marked: true})
+		s.HandleReply(time.Second, pollID+1, PollReply{HasWatermark: true})
 		s.HandleReply(time.Second, pollID, r)
-		_, ok := s.Mark()
+		_, ok := s.Watermark()
 		is.True(!ok)
 	}
 }
@@ -281,7 +281,7 @@
 	s := New(cfg, 1, rand.New(rand.NewPCG(1, 1)), 0)
 	answered := 0
 	for i := range 2 * cfg.MaxWaiters {
-		answered += len(s.HandleAsk(0, uint64(i+1), Ask{}))
+		answered += len(s.HandlePoll(0, uint64(i+1), PollRequest{}))
 	}
 	is.Equal(answered, cfg.MaxWaiters)
 	s.SetPeers(0, nil, true)
@@ -292,7 +292,7 @@
 func countAnswers(actions []Action) int {
 	n := 0
 	for _, a := range actions {
-		if _, ok := a.(Answer); ok {
+		if _, ok := a.(SendReply); ok {
 			n++
 		}
 	}
@@ -317,7 +317,7 @@
 			}
 			parent, ok := tr.parent(p.ID, 0)
 			is.True(ok)
-			is.True(parent.ID.Order(rankSalt) < p.ID.Order(rankSalt)) // no cycles
+			is.True(parent.ID.SortKey(rankSalt) < p.ID.SortKey(rankSalt)) // no cycles
 			children[parent.ID]++
 		}
 		is.Equal(roots, min(n, cfg.Roots))
@@ -335,12 +335,12 @@
 	sim.membershipDelay = time.Hour // no node learns of the failure
 	sim.runChecked(5 * time.Second)
 	sim.roots()[0].kill()
-	sim.runChecked(2 * ConfigFor(bound).PeerLimit)
+	sim.runChecked(2 * ConfigFor(bound).PeerTimeout)
 	before := sim.platformCalls
 	const seconds = 10
 	sim.runChecked(seconds * time.Second)
 	cfg := ConfigFor(bound)
-	is.True(sim.platformCalls-before <= cfg.Roots*seconds*int(time.Second/cfg.Wait+1))
+	is.True(sim.platformCalls-before <= cfg.Roots*seconds*int(time.Second/cfg.PollWait+1))
 }
 
 // Guards against a root that is cut off from the platform and polls nothing
@@ -360,7 +360,7 @@
 // pollIDs returns the IDs of the polls to the platform and to a peer.
 func pollIDs(actions []Action) (platform, peer uint64) {
 	for _, a := range actions {
-		if ask, ok := a.(AskPlatform); ok {
+		if ask, ok := a.(PollPlatform); ok {
 			platform = ask.ID
 		}
 	}
@@ -382,25 +382,25 @@
 func TestMissingVersionDoesNotAdvanceWatermark(t *testing.T) {
 	is := is.New(t)
 	s, platform, _ := newPollingState(t)
-	s.HandlePlatform(10*time.Millisecond, platform, 9, false)
-	_, ok := s.Mark()
+	s.HandlePlatformReply(10*time.Millisecond, platform, 9, false)
+	_, ok := s.Watermark()
 	is.True(!ok)
 
 	s, platform, peer := newPollingState(t)
-	s.HandlePlatform(10*time.Millisecond, platform, 0, false)
-	is.True(!s.Stale(time.Second))
-	s.HandleReply(time.Second, peer, Reply{Version: 9})
-	is.True(s.Stale(time.Second)) // there is a newer version
+	s.HandlePlatformReply(10*time.Millisecond, platform, 0, false)
+	is.True(!s.IsStale(time.Second))
+	s.HandleReply(time.Second, peer, PollReply{Version: 9})
+	is.True(s.IsStale(time.Second)) // there is a newer version
 }
 
 // Guards against a delayed reply being taken for a recent one.
 func TestLatePlatformReplyKeepsWatermarkAge(t *testing.T) {
 	is := is.New(t)
 	s, platform, _ := newPollingState(t)
-	s.HandlePlatform(ConfigFor(bound).Limit, platform, 0, true)
-	at, ok := s.Mark()
+	s.HandlePlatformReply(ConfigFor(bound).PollTimeout, platform, 0, true)
+	at, ok := s.Watermark()
 	is.True(ok)
-	is.Equal(at, ConfigFor(bound).Wait)
+	is.Equal(at, ConfigFor(bound).PollWait)
 }
 
 // Guards against a node that waits forever for a poll that its caller dropped.
@@ -409,7 +409,7 @@
 	s, first, _ := newPollingState(t)
 	cfg := ConfigFor(bound)
 	retried := uint64(0)
-	for now := cfg.Limit; now <= cfg.Limit+cfg.RetryMin+tick; now += tick {
+	for now := cfg.PollTimeout; now <= cfg.PollTimeout+cfg.RetryMin+tick; now += tick {
 		if id, _ := pollIDs(s.Tick(now)); id != 0 {
 			retried = id
 		}
@@ -424,8 +424,8 @@
 	cfg := ConfigFor(bound)
 	s := New(cfg, 2, rand.New(rand.NewPCG(1, 1)), time.Minute)
 	s.SetPeers(time.Minute, []Peer{{ID: 2}}, true)
-	is.True(!s.Root(time.Minute + cfg.Settle - 1))
-	is.True(s.Root(time.Minute + cfg.Settle))
+	is.True(!s.IsRoot(time.Minute + cfg.RootDelay - 1))
+	is.True(s.IsRoot(time.Minute + cfg.RootDelay))
 }
 
 // Guards against held polls that wait for the next tick although the version is
@@ -433,7 +433,7 @@
 func TestNewVersionIsSentToWaiters(t *testing.T) {
 	is := is.New(t)
 	s, _, _ := newPollingState(t)
-	s.HandleAsk(0, 1, Ask{})
+	s.HandlePoll(0, 1, PollRequest{})
 	is.Equal(countAnswers(s.SetVersion(time.Millisecond, 7)), 1)
 }
 
@@ -441,7 +441,7 @@
 func TestPeerWithoutNewsIsNotPolledAtOnce(t *testing.T) {
 	is := is.New(t)
 	s, _, peer := newPollingState(t)
-	is.Equal(peerPollID(s.HandleReply(time.Millisecond, peer, Reply{})), uint64(0))
+	is.Equal(peerPollID(s.HandleReply(time.Millisecond, peer, PollReply{})), uint64(0))
 	is.True(peerPollID(s.Tick(tick)) != 0)
 }
 
--- a/internal/core/conn/config.go
+++ b/internal/core/conn/config.go
@@ -25,33 +25,33 @@
 	// Grace is how long a call that the peer isn't executing may still wait: its
 	// response may be in transit. Default 100ms; must exceed a round trip.
 	Grace time.Duration
-	// Recheck is the maximum interval between probes for a call that the peer is
+	// MaxRecheckInterval is the maximum interval between probes for a call that the peer is
 	// executing; the interval starts at the silence that triggered the probe and
 	// doubles. Default 2s.
-	Recheck time.Duration
+	MaxRecheckInterval time.Duration
 	// GiveUp is the silence after which a call is failed if nobody can tell whether
 	// the peer is executing it. Default 5s.
 	GiveUp time.Duration
-	// ProbeGap is the minimum interval between two probes of a peer. Default 50ms.
-	ProbeGap time.Duration
-	// MaxAsked is the maximum number of calls per probe. Default 256.
-	MaxAsked int
+	// MinProbeInterval is the minimum interval between two probes of a peer. Default 50ms.
+	MinProbeInterval time.Duration
+	// MaxProbeCalls is the maximum number of calls per probe. Default 256.
+	MaxProbeCalls int
 }
 
 // DefaultConfig returns the defaults documented on the fields, which need no tuning
 // for the deployments that the project targets.
 func DefaultConfig() Config {
 	return Config{
-		MaxConns:     256,
-		MaxIdle:      64,
-		IdleTimeout:  20 * time.Second,
-		SilentMin:    250 * time.Millisecond,
-		SilentMax:    time.Second,
-		ProbeTimeout: 500 * time.Millisecond,
-		Grace:        100 * time.Millisecond,
-		Recheck:      2 * time.Second,
-		GiveUp:       5 * time.Second,
-		ProbeGap:     50 * time.Millisecond,
-		MaxAsked:     256,
+		MaxConns:           256,
+		MaxIdle:            64,
+		IdleTimeout:        20 * time.Second,
+		SilentMin:          250 * time.Millisecond,
+		SilentMax:          time.Second,
+		ProbeTimeout:       500 * time.Millisecond,
+		Grace:              100 * time.Millisecond,
+		MaxRecheckInterval: 2 * time.Second,
+		GiveUp:             5 * time.Second,
+		MinProbeInterval:   50 * time.Millisecond,
+		MaxProbeCalls:      256,
 	}
 }
--- a/internal/core/conn/peer.go
+++ b/internal/core/conn/peer.go
@@ -9,12 +9,12 @@
 // ID identifies a connection to a peer; IDs are not reused.
 type ID uint64
 
-// Offer is the result of Take.
-type Offer uint8
+// TakeResult is the result of Take.
+type TakeResult uint8
 
 const (
 	// Full: all connections are in use; the call is refused as not executed.
-	Full Offer = iota
+	Full TakeResult = iota
 	// Reuse: use the idle connection with the returned ID.
 	Reuse
 	// Dial: open a new connection, then call Opened or DialFailed.
@@ -29,10 +29,10 @@
 	// response, broken connection. It is the zero value, so that a missing
 	// assignment closes the connection.
 	Aborted End = iota
-	// Whole: the complete response was read, and the peer keeps the connection open.
-	Whole
-	// WholeLast: the complete response was read, and the peer closes the connection.
-	WholeLast
+	// Complete: the complete response was read, and the peer keeps the connection open.
+	Complete
+	// CompleteAndClose: the complete response was read, and the peer closes the connection.
+	CompleteAndClose
 )
 
 // conn is one open connection.
@@ -66,8 +66,8 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// Stated records the idle timeout that the peer announced.
-func (p *Peer) Stated(d time.Duration) { p.peerIdleTimeout = d }
+// SetPeerIdleTimeout records the idle timeout that the peer announced.
+func (p *Peer) SetPeerIdleTimeout(d time.Duration) { p.peerIdleTimeout = d }
 
 // idleTimeout returns how long a connection is kept idle: less than the peer keeps
 // it, or a call could be sent on a connection that the peer is closing.
@@ -84,7 +84,7 @@
 
 // Take returns a connection for a call: the most recently used idle one, which is
 // the least likely to have been dropped on the path.
-func (p *Peer) Take(now time.Duration) (ID, Offer) {
+func (p *Peer) Take(now time.Duration) (ID, TakeResult) {
 	if n := len(p.idle); n > 0 {
 		id := p.idle[n-1]
 		// If this one has expired, so have the others; Tick closes them.
@@ -121,9 +121,9 @@
 	p.scheduleCheck(c, now+p.silenceTimeout())
 }
 
-// Heard records activity: the network accepted bytes of the request or, if answer is
+// RecordActivity records activity: the network accepted bytes of the request or, if answer is
 // set, bytes of the response arrived.
-func (p *Peer) Heard(now time.Duration, id ID, answer bool) {
+func (p *Peer) RecordActivity(now time.Duration, id ID, answer bool) {
 	c := p.conns[id]
 	if c == nil || !c.inUse {
 		return
@@ -144,7 +144,7 @@
 	if c == nil || !c.inUse {
 		return false
 	}
-	if end != Whole || len(p.idle) >= p.cfg.MaxIdle {
+	if end != Complete || len(p.idle) >= p.cfg.MaxIdle {
 		delete(p.conns, id)
 		return false
 	}
@@ -158,9 +158,9 @@
 	return true
 }
 
-// Broke records that the peer closed an idle connection, or that bytes arrived on it
+// IdleClosed records that the peer closed an idle connection, or that bytes arrived on it
 // that belong to no call; the connection must be closed.
-func (p *Peer) Broke(id ID) {
+func (p *Peer) IdleClosed(id ID) {
 	c := p.conns[id]
 	if c == nil || c.inUse {
 		return
--- a/internal/core/conn/peer_test.go
+++ b/internal/core/conn/peer_test.go
@@ -47,8 +47,8 @@
 					break
 				}
 				id := rapid.SampledFrom(order).Draw(t, "which") // may have ended already
-				end := rapid.SampledFrom([]End{Aborted, Whole, WholeLast}).Draw(t, "end")
-				if keep := p.End(now, id, end); keep && (end != Whole || !inUse[id]) {
+				end := rapid.SampledFrom([]End{Aborted, Complete, CompleteAndClose}).Draw(t, "end")
+				if keep := p.End(now, id, end); keep && (end != Complete || !inUse[id]) {
 					t.Fatalf("connection %d kept after end %d", id, end)
 				} else {
 					inUse[id], clean[id] = false, clean[id] || keep
@@ -70,7 +70,7 @@
 					if !inUse[id] {
 						clean[id] = false
 					}
-					p.Broke(id)
+					p.IdleClosed(id)
 				}
 			}
 			if p.Open() > cfg.MaxConns || p.Idle() > cfg.MaxIdle {
@@ -126,7 +126,7 @@
 		if now < c.answeredAt || n.dead(c.answeredAt, c.id) {
 			return false
 		}
-		n.p.End(now, c.id, Whole)
+		n.p.End(now, c.id, Complete)
 		return true
 	})
 }
@@ -137,16 +137,16 @@
 		return
 	}
 	for _, id := range n.probed {
-		word := NotInHand
+		word := NotExecuting
 		for _, c := range n.calls {
 			if c.id == id && now < c.answeredAt && !n.dead(c.began, id) {
-				word = InHand
+				word = Executing
 			}
 		}
-		n.p.Told(now, id, word)
+		n.p.RecordStatus(now, id, word)
 	}
 	n.probed = nil
-	n.p.Probed(now, true)
+	n.p.ProbeDone(now, true)
 }
 
 func (n *network) act(now time.Duration, bound time.Duration) {
@@ -185,7 +185,7 @@
 			forgetsAt: 2*time.Second + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "forgets")),
 		}
 		const tick = 5 * ms
-		bound := cfg.Recheck + cfg.ProbeTimeout + cfg.Grace + cfg.ProbeGap + 2*tick
+		bound := cfg.MaxRecheckInterval + cfg.ProbeTimeout + cfg.Grace + cfg.MinProbeInterval + 2*tick
 		for now := time.Duration(0); now < 18*time.Second; now += tick {
 			if now < 6*time.Second {
 				n.start(now)
@@ -216,8 +216,8 @@
 		for _, a := range p.Tick(now, nil) {
 			switch a.Kind {
 			case Probe:
-				p.Told(now, id, CannotTell)
-				p.Probed(now, true)
+				p.RecordStatus(now, id, CannotTell)
+				p.ProbeDone(now, true)
 			case Fail:
 				failedAt = now
 			}
@@ -236,16 +236,16 @@
 		p.Take(0)
 		ids = append(ids, p.Opened(0))
 	}
-	is.True(p.End(10*ms, ids[1], Whole)) // idle from here on
+	is.True(p.End(10*ms, ids[1], Complete)) // idle from here on
 	acts := p.Tick(250*ms, nil)
 	is.Equal(acts, []Action{{Probe, []ID{ids[0], ids[2]}}})
-	p.Told(253*ms, ids[0], NotInHand)
-	p.Told(253*ms, ids[2], InHand)
-	p.Probed(253*ms, true)
+	p.RecordStatus(253*ms, ids[0], NotExecuting)
+	p.RecordStatus(253*ms, ids[2], Executing)
+	p.ProbeDone(253*ms, true)
 	acts = p.Tick(353*ms, nil)
 	is.Equal(acts, []Action{{Fail, []ID{ids[0]}}, {Close, []ID{ids[1]}}})
-	is.Equal(p.Open(), 1)                  // the slow call keeps waiting
-	is.True(!p.End(400*ms, ids[0], Whole)) // too late: the connection was removed
+	is.Equal(p.Open(), 1)                     // the slow call keeps waiting
+	is.True(!p.End(400*ms, ids[0], Complete)) // too late: the connection was removed
 }
 
 // Guards against further calls taking idle connections that may be dead while one
@@ -260,11 +260,11 @@
 		p.Take(0)
 		ids = append(ids, p.Opened(0))
 	}
-	is.True(p.End(10*ms, ids[1], Whole))
+	is.True(p.End(10*ms, ids[1], Complete))
 	is.Equal(p.Tick(250*ms, nil), []Action{{Probe, []ID{ids[0], ids[2]}}})
-	is.True(p.End(252*ms, ids[2], Whole)) // active since
-	p.Told(253*ms, ids[0], CannotTell)
-	p.Probed(253*ms, true)
+	is.True(p.End(252*ms, ids[2], Complete)) // active since
+	p.RecordStatus(253*ms, ids[0], CannotTell)
+	p.ProbeDone(253*ms, true)
 	is.Equal(p.Tick(p.Next(), nil), []Action{{Close, []ID{ids[1]}}})
 	is.Equal(p.Idle(), 1)
 	is.Equal(p.Open(), 2)
@@ -283,7 +283,7 @@
 		}
 	}
 	is.True(probes > 1 && probes <= 10)
-	is.True(!p.End(cfg.GiveUp, id, Whole))
+	is.True(!p.End(cfg.GiveUp, id, Complete))
 }
 
 func completeCall(p *Peer, now time.Duration) time.Duration {
@@ -292,8 +292,8 @@
 	if offer == Dial {
 		id = p.Opened(now)
 	}
-	p.Heard(now, id, true)
-	p.End(now, id, Whole)
+	p.RecordActivity(now, id, true)
+	p.End(now, id, Complete)
 	p.Tick(now, nil)
 	return now
 }
@@ -333,8 +333,8 @@
 			_, offer := p.Take(0)
 			is.Equal(offer, Dial)
 			id := p.Opened(0)
-			p.Stated(tc.stated)
-			is.True(p.End(0, id, Whole))
+			p.SetPeerIdleTimeout(tc.stated)
+			is.True(p.End(0, id, Complete))
 			_, offer = p.Take(wait)
 			is.Equal(offer == Reuse, wait == tc.kept)
 		}
--- a/internal/core/conn/silence.go
+++ b/internal/core/conn/silence.go
@@ -28,16 +28,16 @@
 	Conns []ID
 }
 
-// Word is the peer's statement about a call.
-type Word uint8
+// CallStatus is the peer's statement about a call.
+type CallStatus uint8
 
 const (
 	// CannotTell: the peer was reached but cannot tell.
-	CannotTell Word = iota
-	// InHand: the peer is executing the call.
-	InHand
-	// NotInHand: the call never arrived, or its response was sent.
-	NotInHand
+	CannotTell CallStatus = iota
+	// Executing: the peer is executing the call.
+	Executing
+	// NotExecuting: the call never arrived, or its response was sent.
+	NotExecuting
 )
 
 // silenceState is the state of a silent call.
@@ -74,7 +74,7 @@
 	}
 	p.next = never
 	if p.probe.active && now-p.probe.startedAt >= p.cfg.ProbeTimeout {
-		p.Probed(now, false)
+		p.ProbeDone(now, false)
 	}
 	if p.probe.active {
 		p.scheduleTick(p.probe.startedAt + p.cfg.ProbeTimeout)
@@ -107,7 +107,7 @@
 // checkCalls returns the calls that are due: those that have failed and those to
 // probe.
 func (p *Peer) checkCalls(now time.Duration) (failed, ask []ID) {
-	mayAsk := !p.probe.active && (!p.probe.started || now-p.probe.startedAt >= p.cfg.ProbeGap)
+	mayAsk := !p.probe.active && (!p.probe.started || now-p.probe.startedAt >= p.cfg.MinProbeInterval)
 	for id, c := range p.conns {
 		if !c.inUse {
 			p.scheduleTick(c.lastActivity + p.idleTimeout())
@@ -127,7 +127,7 @@
 		case mayAsk:
 			ask = append(ask, id)
 		default:
-			p.scheduleTick(now + p.cfg.ProbeGap)
+			p.scheduleTick(now + p.cfg.MinProbeInterval)
 		}
 	}
 	slices.Sort(failed)
@@ -138,9 +138,9 @@
 // startProbe starts a probe for the calls that have been silent longest.
 func (p *Peer) startProbe(now time.Duration, ids []ID) []ID {
 	slices.SortStableFunc(ids, func(a, b ID) int { return int(p.conns[a].lastActivity - p.conns[b].lastActivity) })
-	if len(ids) > p.cfg.MaxAsked {
-		ids = ids[:p.cfg.MaxAsked]
-		p.scheduleTick(now + p.cfg.ProbeGap)
+	if len(ids) > p.cfg.MaxProbeCalls {
+		ids = ids[:p.cfg.MaxProbeCalls]
+		p.scheduleTick(now + p.cfg.MinProbeInterval)
 	}
 	for _, id := range ids {
 		p.conns[id].silence.inProbe = true
@@ -150,8 +150,8 @@
 	return ids
 }
 
-// Told records the peer's statement about one call of a probe.
-func (p *Peer) Told(now time.Duration, id ID, word Word) {
+// RecordStatus records the peer's statement about one call of a probe.
+func (p *Peer) RecordStatus(now time.Duration, id ID, word CallStatus) {
 	c := p.conns[id]
 	if c == nil || !c.inUse || !c.silence.inProbe {
 		return // ended or active since
@@ -159,12 +159,12 @@
 	w := &c.silence
 	w.inProbe = false
 	switch word {
-	case InHand:
+	case Executing:
 		// Slow, not dead. Probe again later, since the response may still be lost.
 		w.confirmedAt = now
 		w.confirmations++
 		p.scheduleCheck(c, now+p.recheckDelay(w.confirmations))
-	case NotInHand:
+	case NotExecuting:
 		w.missing = true
 		p.scheduleCheck(c, now+p.cfg.Grace)
 	default:
@@ -179,24 +179,24 @@
 func (p *Peer) recheckDelay(n int) time.Duration {
 	d := p.silenceTimeout()
 	for range n {
-		if d >= p.cfg.Recheck {
+		if d >= p.cfg.MaxRecheckInterval {
 			break
 		}
 		d *= 2
 	}
-	return min(d, p.cfg.Recheck)
+	return min(d, p.cfg.MaxRecheckInterval)
 }
 
-// Probed records the end of a probe; reached is false if no new connection to the
+// ProbeDone records the end of a probe; reached is false if no new connection to the
 // peer worked either. Calls without a statement are probed again.
-func (p *Peer) Probed(now time.Duration, reached bool) {
+func (p *Peer) ProbeDone(now time.Duration, reached bool) {
 	if !p.probe.active {
 		return
 	}
 	p.probe.active = false
 	again := p.silenceTimeout()
 	if reached {
-		again = p.cfg.ProbeGap
+		again = p.cfg.MinProbeInterval
 	}
 	for _, c := range p.conns {
 		if c.inUse && c.silence.inProbe {
--- a/internal/core/early/chain.go
+++ b/internal/core/earlyrefusal/chain.go
@@ -1,4 +1,4 @@
-package early
+package earlyrefusal
 
 import (
 	"math"
@@ -21,10 +21,10 @@
 	callees []calleeUse
 }
 
-// Work identifies a class of the node's own service and the tenant that it serves.
+// WorkKey identifies a class of the node's own service and the tenant that it serves.
 // Without the tenant, a chain level caused by one tenant's flood of a service below
 // would refuse the other tenants' requests early.
-type Work struct {
+type WorkKey struct {
 	Class  request.Class
 	Tenant request.Tenant
 }
@@ -34,7 +34,7 @@
 type Chain struct {
 	cfg     *Config
 	table   *Table
-	classes map[Work]*class
+	classes map[WorkKey]*class
 }
 
 // maxCallees is the maximum number of callees recorded for a class.
@@ -42,11 +42,11 @@
 
 // NewChain returns a chain that reads callees' levels from table.
 func NewChain(cfg *Config, table *Table) *Chain {
-	return &Chain{cfg: cfg, table: table, classes: map[Work]*class{}}
+	return &Chain{cfg: cfg, table: table, classes: map[WorkKey]*class{}}
 }
 
-// Served counts a request of the class that the node's own target starts to serve.
-func (c *Chain) Served(now time.Duration, w Work) {
+// RecordRequest counts a request of the class that the node's own target starts to serve.
+func (c *Chain) RecordRequest(now time.Duration, w WorkKey) {
 	cl := c.classes[w]
 	if cl == nil {
 		if len(c.classes) >= c.cfg.MaxKeys {
@@ -59,8 +59,8 @@
 	cl.at = now
 }
 
-// Used counts the first call that a request of the class makes to a callee.
-func (c *Chain) Used(now time.Duration, w Work, k Key) {
+// RecordCall counts the first call that a request of the class makes to a callee.
+func (c *Chain) RecordCall(now time.Duration, w WorkKey, k Key) {
 	cl := c.classes[w]
 	if cl == nil {
 		return
@@ -81,13 +81,13 @@
 // of a class: the highest among the callees that at least MinUse of its requests
 // call. Callees needed by fewer requests are ignored; they refuse those requests
 // themselves.
-func (c *Chain) Level(now time.Duration, w Work) request.Level {
+func (c *Chain) Level(now time.Duration, w WorkKey) request.Level {
 	cl := c.classes[w]
 	if cl == nil {
 		return 0
 	}
 	var level request.Level
-	need := c.cfg.MinUse * c.decay(cl.served, now-cl.at)
+	need := c.cfg.MinUseFraction * c.decay(cl.served, now-cl.at)
 	for i := range cl.callees {
 		u := &cl.callees[i]
 		if c.decay(u.calls, now-u.at) < need {
--- a/internal/core/early/config.go
+++ b/internal/core/earlyrefusal/config.go
@@ -1,4 +1,4 @@
-package early
+package earlyrefusal
 
 import "time"
 
@@ -8,13 +8,13 @@
 	// from any of its targets. Default 250ms. Higher values refuse more steadily at
 	// low request rates and recover later.
 	Hold time.Duration
-	// Age is the time without reports after which a service's level is 0; it decays
+	// LevelTTL is the time without reports after which a service's level is 0; it decays
 	// linearly from Hold on. Default 1s. Higher values recover later.
-	Age time.Duration
-	// Outdated is the age, relative to the service's newest report, up to which a
+	LevelTTL time.Duration
+	// MaxReportLag is the age, relative to the service's newest report, up to which a
 	// target's report still counts. Default 3s. Higher values keep reports of
 	// targets that a caller seldom calls; lower values follow changes sooner.
-	Outdated time.Duration
+	MaxReportLag time.Duration
 	// MinReports is the number of latest targets' reports that count however
 	// infrequent they are; reports that are older than the newest by Hold count only
 	// up to this number. Default 4. Higher values are steadier at low request rates,
@@ -33,23 +33,23 @@
 	// to count, if as many are known. Default 2: a single target can't close a
 	// service.
 	MinTargets int
-	// Probe is the fraction of refused requests that is sent as probes, 0 to 1.
+	// ProbeFraction is the fraction of refused requests that is sent as probes, 0 to 1.
 	// Default 0.01. Higher values detect a recovery sooner and send more calls that
 	// are refused further down.
-	Probe float64
-	// Reuse is how long a computed level is cached. Default 5ms.
-	Reuse time.Duration
+	ProbeFraction float64
+	// CacheTTL is how long a computed level is cached. Default 5ms.
+	CacheTTL time.Duration
 	// RetryAfter is the minimum retry delay. Default 1s. Higher values reduce the
 	// load on the entry and delay the return of callers that respect it.
 	RetryAfter time.Duration
-	// Spread is the range of the uniform jitter added to the retry delay. Default
+	// RetryJitter is the range of the uniform jitter added to the retry delay. Default
 	// 1s. With 0 all refused callers return at once.
-	Spread time.Duration
-	// MinUse is the fraction of a class's requests, 0 to 1, that must call a service
+	RetryJitter time.Duration
+	// MinUseFraction is the fraction of a class's requests, 0 to 1, that must call a service
 	// for its level to be reported upstream. Default 0.5. Lower values refuse
 	// requests at the entry also for services that most requests of the class don't
 	// need.
-	MinUse float64
+	MinUseFraction float64
 	// UseWindow is the time constant over which MinUse is measured. Default 10s.
 	UseWindow time.Duration
 	// MaxTargets is the maximum number of targets recorded per service and class;
@@ -65,20 +65,20 @@
 // for the deployments that the project targets.
 func DefaultConfig() Config {
 	return Config{
-		Hold:       250 * time.Millisecond,
-		Age:        time.Second,
-		Outdated:   3 * time.Second,
-		MinReports: 4,
-		Span:       250 * time.Millisecond,
-		Quantile:   0.25,
-		MinTargets: 2,
-		Probe:      0.01,
-		Reuse:      5 * time.Millisecond,
-		RetryAfter: time.Second,
-		Spread:     time.Second,
-		MinUse:     0.5,
-		UseWindow:  10 * time.Second,
-		MaxTargets: 32,
-		MaxKeys:    1024,
+		Hold:           250 * time.Millisecond,
+		LevelTTL:       time.Second,
+		MaxReportLag:   3 * time.Second,
+		MinReports:     4,
+		Span:           250 * time.Millisecond,
+		Quantile:       0.25,
+		MinTargets:     2,
+		ProbeFraction:  0.01,
+		CacheTTL:       5 * time.Millisecond,
+		RetryAfter:     time.Second,
+		RetryJitter:    time.Second,
+		MinUseFraction: 0.5,
+		UseWindow:      10 * time.Second,
+		MaxTargets:     32,
+		MaxKeys:        1024,
 	}
 }
--- a/internal/core/early/doc.go
+++ b/internal/core/earlyrefusal/doc.go
@@ -28,4 +28,4 @@
 //
 // The types are not safe for concurrent use: one mutex guards a Table and its
 // Chain, held for well under a microsecond.
-package early
+package earlyrefusal
--- a/internal/core/early/early_test.go
+++ b/internal/core/earlyrefusal/early_test.go
@@ -1,4 +1,4 @@
-package early
+package earlyrefusal
 
 import (
 	"math/rand/v2"
@@ -138,8 +138,8 @@
 	tab := newTable()
 	cfg := DefaultConfig()
 	chain := NewChain(&cfg, tab)
-	chain.Served(0, Work{Class: "front"})
-	chain.Used(0, Work{Class: "front"}, archiveKey)
+	chain.RecordRequest(0, WorkKey{Class: "front"})
+	chain.RecordCall(0, WorkKey{Class: "front"}, archiveKey)
 	for _, r := range []struct {
 		at         time.Duration
 		level, low request.Level
@@ -149,7 +149,7 @@
 	} {
 		learnLevels(tab, r.at, r.level, r.level)
 		is.Equal(tab.Level(r.at, archiveKey), r.low)
-		is.Equal(chain.Level(r.at, Work{Class: "front"}), r.level) // reported upstream unchanged
+		is.Equal(chain.Level(r.at, WorkKey{Class: "front"}), r.level) // reported upstream unchanged
 	}
 }
 
@@ -173,17 +173,17 @@
 	rare := Key{Service: "media.khaosan", Class: "read"}
 	for i := range 100 {
 		now := time.Duration(i) * ms
-		chain.Served(now, Work{Class: "headlines"})
-		chain.Used(now, Work{Class: "headlines"}, archiveKey)
+		chain.RecordRequest(now, WorkKey{Class: "headlines"})
+		chain.RecordCall(now, WorkKey{Class: "headlines"}, archiveKey)
 		if i%10 == 0 {
-			chain.Used(now, Work{Class: "headlines"}, rare)
+			chain.RecordCall(now, WorkKey{Class: "headlines"}, rare)
 		}
 	}
 	tab.Learn(100*ms, rare, Report{Target: 1, Chain: payPriority})
-	is.Equal(chain.Level(100*ms, Work{Class: "headlines"}), request.Level(0)) // few requests need it
+	is.Equal(chain.Level(100*ms, WorkKey{Class: "headlines"}), request.Level(0)) // few requests need it
 	learnLevels(tab, 110*ms, feedLevel, feedLevel)
-	is.Equal(chain.Level(110*ms, Work{Class: "headlines"}), feedLevel)
-	is.Equal(chain.Level(110*ms, Work{Class: "other"}), request.Level(0))
+	is.Equal(chain.Level(110*ms, WorkKey{Class: "headlines"}), feedLevel)
+	is.Equal(chain.Level(110*ms, WorkKey{Class: "other"}), request.Level(0))
 }
 
 func TestOwnLevelHoldsForAllClasses(t *testing.T) {
@@ -222,11 +222,11 @@
 	tab := newTable()
 	chain := NewChain(tab.cfg, tab)
 	for _, tenant := range []request.Tenant{"khaosan", "kalahari"} {
-		w, k := Work{Class: "read", Tenant: tenant}, archiveKey
+		w, k := WorkKey{Class: "read", Tenant: tenant}, archiveKey
 		k.Tenant = tenant
 		for range 10 {
-			chain.Served(0, w)
-			chain.Used(0, w, k)
+			chain.RecordRequest(0, w)
+			chain.RecordCall(0, w, k)
 		}
 		level := request.Level(0)
 		if tenant == "khaosan" {
@@ -236,8 +236,8 @@
 			tab.Learn(0, k, Report{Target: request.TargetID(i + 1), Own: level, Slots: 100})
 		}
 	}
-	is.Equal(chain.Level(0, Work{Class: "read", Tenant: "khaosan"}), feedLevel)
-	is.Equal(chain.Level(0, Work{Class: "read", Tenant: "kalahari"}), request.Level(0))
+	is.Equal(chain.Level(0, WorkKey{Class: "read", Tenant: "khaosan"}), feedLevel)
+	is.Equal(chain.Level(0, WorkKey{Class: "read", Tenant: "kalahari"}), request.Level(0))
 }
 
 func TestBounds(t *testing.T) {
@@ -269,8 +269,8 @@
 	chain := NewChain(tab.cfg, tab)
 	learnLevels(tab, 0, make([]request.Level, 16)...)
 	tab.Level(0, archiveKey)
-	chain.Served(0, Work{Class: "headlines"})
-	chain.Used(0, Work{Class: "headlines"}, archiveKey)
+	chain.RecordRequest(0, WorkKey{Class: "headlines"})
+	chain.RecordCall(0, WorkKey{Class: "headlines"}, archiveKey)
 	return tab, chain
 }
 
@@ -278,11 +278,11 @@
 // recomputed.
 func serveRequest(tab *Table, chain *Chain, now time.Duration) time.Duration {
 	now += 5 * ms
-	chain.Served(now, Work{Class: "headlines"})
-	chain.Used(now, Work{Class: "headlines"}, archiveKey)
+	chain.RecordRequest(now, WorkKey{Class: "headlines"})
+	chain.RecordCall(now, WorkKey{Class: "headlines"}, archiveKey)
 	tab.Check(now, archiveKey, payPriority)
 	tab.Learn(now, archiveKey, Report{Target: 3, Own: feedLevel, Slots: 100})
-	chain.Level(now, Work{Class: "headlines"})
+	chain.Level(now, WorkKey{Class: "headlines"})
 	return now
 }
 
--- a/internal/core/early/table.go
+++ b/internal/core/earlyrefusal/table.go
@@ -1,4 +1,4 @@
-package early
+package earlyrefusal
 
 import (
 	"math/rand/v2"
@@ -111,7 +111,7 @@
 		return // reordered: a newer response has been recorded
 	}
 	h.record(level, max(r.Slots, 1), now, t.cfg.Span)
-	if now-l.computedAt >= t.cfg.Reuse {
+	if now-l.computedAt >= t.cfg.CacheTTL {
 		l.fresh = false
 	}
 }
@@ -169,12 +169,12 @@
 	if p >= level {
 		return Verdict{Level: level}
 	}
-	if l := t.keys[k]; l.takeProbe(t.cfg.Probe) {
+	if l := t.keys[k]; l.takeProbe(t.cfg.ProbeFraction) {
 		return Verdict{Probe: true, Level: level}
 	}
 	wait := t.cfg.RetryAfter
-	if t.cfg.Spread > 0 {
-		wait += time.Duration(t.rng.Int64N(int64(t.cfg.Spread)))
+	if t.cfg.RetryJitter > 0 {
+		wait += time.Duration(t.rng.Int64N(int64(t.cfg.RetryJitter)))
 	}
 	return Verdict{Refuse: true, Level: level, RetryAfter: wait}
 }
@@ -223,7 +223,7 @@
 
 // refresh recomputes the levels of a key unless they are cached.
 func (t *Table) refresh(now time.Duration, l *keyLevels) {
-	if l.fresh && now-l.computedAt < t.cfg.Reuse {
+	if l.fresh && now-l.computedAt < t.cfg.CacheTTL {
 		return
 	}
 	l.level = t.quantile(now, l, (*targetReports).recentMin)
@@ -242,7 +242,7 @@
 // before all targets have reported it.
 func (t *Table) isCurrent(l *keyLevels, newest, at time.Duration) bool {
 	age := newest - at
-	return age < t.cfg.Hold || age < t.cfg.Outdated && l.reportsAfter(at) < t.cfg.MinReports
+	return age < t.cfg.Hold || age < t.cfg.MaxReportLag && l.reportsAfter(at) < t.cfg.MinReports
 }
 
 // reportsAfter returns the number of targets that reported after a time.
@@ -270,13 +270,13 @@
 	t.sorted = t.sorted[:0]
 	newest := l.newestReport()
 	age := now - newest
-	if age >= t.cfg.Age {
+	if age >= t.cfg.LevelTTL {
 		return 0
 	}
 	total, known := 0, 0
 	for i := range l.targets {
 		h := &l.targets[i]
-		if now-h.reportedAt < knownForAges*t.cfg.Age {
+		if now-h.reportedAt < knownForAges*t.cfg.LevelTTL {
 			known++
 		}
 		if !t.isCurrent(l, newest, h.reportedAt) {
@@ -315,10 +315,10 @@
 	if age <= t.cfg.Hold {
 		return level
 	}
-	if age >= t.cfg.Age {
+	if age >= t.cfg.LevelTTL {
 		return 0
 	}
-	left := float64(t.cfg.Age-age) / float64(t.cfg.Age-t.cfg.Hold)
+	left := float64(t.cfg.LevelTTL-age) / float64(t.cfg.LevelTTL-t.cfg.Hold)
 	floor := request.Level(level.Importance()) << 16
 	return floor + request.Level(float64(level-floor)*left)
 }
--- a/internal/core/lifetime/check.go
+++ b/internal/core/lifetime/check.go
@@ -18,10 +18,10 @@
 	switch {
 	case r.Instance == "":
 		return status.New(status.CodeMalformed, "report has no instance name")
-	case !r.Last && r.Service != service:
+	case !r.Final && r.Service != service:
 		return status.New(status.CodeMalformed, "report names service %q at a node of service %q", r.Service, service)
-	case r.Born < 0 || r.Born > now.Add(maxClockSkew).UnixMilli():
-		return status.New(status.CodeMalformed, "start time %d ms is out of range", r.Born)
+	case r.StartedAt < 0 || r.StartedAt > now.Add(maxClockSkew).UnixMilli():
+		return status.New(status.CodeMalformed, "start time %d ms is out of range", r.StartedAt)
 	}
 	return nil
 }
--- a/internal/core/lifetime/tracker.go
+++ b/internal/core/lifetime/tracker.go
@@ -8,11 +8,11 @@
 
 // State is the known state of the target.
 type State struct {
-	Instance string // empty if unknown
-	Born     int64  // start time in Unix milliseconds; 0 if not reported
-	Slots    int
-	Takes    bool // whether calls may be sent to it
-	Cold     time.Duration
+	Instance     string // empty if unknown
+	StartedAt    int64  // start time in Unix milliseconds; 0 if not reported
+	Slots        int
+	AcceptsCalls bool // whether calls may be sent to it
+	Cold         time.Duration
 }
 
 // Tracker tracks the lifetimes at one address.
@@ -43,7 +43,7 @@
 	if l == nil {
 		return State{Instance: t.current}
 	}
-	return State{Instance: t.current, Born: l.born, Slots: l.slots, Takes: !l.leaving, Cold: l.cold}
+	return State{Instance: t.current, StartedAt: l.born, Slots: l.slots, AcceptsCalls: !l.leaving, Cold: l.cold}
 }
 
 // Report applies a report of a target.
@@ -52,22 +52,22 @@
 	switch {
 	case !known:
 		l = t.add(r.Instance)
-	case l.born == 0 || r.Born == 0 || r.Born == l.born:
-	case r.Born < l.born:
+	case l.born == 0 || r.StartedAt == 0 || r.StartedAt == l.born:
+	case r.StartedAt < l.born:
 		return t.State() // a delayed report of an earlier start
 	default:
 		*l = lifetime{}
 		t.current, known = r.Instance, false
 	}
-	if r.Born != 0 {
-		l.born = r.Born
+	if r.StartedAt != 0 {
+		l.born = r.StartedAt
 	}
-	if r.Leaving || r.Last {
+	if r.Leaving || r.Final {
 		l.leaving = true
 	}
 	if !known || r.Seq > l.seq {
 		l.seq = r.Seq
-		l.cold = r.Cold
+		l.cold = r.WarmupRemaining
 		if r.Slots > 0 {
 			l.slots = r.Slots
 		}
--- a/internal/core/lifetime/tracker_test.go
+++ b/internal/core/lifetime/tracker_test.go
@@ -18,12 +18,12 @@
 func TestLeaveIsFinal(t *testing.T) {
 	is := is.New(t)
 	tr := New()
-	is.True(tr.Report(report("a", 1)).Takes)
+	is.True(tr.Report(report("a", 1)).AcceptsCalls)
 	leave := report("a", 3)
 	leave.Leaving = true
-	is.True(!tr.Report(leave).Takes)
-	is.True(!tr.Report(report("a", 2)).Takes) // late
-	is.True(!tr.Report(report("a", 4)).Takes) // a newer one doesn't either
+	is.True(!tr.Report(leave).AcceptsCalls)
+	is.True(!tr.Report(report("a", 2)).AcceptsCalls) // late
+	is.True(!tr.Report(report("a", 4)).AcceptsCalls) // a newer one doesn't either
 }
 
 // Guards against a last report that isn't handled as a leave.
@@ -31,16 +31,16 @@
 	is := is.New(t)
 	tr := New()
 	tr.Report(report("a", 1))
-	is.True(!tr.Report(port.Report{Instance: "a", Last: true}).Takes)
+	is.True(!tr.Report(port.Report{Instance: "a", Final: true}).AcceptsCalls)
 }
 
 // Guards against a restarted node that forgets a leave it acknowledged.
 func TestNothingRunsBeforeReport(t *testing.T) {
 	is := is.New(t)
-	is.True(!New().State().Takes)
+	is.True(!New().State().AcceptsCalls)
 	leave := report("a", 9)
 	leave.Leaving = true
-	is.True(!New().Report(leave).Takes)
+	is.True(!New().Report(leave).AcceptsCalls)
 }
 
 // Guards against a delayed report of a crashed target that is taken for the current
@@ -51,10 +51,10 @@
 	tr.Report(report("new", 1))
 	tr.Report(report("old", 7)) // not seen before, so taken for the newer one
 	is.Equal(tr.State().Instance, "old")
-	is.Equal(tr.Answered("new"), State{Instance: "new", Slots: 10, Takes: true})
+	is.Equal(tr.Answered("new"), State{Instance: "new", Slots: 10, AcceptsCalls: true})
 	is.Equal(tr.Report(report("old", 8)).Instance, "new") // already known, so not made current
-	is.True(!tr.Answered("third").Takes)                  // has not reported yet
-	is.True(tr.Report(report("third", 1)).Takes)
+	is.True(!tr.Answered("third").AcceptsCalls)           // has not reported yet
+	is.True(tr.Report(report("third", 1)).AcceptsCalls)
 }
 
 // Guards against memory growth with each start of a crash-looping target.
@@ -79,7 +79,7 @@
 
 func start(born, seq int64) port.Report {
 	r := report("a", seq)
-	r.Born = born
+	r.StartedAt = born
 	return r
 }
 
@@ -94,8 +94,8 @@
 	is := is.New(t)
 	tr := New()
 	tr.Report(start(1000, 50))
-	is.True(!tr.Report(withLeaving(start(1000, 51))).Takes)
-	is.Equal(tr.Report(start(2000, 1)), State{Instance: "a", Born: 2000, Slots: 10, Takes: true})
+	is.True(!tr.Report(withLeaving(start(1000, 51))).AcceptsCalls)
+	is.Equal(tr.Report(start(2000, 1)), State{Instance: "a", StartedAt: 2000, Slots: 10, AcceptsCalls: true})
 	r := start(2000, 2)
 	r.Slots = 20
 	is.Equal(tr.Report(r).Slots, 20)
@@ -107,12 +107,12 @@
 	tr := New()
 	tr.Report(start(1000, 50))
 	now := tr.Report(start(2000, 1))
-	for _, late := range []port.Report{start(1000, 60), withLeaving(start(1000, 61)), {Instance: "a", Born: 1000, Leaving: true, Last: true}} {
+	for _, late := range []port.Report{start(1000, 60), withLeaving(start(1000, 61)), {Instance: "a", StartedAt: 1000, Leaving: true, Final: true}} {
 		is.Equal(tr.Report(late), now)
 	}
-	is.True(!tr.Report(withLeaving(start(2000, 2))).Takes) // its own leave applies
-	is.True(!tr.Report(start(1000, 62)).Takes)
-	is.True(!tr.Report(start(2000, 3)).Takes)
+	is.True(!tr.Report(withLeaving(start(2000, 2))).AcceptsCalls) // its own leave applies
+	is.True(!tr.Report(start(1000, 62)).AcceptsCalls)
+	is.True(!tr.Report(start(2000, 3)).AcceptsCalls)
 }
 
 // Guards against reverting a leave that named no start time when a later report names
@@ -120,10 +120,10 @@
 func TestLateStartTimeIsSameLifetime(t *testing.T) {
 	is := is.New(t)
 	tr := New()
-	tr.Report(port.Report{Instance: "a", Leaving: true, Last: true})
-	is.True(!tr.Report(start(1000, 5)).Takes)
-	is.True(tr.Report(start(2000, 1)).Takes)
-	is.True(!tr.Report(port.Report{Instance: "a", Leaving: true, Last: true}).Takes) // applies to the latest start
+	tr.Report(port.Report{Instance: "a", Leaving: true, Final: true})
+	is.True(!tr.Report(start(1000, 5)).AcceptsCalls)
+	is.True(tr.Report(start(2000, 1)).AcceptsCalls)
+	is.True(!tr.Report(port.Report{Instance: "a", Leaving: true, Final: true}).AcceptsCalls) // applies to the latest start
 }
 
 // Guards against accepting a report that can't come from the local target, and a start
@@ -131,16 +131,16 @@
 func TestCheckRejectsInvalidReports(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_767_225_600_000)
-	ok := port.Report{Instance: "a", Service: "s.t", Born: now.UnixMilli()}
+	ok := port.Report{Instance: "a", Service: "s.t", StartedAt: now.UnixMilli()}
 	is.NoErr(Check(ok, "s.t", now))
-	is.NoErr(Check(port.Report{Instance: "a", Last: true}, "s.t", now)) // a last report names no service
+	is.NoErr(Check(port.Report{Instance: "a", Final: true}, "s.t", now)) // a last report names no service
 	for _, change := range []func(r *port.Report){
 		func(r *port.Report) { r.Instance = "" },
 		func(r *port.Report) { r.Service = "" },
 		func(r *port.Report) { r.Service = "other.t" },
-		func(r *port.Report) { r.Born = -1 },
-		func(r *port.Report) { r.Born = now.Add(2 * maxClockSkew).UnixMilli() },
-		func(r *port.Report) { r.Last, r.Born = true, -1 },
+		func(r *port.Report) { r.StartedAt = -1 },
+		func(r *port.Report) { r.StartedAt = now.Add(2 * maxClockSkew).UnixMilli() },
+		func(r *port.Report) { r.Final, r.StartedAt = true, -1 },
 	} {
 		r := ok
 		change(&r)
--- a/internal/core/limit/config.go
+++ b/internal/core/limit/config.go
@@ -30,10 +30,10 @@
 	// a lower limit is tried. Default 2. Higher values tolerate more queueing inside
 	// the target; lower values cause more trials.
 	Inflation float64
-	// Patience is how long the time in the target must stay inflated before the
+	// InflationPeriod is how long the time in the target must stay inflated before the
 	// first trial. Default 10 s. With higher values a short slowdown causes no
 	// trial; with lower values queueing inside the target ends sooner.
-	Patience time.Duration
+	InflationPeriod time.Duration
 	// ShedFraction is the fraction of requests shed by the target above which the
 	// limit is cut at once. Default 0.02. Higher values react later to a target that
 	// sheds.
@@ -53,7 +53,7 @@
 		MinMeasure:      100 * time.Millisecond,
 		MaxMeasure:      5 * time.Second,
 		Inflation:       2,
-		Patience:        10 * time.Second,
+		InflationPeriod: 10 * time.Second,
 		ShedFraction:    0.02,
 		Backoff:         time.Second,
 		MaxBackoff:      30 * time.Second,
--- a/internal/core/limit/delay.go
+++ b/internal/core/limit/delay.go
@@ -22,7 +22,7 @@
 	delaySamples       = 64   // samples that a kind needs before it counts
 )
 
-// Delay detects requests that queue inside the target from the distribution of their
+// QueueDetector detects requests that queue inside the target from the distribution of their
 // times.
 //
 // A slow target stretches all times by the same factor, so the variance of their
@@ -30,7 +30,7 @@
 // variance falls. Without this distinction, trials of a lower limit would run while
 // the target is only slow. Times must exclude the target's calls to other services:
 // waiting for a slow callee looks like queueing too.
-type Delay struct {
+type QueueDetector struct {
 	kinds          []requestKind
 	completedKinds []int // with completions in this window
 }
@@ -67,11 +67,11 @@
 	return d * d / 2
 }
 
-// NewDelay returns a Delay for n kinds of request.
-func NewDelay(n int) *Delay { return &Delay{kinds: make([]requestKind, n)} }
+// NewQueueDetector returns a Delay for n kinds of request.
+func NewQueueDetector(n int) *QueueDetector { return &QueueDetector{kinds: make([]requestKind, n)} }
 
-// Done counts a completion of a kind.
-func (d *Delay) Done(of int) {
+// CountCompletion counts a completion of a kind.
+func (d *QueueDetector) CountCompletion(of int) {
 	k := &d.kinds[of]
 	if k.completed == 0 {
 		d.completedKinds = append(d.completedKinds, of)
@@ -79,9 +79,9 @@
 	k.completed++
 }
 
-// Note records that a request of a kind was in the target for whole, of which it
+// RecordTime records that a request of a kind was in the target for whole, of which it
 // spent own without waiting for downstream calls.
-func (d *Delay) Note(of int, whole, own time.Duration) {
+func (d *QueueDetector) RecordTime(of int, whole, own time.Duration) {
 	if own <= 0 {
 		return
 	}
@@ -111,10 +111,10 @@
 	return k.recent.mean > delayInflation*k.baseline.mean && k.recent.variance < delayVarianceRatio*k.baseline.variance
 }
 
-// Roll closes a window. If requests queue inside the target, it returns the time
+// EndWindow closes a window. If requests queue inside the target, it returns the time
 // that the completed ones would have spent in the target without queueing; otherwise
 // 0.
-func (d *Delay) Roll() time.Duration {
+func (d *QueueDetector) EndWindow() time.Duration {
 	var all, wait, usual, narrow, needed float64
 	for _, i := range d.completedKinds {
 		k := &d.kinds[i]
--- a/internal/core/limit/delay_test.go
+++ b/internal/core/limit/delay_test.go
@@ -14,17 +14,17 @@
 // feedDelay feeds completions, half of each kind: a time drawn with a coefficient of
 // variation of one half, stretched, plus a wait. It returns the needed time of the
 // last window.
-func feedDelay(d *Delay, rng *rand.Rand, n int, stretch float64, wait func(i int) time.Duration) time.Duration {
+func feedDelay(d *QueueDetector, rng *rand.Rand, n int, stretch float64, wait func(i int) time.Duration) time.Duration {
 	for i := range n {
 		own := time.Duration(0)
 		for range 4 {
 			own += time.Duration(rng.ExpFloat64() * stretch * float64(baselineTimes[i%2]) / 4)
 		}
 		own += wait(i)
-		d.Done(i % 2)
-		d.Note(i%2, own+time.Second, own) // each waits a second for downstream calls
+		d.CountCompletion(i % 2)
+		d.RecordTime(i%2, own+time.Second, own) // each waits a second for downstream calls
 	}
-	return d.Roll()
+	return d.EndWindow()
 }
 
 func noWait(int) time.Duration { return 0 }
@@ -48,7 +48,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(20) {
-				d, rng := NewDelay(len(baselineTimes)), rand.New(rand.NewPCG(seed, 4))
+				d, rng := NewQueueDetector(len(baselineTimes)), rand.New(rand.NewPCG(seed, 4))
 				is.Equal(feedDelay(d, rng, n, 1, noWait), time.Duration(0))
 				needed := feedDelay(d, rng, n, tt.stretch, tt.wait)
 				is.Equal(needed > 0, tt.queues)
--- a/internal/core/limit/limit.go
+++ b/internal/core/limit/limit.go
@@ -6,7 +6,7 @@
 type Window struct {
 	Length     time.Duration // of the window; windows are contiguous
 	Busy       time.Duration // time in the target, summed over the requests in flight
-	Below      time.Duration // time that completed requests spent waiting for the target's own calls
+	Downstream time.Duration // time that completed requests spent waiting for the target's own calls
 	Completed  int           // requests that left the target with any result but a shed
 	Overloaded int           // requests that the target shed
 	Saturated  time.Duration // part of Length in which there was more work than the limit admitted
@@ -31,7 +31,7 @@
 	w.Overloaded += next.Overloaded
 	w.Saturated += next.Saturated
 	w.Needed += next.Needed
-	w.Below += next.Below
+	w.Downstream += next.Downstream
 }
 
 // inFlight returns the mean number of requests in flight.
@@ -58,5 +58,5 @@
 	if w.Completed == 0 {
 		return 0
 	}
-	return max(0, w.Busy-w.Below) / time.Duration(w.Completed)
+	return max(0, w.Busy-w.Downstream) / time.Duration(w.Completed)
 }
--- a/internal/core/limit/limit_test.go
+++ b/internal/core/limit/limit_test.go
@@ -164,7 +164,7 @@
 		done := int(begun)
 		begun -= float64(done)
 		p.Observe(Window{Length: window, Saturated: window, Busy: time.Duration(p.Limit()) * window,
-			Below: time.Duration(done) * below, Completed: done})
+			Downstream: time.Duration(done) * below, Completed: done})
 		if now > 10*time.Second {
 			is.Equal(p.Limit(), 40)
 		}
--- a/internal/core/limit/probe.go
+++ b/internal/core/limit/probe.go
@@ -281,7 +281,7 @@
 		return
 	}
 	switch {
-	case p.limit > 1 && (p.inflatedFor >= p.cfg.Patience || p.repeatCut && p.inflated(r, cutInflation)):
+	case p.limit > 1 && (p.inflatedFor >= p.cfg.InflationPeriod || p.repeatCut && p.inflated(r, cutInflation)):
 		p.beginTrial(tryingLower, int(trialRatio*float64(p.limit)), r)
 	case p.limit < p.max && p.trialPause == 0:
 		p.beginTrial(tryingHigher, max(p.limit+1, int(float64(p.limit)/trialRatio)), r)
--- a/internal/core/member/budget.go
+++ b/internal/core/member/budget.go
@@ -15,5 +15,5 @@
 		return 2 * minItemBudget
 	}
 	room := max(share, (saved-cfg.ExchangeCost)/4)
-	return min(max(room, 2*minItemBudget), 2*cfg.MaxItems)
+	return min(max(room, 2*minItemBudget), 2*cfg.MaxItemBytes)
 }
--- a/internal/core/member/exchange.go
+++ b/internal/core/member/exchange.go
@@ -16,7 +16,7 @@
 func (s *State) tickLinks(now time.Duration) {
 	ample := s.hasAmpleBudget()
 	s.queue.ampleBudget = ample
-	s.queue.piggybacking = s.rider != nil && !s.budget.Allows(budget.Conn)
+	s.queue.piggybacking = s.rider != nil && !s.budget.Allows(budget.SeparateConn)
 	var urgent uint32
 	switch {
 	case ample:
@@ -54,7 +54,7 @@
 	}
 	due := l.nextDue
 	if expedite && !l.failing {
-		due = min(due, l.lastOut+s.cfg.EagerGap)
+		due = min(due, l.lastOut+s.cfg.UrgentInterval)
 	}
 	if now >= due {
 		s.startExchange(now, l)
@@ -64,7 +64,7 @@
 // failUnreported fails an exchange whose outcome the caller never reported;
 // otherwise the link would stay blocked for good.
 func (s *State) failUnreported(now time.Duration, l *link) {
-	if now-l.lastOut > 4*s.cfg.CallTimeout {
+	if now-l.lastOut > 4*s.cfg.ExchangeTimeout {
 		s.failExchange(now, l)
 	}
 }
@@ -80,25 +80,25 @@
 	l.nextDue = now + period - period/10 + s.jitter(period/5)
 	room := s.itemBudget()
 	m := s.newMessage(Heartbeat)
-	m.Seq, m.Got = l.seq, l.ackedSeq
-	half := min(room/2, s.cfg.MaxItems)
+	m.Seq, m.AckedSeq = l.seq, l.ackedSeq
+	half := min(room/2, s.cfg.MaxItemBytes)
 	if l.lowBudget {
 		half = minItemBudget
 	}
 	l.sent = s.fillMessage(now, m, l, half, s.piggybackRequest())
-	m.Room = uint32(min(room-(m.Size()-headerSize), s.cfg.MaxItems))
+	m.MaxItemBytes = uint32(min(room-(m.Size()-headerSize), s.cfg.MaxItemBytes))
 	s.queueExchange(s.peer(l.peer), m, false)
 }
 
 func (s *State) queueExchange(to Peer, m *Message, once bool) {
 	s.stats.Exchanges++
-	s.actions = append(s.actions, Exchange{To: to, Msg: m, Timeout: s.cfg.CallTimeout, Once: once})
+	s.actions = append(s.actions, Exchange{To: to, Msg: m, Timeout: s.cfg.ExchangeTimeout, Once: once})
 }
 
 func (s *State) newMessage(k Kind) *Message {
 	return &Message{
-		Kind: k, From: s.self.ID, Incarnation: s.inc, Status: s.status, Body: s.body,
-		Root: s.tab.root, Partial: s.join.isPartial(),
+		Kind: k, From: s.self.ID, Incarnation: s.inc, Status: s.status, BodyDigest: s.body,
+		StateDigest: s.tab.root, Partial: s.join.isPartial(),
 	}
 }
 
@@ -117,7 +117,7 @@
 		l = s.links[m.From]
 	}
 	if l != nil && m.Kind == Heartbeat {
-		if m.Got != 0 && m.Got == l.peerSeq {
+		if m.AckedSeq != 0 && m.AckedSeq == l.peerSeq {
 			s.queue.ack(l.bit(), l.sentInReply)
 		} else {
 			s.queue.releaseInFlight(l.sentInReply)
@@ -133,7 +133,7 @@
 		s.answerJoin(m, r)
 	case Pull:
 		s.answerPull(m, r)
-	case Ask:
+	case QueryObserver:
 		s.answerAsk(now, m, r)
 	case Probe:
 		if len(m.Records) > 0 {
@@ -147,16 +147,16 @@
 
 func (s *State) answerHeartbeat(now time.Duration, m, r *Message, l *link) {
 	if l == nil {
-		r.Full = true
+		r.Rejected = true
 		return
 	}
 	l.peerSeq, l.lastIn = m.Seq, now
 	room := minItemBudget
 	if s.budget.Tokens() >= s.cfg.ExchangeCost {
-		room = s.cfg.MaxItems
+		room = s.cfg.MaxItemBytes
 	}
-	r.Room = uint32(room)
-	l.sentInReply = s.fillMessage(now, r, l, min(room, int(min(m.Room, uint32(s.cfg.MaxItems)))), s.piggybackReply(m.Load))
+	r.MaxItemBytes = uint32(room)
+	l.sentInReply = s.fillMessage(now, r, l, min(room, int(min(m.MaxItemBytes, uint32(s.cfg.MaxItemBytes)))), s.piggybackReply(m.Piggyback))
 }
 
 // inboundLink returns the link to a peer that sends heartbeats. It opens one
@@ -174,7 +174,7 @@
 				n++
 			}
 		}
-		if n >= s.cfg.MaxRemoteIn {
+		if n >= s.cfg.MaxRemoteInbound {
 			return nil
 		}
 	}
@@ -215,11 +215,11 @@
 		s.queue.ack(l.bit(), l.sent)
 		l.sent = nil
 		l.markHeard(now)
-		l.lowBudget = m.Room <= minItemBudget
-		if m.Full {
+		l.lowBudget = m.MaxItemBytes <= minItemBudget
+		if m.Rejected {
 			s.handleLinkRejected(now, l)
 		}
-		s.handlePiggybackReply(now, m.Load)
+		s.handlePiggybackReply(now, m.Piggyback)
 	}
 	s.suppressRelay = m.Kind == Join || m.Kind == Pull
 	s.receive(now, m, l)
@@ -246,7 +246,7 @@
 	l.failing = true
 	s.queue.releaseInFlight(l.sent)
 	l.sent = nil
-	l.nextDue = min(l.nextDue, max(now, l.lastOut+s.cfg.RetryAfter))
+	l.nextDue = min(l.nextDue, max(now, l.lastOut+s.cfg.RetryInterval))
 }
 
 // fillMessage adds the items pending for the link to a message, most urgent
@@ -264,7 +264,7 @@
 		return n >= 0
 	}
 	more := s.queue.each(classDrain, classFact, l.bit(), add)
-	m.Load = piggyback(max(room, minPiggyback) - piggybackHeaderSize)
+	m.Piggyback = piggyback(max(room, minPiggyback) - piggybackHeaderSize)
 	room -= m.piggybackBytes()
 	if more && room > 0 {
 		s.queue.each(classDeath, numClasses-1, l.bit(), add)
@@ -321,7 +321,7 @@
 }
 
 // hasAmpleBudget reports whether much of the budget is unspent.
-func (s *State) hasAmpleBudget() bool { return s.budget.Allows(budget.Change) }
+func (s *State) hasAmpleBudget() bool { return s.budget.Allows(budget.MemberChange) }
 
 // fillRequested adds the records that the peer requested. Those not known yet
 // stay requested, so that a record follows its change. An otherwise empty
--- a/internal/core/member/fault_test.go
+++ b/internal/core/member/fault_test.go
@@ -121,7 +121,7 @@
 	is := is.New(t)
 	net := convergedNet(10, oneRegion)
 	n, peer := net.nodes[0], net.nodes[1]
-	heartbeat := &Message{Kind: Heartbeat, From: peer.rec.ID, Incarnation: peer.s.Incarnation(), Body: peer.s.body, Seq: 1000, Room: 500}
+	heartbeat := &Message{Kind: Heartbeat, From: peer.rec.ID, Incarnation: peer.s.Incarnation(), BodyDigest: peer.s.body, Seq: 1000, MaxItemBytes: 500}
 	is.True(n.s.HandleRequest(net.Now, heartbeat) != nil)
 	n.s.PutFact(net.Now, Fact{Kind: ConfigHead, Key: 5, Version: 1})
 	for _, tt := range []struct {
@@ -132,7 +132,7 @@
 		{1002, 1000, 1}, // so it is sent again
 		{1003, 1002, 0}, // and not after it arrived
 	} {
-		heartbeat.Seq, heartbeat.Got = tt.seq, tt.got
+		heartbeat.Seq, heartbeat.AckedSeq = tt.seq, tt.got
 		r := n.s.HandleRequest(net.Now, heartbeat)
 		is.Equal(len(r.Facts), tt.facts)
 	}
@@ -180,7 +180,7 @@
 	net.run(2 * time.Second)
 	is.Equal(net.status(net.nodes[2], net.nodes[3]), "unknown") // two groups
 	for i, n := range net.nodes[2:] {
-		n.s.Join([]Peer{{Control: net.nodes[(i+1)%2].rec.Control}}, nil)
+		n.s.Join([]Peer{{ControlAddr: net.nodes[(i+1)%2].rec.ControlAddr}}, nil)
 	}
 	net.run(4 * time.Second)
 	is.Equal(net.difference(), "")
@@ -201,7 +201,7 @@
 		net.run(20 * time.Millisecond)
 	}
 	is.True(!n.s.Complete())
-	n.s.Join([]Peer{{Control: net.nodes[1].rec.Control}}, []request.Service{"svc1.tenant"})
+	n.s.Join([]Peer{{ControlAddr: net.nodes[1].rec.ControlAddr}}, []request.Service{"svc1.tenant"})
 	for !n.s.Complete() {
 		net.run(200 * time.Millisecond)
 	}
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -62,7 +62,7 @@
 	}
 	j.hasSeeds = len(j.seeds) > 0
 	if j.admitted {
-		s.Prefer(services)
+		s.FetchFirst(services)
 		return
 	}
 	j.services = services
@@ -72,8 +72,8 @@
 
 func (s *State) addSeed(p Peer) {
 	j := &s.join
-	known := slices.ContainsFunc(j.seeds, func(q Peer) bool { return q.Control == p.Control })
-	if !known && p.Control != "" && p.Control != s.self.Control && len(j.seeds) < maxSeeds {
+	known := slices.ContainsFunc(j.seeds, func(q Peer) bool { return q.ControlAddr == p.ControlAddr })
+	if !known && p.ControlAddr != "" && p.ControlAddr != s.self.ControlAddr && len(j.seeds) < maxSeeds {
 		j.seeds = append(j.seeds, p)
 		j.seedsAdded = true
 	}
@@ -93,14 +93,14 @@
 		return
 	}
 	if j.seedsAdded {
-		j.seedsAdded, j.seedCheckInterval = false, s.cfg.JoinRetry
+		j.seedsAdded, j.seedCheckInterval = false, s.cfg.JoinRetryInterval
 		j.nextSeedCheck = now + s.jitter(j.seedCheckInterval)
 	}
 	if now < j.nextSeedCheck {
 		return
 	}
 	j.nextSeedCheck = now + j.seedCheckInterval/2 + s.jitter(j.seedCheckInterval)
-	j.seedCheckInterval = min(2*j.seedCheckInterval, s.cfg.ReprobeEvery)
+	j.seedCheckInterval = min(2*j.seedCheckInterval, s.cfg.ProbeInterval)
 	if unknown := s.unknownSeeds(); len(unknown) > 0 {
 		m := s.newMessage(Probe)
 		m.Records = []*Record{s.selfRecord()}
@@ -112,20 +112,20 @@
 func (s *State) unknownSeeds() []Peer {
 	present := make(map[string]bool, len(s.join.seeds))
 	for _, p := range s.join.seeds {
-		present[p.Control] = false
+		present[p.ControlAddr] = false
 	}
 	for i := range s.tab.members {
 		e := &s.tab.members[i]
 		if !e.isPresent() {
 			continue
 		}
-		if _, ok := present[e.rec.Control]; ok {
-			present[e.rec.Control] = true
+		if _, ok := present[e.rec.ControlAddr]; ok {
+			present[e.rec.ControlAddr] = true
 		}
 	}
 	var out []Peer
 	for _, p := range s.join.seeds {
-		if !present[p.Control] {
+		if !present[p.ControlAddr] {
 			out = append(out, p)
 		}
 	}
@@ -135,9 +135,9 @@
 // Joined reports whether a peer has admitted the member, or none was needed.
 func (s *State) Joined() bool { return !s.join.hasSeeds || s.join.admitted }
 
-// Prefer fetches the records of some services next. It has no effect once the
+// FetchFirst fetches the records of some services next. It has no effect once the
 // state is complete.
-func (s *State) Prefer(services []request.Service) {
+func (s *State) FetchFirst(services []request.Service) {
 	j := &s.join
 	if !j.fetching || len(services) == 0 {
 		return
@@ -153,7 +153,7 @@
 
 func (s *State) tickJoin(now time.Duration) {
 	j := &s.join
-	if j.inFlight && now-j.lastAttempt > 4*s.cfg.CallTimeout {
+	if j.inFlight && now-j.lastAttempt > 4*s.cfg.ExchangeTimeout {
 		s.handleJoinFailure(now, j.source) // the outcome was never reported
 	}
 	if !j.isActive() || j.inFlight || now < j.nextAttempt || s.status == Dead {
@@ -162,7 +162,7 @@
 	if !j.attempted {
 		j.attempted, j.firstAttempt = true, now
 	}
-	if !j.admitted && !j.gotReply && now-j.firstAttempt >= s.cfg.AloneAfter {
+	if !j.admitted && !j.gotReply && now-j.firstAttempt >= s.cfg.BootstrapTimeout {
 		j.admitted = true
 		return
 	}
@@ -179,7 +179,7 @@
 	j.source = s.randomPeer()
 	m := s.newMessage(Pull)
 	m.After, m.Services = j.after, j.services
-	m.Room = uint32(maxJoinFactor * s.cfg.MaxItems)
+	m.MaxItemBytes = uint32(maxJoinFactor * s.cfg.MaxItemBytes)
 	s.queueExchange(j.source, m, true)
 }
 
@@ -187,7 +187,7 @@
 // member that has contacted this one. All seeds may be gone for good.
 func (s *State) nextJoinPeer() Peer {
 	if len(s.linkOrder) > 0 && s.rng.IntN(2) == 0 {
-		if p := s.randomPeer(); p.Control != "" {
+		if p := s.randomPeer(); p.ControlAddr != "" {
 			return p
 		}
 	}
@@ -223,14 +223,14 @@
 // otherwise members that all start together would wait for each other for good.
 func (s *State) answerJoin(m, r *Message) {
 	if len(m.Records) == 0 || m.Records[0] == nil || m.Records[0].ID != m.From {
-		r.Full = true
+		r.Rejected = true
 		return
 	}
 	if s.join.fetching && !s.join.refreshing || s.budget.Tokens() < 0 && !s.recentlyStarted(s.lastTick) {
 		s.redirect(r)
 		return
 	}
-	room := max(s.cfg.MaxItems, min(s.budget.Tokens(), maxJoinFactor*s.cfg.MaxItems))
+	room := max(s.cfg.MaxItemBytes, min(s.budget.Tokens(), maxJoinFactor*s.cfg.MaxItemBytes))
 	for i := range s.tab.facts {
 		f := &s.tab.facts[i].fact
 		if f.Kind == ConfigHead && room > 0 {
@@ -249,7 +249,7 @@
 // now, so that joiners with the same seed do not all wait for it.
 func (s *State) redirect(r *Message) {
 	const maxRedirects = 3
-	r.Full = true
+	r.Rejected = true
 	for range maxRedirects {
 		e := &s.tab.members[s.rng.IntN(len(s.tab.members))]
 		if e.isPresent() && e.id != s.self.ID {
@@ -313,11 +313,11 @@
 		return
 	}
 	j.inFlight, j.gotReply = false, true
-	if m.Full {
-		j.nextAttempt = now + s.cfg.JoinRetry/2 + s.jitter(s.cfg.JoinRetry)
+	if m.Rejected {
+		j.nextAttempt = now + s.cfg.JoinRetryInterval/2 + s.jitter(s.cfg.JoinRetryInterval)
 		for _, r := range m.Records {
 			if validRecord(r) {
-				s.addSeed(Peer{Control: r.Control})
+				s.addSeed(Peer{ControlAddr: r.ControlAddr})
 			}
 		}
 		return
@@ -330,13 +330,13 @@
 		j.after = j.resumeAfter
 	}
 	j.admitted, j.fetching = true, m.More
-	j.source = Peer{ID: m.From, Control: to.Control}
+	j.source = Peer{ID: m.From, ControlAddr: to.ControlAddr}
 	s.overlay.dirty = true
 	s.queue.put(memberKey(s.self.ID), classJoin, s.allLinks(), 0)
 }
 
 // recentlyStarted reports whether the member started less than CatchUp ago.
-func (s *State) recentlyStarted(now time.Duration) bool { return now < s.started+s.cfg.CatchUp }
+func (s *State) recentlyStarted(now time.Duration) bool { return now < s.started+s.cfg.CatchUpPeriod }
 
 const (
 	// refreshInterval is the interval between two fetches of the whole state by
@@ -380,10 +380,10 @@
 func (s *State) answerPull(m, r *Message) {
 	r.More, r.Next = true, m.After
 	if s.join.isPartial() {
-		r.Full = true
+		r.Rejected = true
 		return
 	}
-	room := int(min(m.Room, maxJoinFactor*uint32(s.cfg.MaxItems)))
+	room := int(min(m.MaxItemBytes, maxJoinFactor*uint32(s.cfg.MaxItemBytes)))
 	if !s.recentlyStarted(s.lastTick) {
 		room = min(room, s.budget.Tokens()-s.budget.Limit()/4)
 	}
@@ -418,9 +418,9 @@
 	took := float64(m.Size()+s.cfg.ExchangeCost) / float64(s.cfg.JoinRate)
 	j.nextAttempt = j.lastAttempt + time.Duration(took*float64(time.Second))
 	switch {
-	case j.refreshing && m.Full:
+	case j.refreshing && m.Rejected:
 		j.endFetch()
-	case m.Full, m.More && m.Next <= j.after:
+	case m.Rejected, m.More && m.Next <= j.after:
 		j.backOff(now, s)
 		return
 	case m.More && !(j.wrapped && len(j.services) == 0 && m.Next >= s.self.ID):
@@ -440,7 +440,7 @@
 // consume more of it.
 func (j *joinState) backOff(now time.Duration, s *State) {
 	const doublings = 4
-	wait := s.cfg.TickEvery << min(j.emptyReplies, doublings)
+	wait := s.cfg.TickInterval << min(j.emptyReplies, doublings)
 	j.emptyReplies++
 	j.nextAttempt = now + wait/2 + s.jitter(wait)
 }
@@ -449,7 +449,7 @@
 // kept.
 func (s *State) handleJoinFailure(now time.Duration, to Peer) {
 	j := &s.join
-	if !j.isActive() || to.Control != j.source.Control {
+	if !j.isActive() || to.ControlAddr != j.source.ControlAddr {
 		return
 	}
 	j.inFlight = false
@@ -457,5 +457,5 @@
 		j.endFetch()
 		return
 	}
-	j.nextAttempt = now + s.cfg.JoinRetry/2 + s.jitter(s.cfg.JoinRetry)
+	j.nextAttempt = now + s.cfg.JoinRetryInterval/2 + s.jitter(s.cfg.JoinRetryInterval)
 }
--- a/internal/core/member/link.go
+++ b/internal/core/member/link.go
@@ -124,7 +124,7 @@
 func (s *State) peer(id request.TargetID) Peer {
 	p := Peer{ID: id}
 	if e := s.tab.get(id); e != nil && e.rec != nil {
-		p.Control = e.rec.Control
+		p.ControlAddr = e.rec.ControlAddr
 	}
 	return p
 }
--- a/internal/core/member/message.go
+++ b/internal/core/member/message.go
@@ -16,8 +16,8 @@
 	Join
 	// Pull requests the next part of the whole state.
 	Pull
-	// Ask queries another observer about silent subjects.
-	Ask
+	// QueryObserver queries another observer about silent subjects.
+	QueryObserver
 	// Probe checks whether an unreachable member or an unknown seed responds.
 	Probe
 )
@@ -25,36 +25,36 @@
 // Message is a request or a reply between two members. It is untrusted input:
 // State validates what it uses and ignores the rest.
 type Message struct {
-	Kind        Kind
-	From        request.TargetID
-	Incarnation uint32
-	Status      Status // of the sender
-	Body        uint32 // Change.Body of the sender
-	Seq         uint32 // numbers the requests on a link
-	Got         uint32 // the last Seq whose reply was received; acknowledges its items
-	Root        uint64 // digest of the sender's whole state
-	Room        uint32 // maximum bytes of items in the reply
-	Partial     bool   // the sender is still receiving the whole state
-	Full        bool   // the sender accepts no link or has no capacity; try another member
-	Changes     []Change
-	Deaths      Deaths
-	Backs       Backs
-	Facts       []Fact
-	Records     []*Record
-	Wants       []request.TargetID // records that the sender is missing
-	Doubts      []Doubt
-	Digests     []Digest
-	Leaves      []Leaf
-	After       request.TargetID  // Pull: continue after this member
-	More        bool              // reply to Pull: more follows after Next
-	Next        request.TargetID  // reply to Pull: where to continue
-	Services    []request.Service // Join, Pull: records to send first
-	Packed      []byte            // reply to Pull: records, see pack
-	Load        []byte            // Heartbeat: piggybacked payload, see Rider
+	Kind           Kind
+	From           request.TargetID
+	Incarnation    uint32
+	Status         Status // of the sender
+	BodyDigest     uint32 // Change.Body of the sender
+	Seq            uint32 // numbers the requests on a link
+	AckedSeq       uint32 // the last Seq whose reply was received; acknowledges its items
+	StateDigest    uint64 // digest of the sender's whole state
+	MaxItemBytes   uint32 // maximum bytes of items in the reply
+	Partial        bool   // the sender is still receiving the whole state
+	Rejected       bool   // the sender accepts no link or has no capacity; try another member
+	Changes        []Change
+	Deaths         Deaths
+	Recoveries     Recoveries
+	Facts          []Fact
+	Records        []*Record
+	WantedRecords  []request.TargetID // records that the sender is missing
+	SilenceReports []SilenceReport
+	Digests        []Digest
+	Leaves         []Leaf
+	After          request.TargetID  // Pull: continue after this member
+	More           bool              // reply to Pull: more follows after Next
+	Next           request.TargetID  // reply to Pull: where to continue
+	Services       []request.Service // Join, Pull: records to send first
+	Packed         []byte            // reply to Pull: records, see pack
+	Piggyback      []byte            // Heartbeat: piggybacked payload, see Rider
 }
 
-// Doubt reports how long an observer has heard nothing from a subject.
-type Doubt struct {
+// SilenceReport reports how long an observer has heard nothing from a subject.
+type SilenceReport struct {
 	Subject     request.TargetID
 	Incarnation uint32
 	Silence     uint32 // milliseconds
@@ -99,7 +99,7 @@
 
 func (r *Record) size() int {
 	return recordSize + len(r.Name) + len(r.Service) + len(r.Tenant) + len(r.Zone) +
-		len(r.Region) + len(r.Data) + len(r.Control)
+		len(r.Region) + len(r.DataAddr) + len(r.ControlAddr)
 }
 
 func (l *Leaf) size() int {
@@ -108,8 +108,8 @@
 
 // Size estimates the encoded size of the message in bytes.
 func (m *Message) Size() int {
-	n := headerSize + changeSize*len(m.Changes) + m.shortFormBytes() + len(m.Packed) + wantSize*len(m.Wants) +
-		doubtSize*len(m.Doubts) + digestSize*len(m.Digests)
+	n := headerSize + changeSize*len(m.Changes) + m.shortFormBytes() + len(m.Packed) + wantSize*len(m.WantedRecords) +
+		doubtSize*len(m.SilenceReports) + digestSize*len(m.Digests)
 	for i := range m.Facts {
 		n += factSize + len(m.Facts[i].Value)
 	}
@@ -128,8 +128,8 @@
 // Peer is the other side of an exchange. ID is zero for a seed known only by
 // its address.
 type Peer struct {
-	ID      request.TargetID
-	Control string
+	ID          request.TargetID
+	ControlAddr string
 }
 
 // Action is an action that the caller of State must execute.
@@ -153,7 +153,7 @@
 
 // shortFormBytes returns the size of the changes in short form.
 func (m *Message) shortFormBytes() int {
-	n := deathSize*len(m.Deaths) + backSize*len(m.Backs)
+	n := deathSize*len(m.Deaths) + backSize*len(m.Recoveries)
 	if n > 0 {
 		n += shortListSize
 	}
--- a/internal/core/member/missing.go
+++ b/internal/core/member/missing.go
@@ -55,7 +55,7 @@
 		}
 		want.tries++
 		want.asked = now + s.jitter(s.cfg.Period) // the jitter varies which peer is next
-		m.Wants = append(m.Wants, want.id)
+		m.WantedRecords = append(m.WantedRecords, want.id)
 		room -= wantSize + recordReserve
 	}
 	return room
--- a/internal/core/member/net_test.go
+++ b/internal/core/member/net_test.go
@@ -43,21 +43,21 @@
 	return Record{
 		ID: request.TargetIDOf(name), Name: name, Service: request.Service(fmt.Sprintf("svc%d.tenant", i%3)),
 		Tenant: "tenant", Zone: zone, Region: region, Incarnation: 100,
-		Data: fmt.Sprintf("127.0.0.1:%d", 10000+i), Control: fmt.Sprintf("127.0.0.1:%d", 30000+i),
+		DataAddr: fmt.Sprintf("127.0.0.1:%d", 10000+i), ControlAddr: fmt.Sprintf("127.0.0.1:%d", 30000+i),
 	}
 }
 
 // start adds a node that joins through the given seeds.
 func (t *testNet) start(rec Record, seeds ...*testNode) *testNode {
-	n := &testNode{rec: rec, nextTick: t.Now + time.Duration(t.rng.Int64N(int64(t.cfg.TickEvery)))}
+	n := &testNode{rec: rec, nextTick: t.Now + time.Duration(t.rng.Int64N(int64(t.cfg.TickInterval)))}
 	n.s = New(t.cfg, rec, rand.New(rand.NewPCG(uint64(rec.ID), uint64(rec.Incarnation))))
 	var peers []Peer
 	for _, p := range seeds {
-		peers = append(peers, Peer{Control: p.rec.Control})
+		peers = append(peers, Peer{ControlAddr: p.rec.ControlAddr})
 	}
 	n.s.Join(peers, nil)
 	t.nodes = append(t.nodes, n)
-	t.byAddr[rec.Control] = n
+	t.byAddr[rec.ControlAddr] = n
 	return n
 }
 
@@ -89,7 +89,7 @@
 		t.RunUntil(t.Now + testDelay)
 		for _, n := range t.nodes {
 			if !n.down && n.frozenUntil <= t.Now && n.nextTick <= t.Now {
-				n.nextTick = t.Now + t.cfg.TickEvery
+				n.nextTick = t.Now + t.cfg.TickInterval
 				t.runActions(n, n.s.Tick(t.Now))
 			}
 		}
@@ -117,7 +117,7 @@
 		}
 	}
 	t.After(x.Timeout, func() { finish(func() { n.s.HandleFailure(t.Now, x.To) }) })
-	to := t.byAddr[x.To.Control]
+	to := t.byAddr[x.To.ControlAddr]
 	if t.isDropped(n, to) {
 		return
 	}
--- a/internal/core/member/overlay.go
+++ b/internal/core/member/overlay.go
@@ -42,7 +42,7 @@
 // groupOf returns the group of members that observe each other: those of one
 // region, or of all the regions that are too small to observe themselves.
 func (s *State) groupOf(region string) string {
-	if s.overlay.sizes[region] < s.cfg.SmallRegion {
+	if s.overlay.sizes[region] < s.cfg.MinRegionSize {
 		return smallRegionsGroup
 	}
 	return region
@@ -126,7 +126,7 @@
 	for _, id := range subjects {
 		l := s.openLink(now, id, roleSubject)
 		if l != nil && l.lastOut == 0 {
-			l.nextDue = now + s.jitter(s.cfg.RetryAfter)
+			l.nextDue = now + s.jitter(s.cfg.RetryInterval)
 		}
 	}
 }
--- a/internal/core/member/pack.go
+++ b/internal/core/member/pack.go
@@ -42,7 +42,7 @@
 	enc.UseCompactInts(true)
 	for _, r := range records {
 		p := packedRecord{
-			r.Name, string(r.Service), string(r.Tenant), r.Zone, r.Region, r.Data, r.Control,
+			r.Name, string(r.Service), string(r.Tenant), r.Zone, r.Region, r.DataAddr, r.ControlAddr,
 			r.Incarnation, r.Slots, r.Connections,
 		}
 		if enc.Encode(&p) != nil {
@@ -75,7 +75,7 @@
 		}
 		out = append(out, &Record{
 			ID: request.TargetIDOf(p.Name), Name: p.Name, Service: request.Service(p.Service),
-			Tenant: request.Tenant(p.Tenant), Zone: p.Zone, Region: p.Region, Data: p.Data, Control: p.Control,
+			Tenant: request.Tenant(p.Tenant), Zone: p.Zone, Region: p.Region, DataAddr: p.Data, ControlAddr: p.Control,
 			Incarnation: p.Incarnation, Slots: p.Slots, Connections: p.Connections,
 		})
 	}
--- a/internal/core/member/prop_test.go
+++ b/internal/core/member/prop_test.go
@@ -47,7 +47,7 @@
 		s := n.s
 		if len(s.linkOrder) > maxLinks || len(s.links) != len(s.linkOrder) ||
 			len(s.queue.items) > len(s.tab.members)+len(s.tab.facts)+8 ||
-			len(s.missing.list) > len(s.tab.members) || s.tab.dead > s.cfg.MaxDead+1 {
+			len(s.missing.list) > len(s.tab.members) || s.tab.dead > s.cfg.MaxTombstones+1 {
 			t.Fatalf("%s: state is out of bounds", n.rec.Name)
 		}
 		var root uint64
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -40,7 +40,7 @@
 		s.stats.ItemsReceived++
 		s.applyDeath(now, d, from)
 	}
-	for _, b := range m.Backs {
+	for _, b := range m.Recoveries {
 		s.stats.ItemsReceived++
 		s.applyBack(now, b, from)
 	}
@@ -49,13 +49,13 @@
 		s.applyFact(f, s.allLinks()&^from)
 	}
 	s.recordVotes(now, m)
-	if s.join.isPartial() && !m.Partial && m.Root == s.tab.root && len(s.tab.members) > 1 {
+	if s.join.isPartial() && !m.Partial && m.StateDigest == s.tab.root && len(s.tab.members) > 1 {
 		s.join.admitted, s.join.fetching = true, false // nothing is left to fetch
 	}
 	if l == nil {
 		return
 	}
-	for _, id := range m.Wants {
+	for _, id := range m.WantedRecords {
 		if len(l.requested) < maxRequested && !slices.Contains(l.requested, id) {
 			l.requested = append(l.requested, id)
 		}
@@ -67,13 +67,13 @@
 func (s *State) applySender(now time.Duration, m *Message, from uint32) {
 	e := s.tab.get(m.From)
 	if e == nil || e.inc < m.Incarnation {
-		s.applyChange(now, Change{ID: m.From, Incarnation: m.Incarnation, Status: m.Status, Body: m.Body}, from)
+		s.applyChange(now, Change{ID: m.From, Incarnation: m.Incarnation, Status: m.Status, BodyDigest: m.BodyDigest}, from)
 	}
 }
 
 // applyChange merges one change and relays it if it is new.
 func (s *State) applyChange(now time.Duration, c Change, from uint32) {
-	if c.ID == 0 || c.Status > Dead || c.Body > bodyMask {
+	if c.ID == 0 || c.Status > Dead || c.BodyDigest > bodyMask {
 		return
 	}
 	if c.ID == s.self.ID {
@@ -97,7 +97,7 @@
 		s.queue.addPending(key, classOf(e.change(), true), from)
 		return
 	}
-	known := e != nil && e.rec != nil && c.Body == e.bodyDigest()
+	known := e != nil && e.rec != nil && c.BodyDigest == e.bodyDigest()
 	s.stats.ItemsNew++
 	s.storeEntry(now, c, nil)
 	s.relay(c.ID, from, known)
@@ -121,12 +121,12 @@
 
 // applyBack merges a return in short form. One that does not match is left to
 // anti-entropy.
-func (s *State) applyBack(now time.Duration, b Back, from uint32) {
+func (s *State) applyBack(now time.Duration, b Recovery, from uint32) {
 	e := s.tab.getByShortID(b.ID)
-	if e == nil || e.rec == nil || e.recordStale || uint16(e.bodyDigest()&shortBodyMask) != b.Body {
+	if e == nil || e.rec == nil || e.recordStale || uint16(e.bodyDigest()&shortBodyMask) != b.BodyDigest {
 		return
 	}
-	s.applyChange(now, Change{ID: e.id, Incarnation: b.Incarnation, Status: Alive, Body: e.bodyDigest()}, from)
+	s.applyChange(now, Change{ID: e.id, Incarnation: b.Incarnation, Status: Alive, BodyDigest: e.bodyDigest()}, from)
 }
 
 // relay makes a member's change pending for all links but the one it arrived
@@ -169,9 +169,9 @@
 		return
 	}
 	e := s.tab.get(r.ID)
-	body := r.Body()
+	body := r.Digest()
 	if e == nil || r.Incarnation > e.inc {
-		s.applyChange(now, Change{ID: r.ID, Incarnation: r.Incarnation, Body: body}, from)
+		s.applyChange(now, Change{ID: r.ID, Incarnation: r.Incarnation, BodyDigest: body}, from)
 		e = s.tab.get(r.ID)
 	}
 	if e == nil || e.status == Dead || body != e.bodyDigest() {
@@ -193,13 +193,13 @@
 	}
 	for _, n := range [...]int{
 		len(r.Name), len(r.Service), len(r.Tenant), len(r.Zone), len(r.Region),
-		len(r.Data), len(r.Control),
+		len(r.DataAddr), len(r.ControlAddr),
 	} {
 		if n > maxStringLen {
 			return false
 		}
 	}
-	return r.Control != ""
+	return r.ControlAddr != ""
 }
 
 func (s *State) applyFact(f Fact, to uint32) bool {
--- a/internal/core/member/record.go
+++ b/internal/core/member/record.go
@@ -44,14 +44,14 @@
 
 // Record describes one member. Records are immutable once passed to a State.
 type Record struct {
-	ID      request.TargetID
-	Name    string          // the announced name; ID is its hash
-	Service request.Service // "service.tenant"
-	Tenant  request.Tenant
-	Zone    string
-	Region  string
-	Data    string // address of the data path, ip:port
-	Control string // address of the control path, ip:port
+	ID          request.TargetID
+	Name        string          // the announced name; ID is its hash
+	Service     request.Service // "service.tenant"
+	Tenant      request.Tenant
+	Zone        string
+	Region      string
+	DataAddr    string // address of the data path, ip:port
+	ControlAddr string // address of the control path, ip:port
 	// Incarnation is the one in which these contents were published. A new
 	// process uses a higher one than its predecessor, by convention the seconds
 	// since 2020 at its start; a refutation increments it.
@@ -64,12 +64,12 @@
 // a member's contents goes unnoticed until its next incarnation.
 const bodyMask = 1<<24 - 1
 
-// Body returns the digest of the contents, that is all fields but the
+// Digest returns the digest of the contents, that is all fields but the
 // incarnation.
-func (r *Record) Body() uint32 {
+func (r *Record) Digest() uint32 {
 	b := make([]byte, 0, 256)
 	for _, s := range [...]string{
-		r.Name, string(r.Service), string(r.Tenant), r.Zone, r.Region, r.Data, r.Control,
+		r.Name, string(r.Service), string(r.Tenant), r.Zone, r.Region, r.DataAddr, r.ControlAddr,
 	} {
 		b = append(append(b, s...), 0)
 	}
@@ -83,10 +83,10 @@
 	ID          request.TargetID
 	Incarnation uint32
 	Status      Status
-	// Body is a digest of the record's contents (Record.Body), by which a
+	// BodyDigest is a digest of the record's contents (Record.Body), by which a
 	// receiver checks whether its record is current. A member that restarts
 	// unchanged need not send its record again.
-	Body uint32
+	BodyDigest uint32
 }
 
 // supersedes reports whether c is newer than the given incarnation and status.
--- a/internal/core/member/remote.go
+++ b/internal/core/member/remote.go
@@ -95,7 +95,7 @@
 	if t != nil && !slices.Contains(t.excluded, l.peer) {
 		t.excluded = append(t.excluded, l.peer)
 		t.failures++
-		if t.failures >= s.cfg.RegionTries && !t.unreachable {
+		if t.failures >= s.cfg.RegionFailureThreshold && !t.unreachable {
 			t.unreachable = true
 			s.view.markAllChanged()
 		}
@@ -116,7 +116,7 @@
 	}
 	if l := s.openLink(now, id, roleRemote); l != nil {
 		l.lastHeard = max(l.lastHeard, now)
-		l.nextDue = now + s.jitter(s.cfg.RetryAfter)
+		l.nextDue = now + s.jitter(s.cfg.RetryInterval)
 	}
 }
 
--- a/internal/core/member/shortform.go
+++ b/internal/core/member/shortform.go
@@ -19,19 +19,19 @@
 	Incarnation uint16 // lower half of the incarnation
 }
 
-// Back is a Change to Alive in short form, of a member whose contents have not
+// Recovery is a Change to Alive in short form, of a member whose contents have not
 // changed. A receiver applies it only to a known member with these contents
 // that it identifies uniquely.
-type Back struct {
+type Recovery struct {
 	ID          uint32 // upper half of the ID
 	Incarnation uint32
-	Body        uint16 // lower 16 bits of Change.Body
+	BodyDigest  uint16 // lower 16 bits of Change.Body
 }
 
 // Deaths and Backs are the lists in a Message.
 type (
-	Deaths []Death
-	Backs  []Back
+	Deaths     []Death
+	Recoveries []Recovery
 )
 
 // Encoded sizes in bytes; shortListSize is that of a list's header.
@@ -61,21 +61,21 @@
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (l Backs) EncodeMsgpack(e *msgpack.Encoder) error {
+func (l Recoveries) EncodeMsgpack(e *msgpack.Encoder) error {
 	b := make([]byte, 0, backSize*len(l))
 	for _, k := range l {
 		b = binary.BigEndian.AppendUint32(b, k.ID)
 		b = binary.BigEndian.AppendUint32(b, k.Incarnation)
-		b = binary.BigEndian.AppendUint16(b, k.Body)
+		b = binary.BigEndian.AppendUint16(b, k.BodyDigest)
 	}
 	return e.EncodeBytes(b)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (l *Backs) DecodeMsgpack(d *msgpack.Decoder) error {
+func (l *Recoveries) DecodeMsgpack(d *msgpack.Decoder) error {
 	b, err := readShortItems(d, backSize)
 	for ; len(b) > 0; b = b[backSize:] {
-		*l = append(*l, Back{
+		*l = append(*l, Recovery{
 			binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), binary.BigEndian.Uint16(b[8:]),
 		})
 	}
@@ -115,7 +115,7 @@
 		if backSize+shortListSize > room {
 			return -1, true
 		}
-		m.Backs = append(m.Backs, Back{short, e.inc, uint16(e.bodyDigest() & shortBodyMask)})
+		m.Recoveries = append(m.Recoveries, Recovery{short, e.inc, uint16(e.bodyDigest() & shortBodyMask)})
 		return backSize, true
 	}
 	return 0, false
--- a/internal/core/member/shortform_test.go
+++ b/internal/core/member/shortform_test.go
@@ -23,7 +23,7 @@
 	slices.SortFunc(known, func(a, b *Record) int { return cmp.Compare(a.ID, b.ID) })
 	a = New(DefaultConfig(), testRecord(0, "bkk", "z0"), rand.New(rand.NewPCG(1, 0)))
 	b = New(DefaultConfig(), testRecord(1, "bkk", "z0"), rand.New(rand.NewPCG(1, 1)))
-	a.Load(known)
+	a.AddAlive(known)
 	return a, b, known
 }
 
@@ -33,25 +33,25 @@
 func TestRecoveriesUseShortForm(t *testing.T) {
 	is := is.New(t)
 	a, b, known := newStatePair(40)
-	b.Load(known)
+	b.AddAlive(known)
 	m := &Message{}
 	for _, r := range known {
-		c := Change{ID: r.ID, Incarnation: r.Incarnation + 1000, Body: r.Body()}
+		c := Change{ID: r.ID, Incarnation: r.Incarnation + 1000, BodyDigest: r.Digest()}
 		a.storeEntry(time.Second, c, nil)
 		_, ok := a.addItem(m, &item{key: memberKey(r.ID), class: classDeath}, 2000)
 		is.True(ok)
 	}
-	is.Equal(len(m.Backs), len(known))
+	is.Equal(len(m.Recoveries), len(known))
 	is.True(m.Size()-headerSize <= 10*len(known)+3)
 	body, err := msgpack.Marshal(m)
 	is.NoErr(err)
 	var got Message
 	is.NoErr(msgpack.Unmarshal(body, &got))
-	is.Equal(got.Backs, m.Backs)
+	is.Equal(got.Recoveries, m.Recoveries)
 
 	leaving, changed, gone := known[0], known[1], known[2]
-	b.applyChange(time.Second, Change{ID: leaving.ID, Incarnation: leaving.Incarnation + 1000, Status: Leaving, Body: leaving.Body()}, 0)
-	b.applyChange(time.Second, Change{ID: changed.ID, Incarnation: changed.Incarnation + 500, Body: changed.Body() ^ 1}, 0)
+	b.applyChange(time.Second, Change{ID: leaving.ID, Incarnation: leaving.Incarnation + 1000, Status: Leaving, BodyDigest: leaving.Digest()}, 0)
+	b.applyChange(time.Second, Change{ID: changed.ID, Incarnation: changed.Incarnation + 500, BodyDigest: changed.Digest() ^ 1}, 0)
 	b.removeMember(gone.ID)
 	b.receive(2*time.Second, &got, nil)
 	is.Equal(b.tab.get(leaving.ID).status, Leaving)
@@ -65,7 +65,7 @@
 // Deaths take six bytes each and round-trip; a truncated list is rejected.
 func TestShortFormsRoundTrip(t *testing.T) {
 	is := is.New(t)
-	in := Message{Deaths: Deaths{{1, 2}, {1<<32 - 1, 1<<16 - 1}}, Backs: Backs{{3, 1<<32 - 1, 4}}}
+	in := Message{Deaths: Deaths{{1, 2}, {1<<32 - 1, 1<<16 - 1}}, Recoveries: Recoveries{{3, 1<<32 - 1, 4}}}
 	body, err := msgpack.Marshal(&in)
 	is.NoErr(err)
 	var out Message
@@ -74,7 +74,7 @@
 	truncated, err := msgpack.Marshal([]byte{1, 2, 3, 4, 5, 6, 7})
 	is.NoErr(err)
 	is.True(msgpack.Unmarshal(truncated, &out.Deaths) != nil)
-	is.True(msgpack.Unmarshal(truncated, &out.Backs) != nil)
+	is.True(msgpack.Unmarshal(truncated, &out.Recoveries) != nil)
 }
 
 // Pulled records are packed: sending similar records in full makes a join of a
@@ -82,14 +82,14 @@
 func TestPulledRecordsArePacked(t *testing.T) {
 	is := is.New(t)
 	a, b, known := newStatePair(500)
-	a.applyChange(0, Change{ID: known[7].ID, Incarnation: known[7].Incarnation, Status: Leaving, Body: known[7].Body()}, 0)
+	a.applyChange(0, Change{ID: known[7].ID, Incarnation: known[7].Incarnation, Status: Leaving, BodyDigest: known[7].Digest()}, 0)
 	const room = 1000
 	m := &Message{Kind: Pull}
 	sent, raw := 0, 0
 	for parts := 0; ; parts++ {
 		is.True(parts < 100)
 		a.budget.Refill(time.Duration(parts) * 10 * time.Second)
-		m.Room = room
+		m.MaxItemBytes = room
 		r := &Message{From: a.self.ID}
 		a.answerPull(m, r)
 		is.True(r.Size()-headerSize <= room)
--- a/internal/core/member/start_test.go
+++ b/internal/core/member/start_test.go
@@ -16,7 +16,7 @@
 	for _, size := range []int{16, 96, 200} {
 		t.Run(fmt.Sprintf("members=%d", size), func(t *testing.T) {
 			net := newTestNet(DefaultConfig(), uint64(size))
-			net.cfg.JoinRetry, net.cfg.CallTimeout = 150*time.Millisecond, 700*time.Millisecond
+			net.cfg.JoinRetryInterval, net.cfg.ExchangeTimeout = 150*time.Millisecond, 700*time.Millisecond
 			const seedCount, startWindow = 16, 300 * time.Millisecond
 			for i := range size {
 				net.start(testRecord(i, "r", fmt.Sprintf("z%d", i%6)), net.nodes[:min(i, seedCount)]...)
@@ -58,11 +58,11 @@
 	pull := func() *Message {
 		n.Spend(1 << 20)
 		return n.HandleRequest(net.Now, &Message{
-			Kind: Pull, From: net.nodes[4].rec.ID, Status: Alive, Incarnation: 100, Room: maxJoinFactor * uint32(net.cfg.MaxItems),
+			Kind: Pull, From: net.nodes[4].rec.ID, Status: Alive, Incarnation: 100, MaxItemBytes: maxJoinFactor * uint32(net.cfg.MaxItemBytes),
 		})
 	}
 	is.True(len(pull().Packed) > 0)
-	net.run(net.cfg.CatchUp)
+	net.run(net.cfg.CatchUpPeriod)
 	is.Equal(len(pull().Packed), 0)
 }
 
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	net := newTestNet(DefaultConfig(), 1)
 	net.startCluster(30, oneRegion)
-	net.run(net.cfg.CatchUp + 5*time.Second)
+	net.run(net.cfg.CatchUpPeriod + 5*time.Second)
 	for _, n := range net.nodes {
 		n.s.join.refreshCount = 0
 	}
@@ -94,11 +94,11 @@
 	join := &Message{Kind: Join, From: rec.ID, Status: Alive, Incarnation: rec.Incarnation, Records: []*Record{&rec}}
 	n.join.refreshing, n.join.fetching = true, true
 	n.Spend(1 << 20)
-	is.True(!n.HandleRequest(net.Now, join).Full)
+	is.True(!n.HandleRequest(net.Now, join).Rejected)
 	n.join.endFetch()
-	net.run(net.cfg.CatchUp)
+	net.run(net.cfg.CatchUpPeriod)
 	n.Spend(1 << 20)
-	is.True(n.HandleRequest(net.Now, join).Full) // a long-running member keeps to its budget
+	is.True(n.HandleRequest(net.Now, join).Rejected) // a long-running member keeps to its budget
 }
 
 // Guards against each starting member fetching the state of a large fleet
@@ -112,7 +112,7 @@
 			rec := testRecord(i, "bkk", "z")
 			records = append(records, &rec)
 		}
-		s.Load(records)
+		s.AddAlive(records)
 		s.Tick(time.Second)
 		is.Equal(s.join.refreshing, size <= maxRefreshMembers)
 	}
--- a/internal/core/member/state.go
+++ b/internal/core/member/state.go
@@ -29,7 +29,7 @@
 	suppressRelay bool             // what is received was requested, and is not relayed
 	sender        request.TargetID // the link's peer whose message is being processed
 	budget        *budget.Bucket
-	rider         Rider // nil if nothing is piggybacked
+	rider         PiggybackHandler // nil if nothing is piggybacked
 	actions       []Action
 	view          viewCache
 
@@ -59,23 +59,23 @@
 		self:         self,
 		inc:          self.Incarnation,
 		queue:        newQueue(cfg.Fanout),
-		body:         self.Body(),
+		body:         self.Digest(),
 		links:        make(map[request.TargetID]*link),
 		notLiveSince: make(map[request.TargetID]time.Duration),
-		budget:       budget.New(cfg.Budget, cfg.Burst, cfg.StartBudget),
+		budget:       budget.New(cfg.Budget, cfg.Burst, cfg.InitialBudget),
 		overlay:      newOverlay(),
 	}
 	s.storeEntry(0, s.selfChange(), s.selfRecord())
 	return s
 }
 
-// Load adds members that are certain to be alive, without gossiping them.
+// AddAlive adds members that are certain to be alive, without gossiping them.
 // records must be sorted by ID and are shared, not copied.
-func (s *State) Load(records []*Record) {
+func (s *State) AddAlive(records []*Record) {
 	s.tab.reserve(len(records))
 	for _, r := range records {
 		if r.ID != s.self.ID && validRecord(r) {
-			s.storeEntry(0, Change{ID: r.ID, Incarnation: r.Incarnation, Body: r.Body()}, r)
+			s.storeEntry(0, Change{ID: r.ID, Incarnation: r.Incarnation, BodyDigest: r.Digest()}, r)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 }
 
 func (s *State) selfChange() Change {
-	return Change{ID: s.self.ID, Incarnation: s.inc, Status: s.status, Body: s.body}
+	return Change{ID: s.self.ID, Incarnation: s.inc, Status: s.status, BodyDigest: s.body}
 }
 
 // ID returns the member's own ID.
@@ -121,7 +121,7 @@
 	}
 	r.ID = s.self.ID
 	r.Incarnation = s.inc + 1
-	s.self, s.inc, s.body = r, r.Incarnation, r.Body()
+	s.self, s.inc, s.body = r, r.Incarnation, r.Digest()
 	s.publishSelf(false)
 }
 
@@ -203,7 +203,7 @@
 	if !s.ticked {
 		s.started = now
 	}
-	paused := s.ticked && now-s.lastTick > s.cfg.PauseAfter
+	paused := s.ticked && now-s.lastTick > s.cfg.PauseThreshold
 	s.lastTick, s.ticked = now, true
 	if !paused {
 		return
@@ -212,7 +212,7 @@
 	for _, l := range s.linkOrder {
 		l.lastHeard = max(l.lastHeard, now-s.cfg.SuspectAfter/2)
 		l.votes = nil
-		l.nextDue = now + s.jitter(s.cfg.RetryAfter)
+		l.nextDue = now + s.jitter(s.cfg.RetryInterval)
 	}
 }
 
@@ -237,7 +237,7 @@
 	if now < s.nextExpiry {
 		return
 	}
-	s.nextExpiry = now + s.cfg.ReprobeEvery
+	s.nextExpiry = now + s.cfg.ProbeInterval
 	var oldest request.TargetID
 	for id, since := range s.notLiveSince {
 		e := s.tab.get(id)
@@ -245,9 +245,9 @@
 		case e == nil || e.status.isLive():
 			delete(s.notLiveSince, id)
 			continue
-		case e.status == Unreachable && now-since > s.cfg.KeepUnreachable:
+		case e.status == Unreachable && now-since > s.cfg.UnreachableRetention:
 			s.makeTombstone(now, e)
-		case e.status == Dead && now-since > s.cfg.KeepDead:
+		case e.status == Dead && now-since > s.cfg.TombstoneRetention:
 			s.removeMember(id)
 			continue
 		}
@@ -255,7 +255,7 @@
 			oldest = id
 		}
 	}
-	if s.tab.dead > s.cfg.MaxDead {
+	if s.tab.dead > s.cfg.MaxTombstones {
 		s.removeMember(oldest)
 	}
 }
--- a/internal/core/member/sync.go
+++ b/internal/core/member/sync.go
@@ -121,7 +121,7 @@
 		n := l.syncNodes[0]
 		if n.depth >= leafDepth || s.tab.isSmall(n) {
 			leaf := s.tab.leaf(n)
-			if leaf.size() > room && room < s.cfg.MaxItems/2 {
+			if leaf.size() > room && room < s.cfg.MaxItemBytes/2 {
 				return
 			}
 			m.Leaves = append(m.Leaves, leaf)
@@ -159,7 +159,7 @@
 	if m.Partial || s.join.isPartial() {
 		return
 	}
-	if m.Root == s.tab.root {
+	if m.StateDigest == s.tab.root {
 		l.mismatch = 0
 	} else if m.Kind == Heartbeat {
 		l.mismatch++
--- a/internal/core/member/table.go
+++ b/internal/core/member/table.go
@@ -20,7 +20,7 @@
 }
 
 func (e *entry) change() Change {
-	return Change{ID: e.id, Incarnation: e.inc, Status: e.status, Body: e.bodyDigest()}
+	return Change{ID: e.id, Incarnation: e.inc, Status: e.status, BodyDigest: e.bodyDigest()}
 }
 
 func (e *entry) bodyDigest() uint32 {
@@ -34,7 +34,7 @@
 func (e *entry) apply(c Change, rec *Record) {
 	if rec != nil {
 		e.rec, e.recordStale = rec, false
-	} else if c.Body != e.bodyDigest() {
+	} else if c.BodyDigest != e.bodyDigest() {
 		e.recordStale = true
 	}
 	if c.Incarnation > e.inc+1 { // an increment of one is a refutation
@@ -44,7 +44,7 @@
 		e.processInc = max(e.processInc, rec.Incarnation)
 	}
 	e.inc, e.status = c.Incarnation, c.Status
-	e.body = [3]byte{byte(c.Body), byte(c.Body >> 8), byte(c.Body >> 16)}
+	e.body = [3]byte{byte(c.BodyDigest), byte(c.BodyDigest >> 8), byte(c.BodyDigest >> 16)}
 	if e.status == Dead {
 		e.rec, e.recordStale = nil, false
 	}
--- a/internal/core/member/table_test.go
+++ b/internal/core/member/table_test.go
@@ -27,7 +27,7 @@
 				delete(want, id)
 				continue
 			}
-			c := Change{ID: id, Incarnation: rng.Uint32(), Status: Status(rng.IntN(4)), Body: rng.Uint32() & bodyMask}
+			c := Change{ID: id, Incarnation: rng.Uint32(), Status: Status(rng.IntN(4)), BodyDigest: rng.Uint32() & bodyMask}
 			tab.set(c, nil)
 			want[id] = c
 			ids = append(ids, id)
