--- a/internal/core/member/watch.go
+++ b/internal/core/member/watch.go
@@ -25,7 +25,7 @@
 		if !silent {
 			continue
 		}
-		if now-l.lastHeard >= s.cfg.DeadAfter-s.askWindow() && now-l.lastAsked >= s.cfg.RetryAfter {
+		if now-l.lastHeard >= s.cfg.DeadAfter-s.askWindow() && now-l.lastAsked >= s.cfg.RetryInterval {
 			l.lastAsked = now
 			s.askObserver(now, l)
 		}
@@ -60,7 +60,7 @@
 		}
 	}
 	if silent > 1 && 2*silent > subjects {
-		return s.cfg.DeadAfter * time.Duration(s.cfg.CutOffFactor)
+		return s.cfg.DeadAfter * time.Duration(s.cfg.IsolationFactor)
 	}
 	return s.cfg.DeadAfter
 }
@@ -68,7 +68,7 @@
 // askWindow is how long before a verdict the other observers are queried, one
 // after another: long enough to query each once.
 func (s *State) askWindow() time.Duration {
-	return s.cfg.RetryAfter * time.Duration(s.cfg.Rings-1)
+	return s.cfg.RetryInterval * time.Duration(s.cfg.Rings-1)
 }
 
 // askObserver queries the next of the other observers of a silent subject.
@@ -86,15 +86,15 @@
 		if v, ok := l.votes[id]; id == s.self.ID || ok && now-v.at < s.askWindow() {
 			continue // an observer that sent a query has thereby answered
 		}
-		m := s.newMessage(Ask)
-		m.Doubts = []Doubt{s.silenceReport(now, e, l)}
+		m := s.newMessage(QueryObserver)
+		m.SilenceReports = []SilenceReport{s.silenceReport(now, e, l)}
 		s.queueExchange(s.peer(id), m, true)
 		return
 	}
 }
 
-func (s *State) silenceReport(now time.Duration, e *entry, l *link) Doubt {
-	return Doubt{
+func (s *State) silenceReport(now time.Duration, e *entry, l *link) SilenceReport {
+	return SilenceReport{
 		Subject: e.id, Incarnation: e.inc,
 		Silence: uint32((now - l.lastHeard) / time.Millisecond),
 	}
@@ -105,7 +105,7 @@
 // by the sender exists.
 func (s *State) answerAsk(now time.Duration, m, r *Message) {
 	cutOff := s.deathTimeout(now) > s.cfg.DeadAfter
-	for _, d := range m.Doubts {
+	for _, d := range m.SilenceReports {
 		e := s.tab.get(d.Subject)
 		if e == nil || e.rec == nil || d.Subject == s.self.ID {
 			continue
@@ -113,7 +113,7 @@
 		if e.change().supersedes(d.Incarnation, Alive) {
 			r.Changes = append(r.Changes, e.change())
 		}
-		if !e.status.isLive() || len(r.Doubts) >= maxDoubts {
+		if !e.status.isLive() || len(r.SilenceReports) >= maxDoubts {
 			continue
 		}
 		l := s.links[d.Subject]
@@ -122,7 +122,7 @@
 			continue
 		}
 		if !cutOff || now-l.lastHeard < s.cfg.SuspectAfter || now-l.lastHeard >= s.deathTimeout(now) {
-			r.Doubts = append(r.Doubts, s.silenceReport(now, e, l))
+			r.SilenceReports = append(r.SilenceReports, s.silenceReport(now, e, l))
 		}
 	}
 }
@@ -148,10 +148,10 @@
 // recordVotes records the reports of other observers.
 func (s *State) recordVotes(now time.Duration, m *Message) {
 	voter := s.tab.get(m.From)
-	if len(m.Doubts) == 0 || voter == nil || !voter.isPresent() {
+	if len(m.SilenceReports) == 0 || voter == nil || !voter.isPresent() {
 		return
 	}
-	for _, d := range m.Doubts {
+	for _, d := range m.SilenceReports {
 		l, e := s.links[d.Subject], s.tab.get(d.Subject)
 		if l == nil || !l.isObserved() || e == nil || e.inc != d.Incarnation {
 			continue
@@ -174,14 +174,14 @@
 		others++
 		v, ok := l.votes[id]
 		switch {
-		case !ok || now-v.at > s.askWindow()+s.cfg.RetryAfter:
+		case !ok || now-v.at > s.askWindow()+s.cfg.RetryInterval:
 		case v.silence < s.cfg.SuspectAfter:
 			return false
 		case now-v.at+v.silence >= s.cfg.DeadAfter:
 			votes++
 		}
 	}
-	return votes >= min(s.cfg.Votes, 1+others)
+	return votes >= min(s.cfg.DeathQuorum, 1+others)
 }
 
 // declareUnreachable marks a subject unreachable, or dead if it was leaving.
@@ -207,7 +207,7 @@
 		return
 	}
 	first := s.nextProbe == 0
-	s.nextProbe = now + s.cfg.ReprobeEvery/2 + s.jitter(s.cfg.ReprobeEvery)
+	s.nextProbe = now + s.cfg.ProbeInterval/2 + s.jitter(s.cfg.ProbeInterval)
 	if first || s.status == Dead {
 		return
 	}
--- a/internal/core/ratelimit/account.go
+++ b/internal/core/ratelimit/account.go
@@ -135,7 +135,7 @@
 		recorded = h.recorded
 	}
 	a.release(id)
-	g = Grant{Organisation: n.Organisation, Of: a.limit.Rate, For: l.cfg.Validity}
+	g = Grant{Organisation: n.Organisation, LimitRate: a.limit.Rate, Validity: l.cfg.Validity}
 	h := &holding{demand: float64(n.Demand), askedAt: now, expiresAt: now, recorded: recorded}
 	if !(h.demand >= 0 && h.demand < MaxDemand) || !n.Held.valid() {
 		return g, false
@@ -155,16 +155,16 @@
 	if l.rowPartial {
 		h.recorded = h.target
 	}
-	if g.Part = a.fillPart(h, n, settled); g.Part.Capacity == 0 && settled && n.Now {
+	if g.Part = a.fillPart(h, n, settled); g.Part.Capacity == 0 && settled && n.Waiting {
 		g.Part, h.isLoan = a.lend(h, n), true
-		g.For = loanValidity
+		g.Validity = loanValidity
 	}
 	l.dirty = l.dirty || h.target.rate > h.recorded.rate || h.target.capacity > h.recorded.capacity
 	// The answer may get lost, so until the node asks again it may have the old or the
 	// new part.
 	h.rate = max(float64(g.Part.Rate), float64(n.Held.Rate), h.target.rate)
 	h.capacity = max(float64(g.Part.Capacity), float64(n.Held.Capacity), h.target.capacity)
-	h.expiresAt = now + withDrift(max(g.For, min(n.Left, l.cfg.Validity)))
+	h.expiresAt = now + withDrift(max(g.Validity, min(n.Remaining, l.cfg.Validity)))
 	if h.target.capacity > 0 {
 		h.expiresAt = now + withDrift(l.cfg.Validity)
 	}
--- a/internal/core/ratelimit/config.go
+++ b/internal/core/ratelimit/config.go
@@ -10,15 +10,15 @@
 	// Higher bridges longer failures of the lease holder and of the table, but a part
 	// granted to a lost node stays unused for longer.
 	Validity time.Duration
-	// Renew is the age at which a grant is renewed. Default 3 s. Lower follows demand
+	// RenewAfter is the age at which a grant is renewed. Default 3 s. Lower follows demand
 	// sooner at the price of more messages.
-	Renew time.Duration
-	// Term is how long a lease is held after its last renewal. Default 5 s. Higher
+	RenewAfter time.Duration
+	// LeaseTerm is how long a lease is held after its last renewal. Default 5 s. Higher
 	// needs fewer calls to the platform, but a lost holder is replaced later. It
 	// must be less than Validity.
-	Term time.Duration
-	// Renewal is the time between renewals of a lease. Default 2 s.
-	Renewal time.Duration
+	LeaseTerm time.Duration
+	// LeaseRenewal is the time between renewals of a lease. Default 2 s.
+	LeaseRenewal time.Duration
 }
 
 // Terms bound the requests of an organisation that run in any time span of length
@@ -32,11 +32,11 @@
 // DefaultConfig returns the defaults documented on the fields.
 func DefaultConfig() Config {
 	return Config{
-		Terms:    Terms{Window: 5 * time.Second, Excess: 0.1},
-		Validity: 9 * time.Second,
-		Renew:    3 * time.Second,
-		Term:     5 * time.Second,
-		Renewal:  2 * time.Second,
+		Terms:        Terms{Window: 5 * time.Second, Excess: 0.1},
+		Validity:     9 * time.Second,
+		RenewAfter:   3 * time.Second,
+		LeaseTerm:    5 * time.Second,
+		LeaseRenewal: 2 * time.Second,
 	}
 }
 
--- a/internal/core/ratelimit/lease.go
+++ b/internal/core/ratelimit/lease.go
@@ -10,24 +10,24 @@
 type Row struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
-	Holder   request.TargetID
-	Life     uint64 // incarnation of the holder
-	Count    uint64 // increases with each write of one Life
-	Released bool   // the holder has stopped granting
+	Holder      request.TargetID
+	Incarnation uint64 // incarnation of the holder
+	Count       uint64 // increases with each write of one Life
+	Released    bool   // the holder has stopped granting
 	// Parts are the grants that nodes may hold; Whole is false if there may be others.
 	Organisations []request.Organisation
 	Parts         []RowPart
-	Whole         bool
+	Complete      bool
 }
 
 // RowPart is the part of an organisation's limit that a node may hold.
 type RowPart struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
-	Of       int // index into Row.Organisations
-	Node     request.TargetID
-	Rate     float32
-	Capacity float32
+	Organisation int // index into Row.Organisations
+	Node         request.TargetID
+	Rate         float32
+	Capacity     float32
 }
 
 // maxParts bounds Row.Parts, so that a row fits into the table: each part takes about
@@ -86,7 +86,7 @@
 
 // Holder returns the lease holder according to the last row read; 0 if unknown.
 func (l *Lease) Holder(now time.Duration) request.TargetID {
-	if !l.known || l.row.Released || l.row.Holder == l.self || now-l.changedAt > 2*l.cfg.Term {
+	if !l.known || l.row.Released || l.row.Holder == l.self || now-l.changedAt > 2*l.cfg.LeaseTerm {
 		return 0
 	}
 	return l.row.Holder
@@ -101,8 +101,8 @@
 	minWriteInterval = time.Second
 )
 
-// Asked records that another node took this one for the lease holder.
-func (l *Lease) Asked(now time.Duration) { l.askedAt = now }
+// RecordRequest records that another node took this one for the lease holder.
+func (l *Lease) RecordRequest(now time.Duration) { l.askedAt = now }
 
 // Next returns the call that is due. Its outcome must be reported once.
 func (l *Lease) Next(now time.Duration) (step Step, row Row, version int64) {
@@ -131,21 +131,21 @@
 	case l.version == 0 && l.first:
 		return true
 	default:
-		return now-l.changedAt > withDrift(l.cfg.Term)
+		return now-l.changedAt > withDrift(l.cfg.LeaseTerm)
 	}
 }
 
 func (l *Lease) buildRow(now time.Duration) Row {
-	r := Row{Holder: l.self, Life: l.life, Count: l.count}
+	r := Row{Holder: l.self, Incarnation: l.life, Count: l.count}
 	switch {
 	case l.ledger != nil:
 		l.ledger.record(now, &r)
 	case l.version == 0:
-		r.Whole = l.first
+		r.Complete = l.first
 	default:
-		r.Organisations, r.Parts, r.Whole = l.row.Organisations, l.row.Parts, l.row.Whole
+		r.Organisations, r.Parts, r.Complete = l.row.Organisations, l.row.Parts, l.row.Complete
 	}
-	r.Whole = r.Whole && !l.rewound
+	r.Complete = r.Complete && !l.rewound
 	return r
 }
 
@@ -169,12 +169,12 @@
 func (l *Lease) HandleRow(now time.Duration, row Row, version int64) {
 	l.inFlight = false
 	before := l.row
-	same := l.known && version == l.version && row.Holder == before.Holder && row.Life == before.Life && row.Count == before.Count
+	same := l.known && version == l.version && row.Holder == before.Holder && row.Incarnation == before.Incarnation && row.Count == before.Count
 	if !same {
 		l.changedAt, l.holderEnded = now, false
 	}
 	l.row, l.version, l.known = row, version, true
-	mine := version != 0 && row.Holder == l.self && row.Life == l.life
+	mine := version != 0 && row.Holder == l.self && row.Incarnation == l.life
 	if mine && l.writeSentAt != 0 && row.Count == l.count {
 		l.acquire(now)
 		return
@@ -182,7 +182,7 @@
 	l.writeSentAt = 0
 	if !mine {
 		l.heldUntil, l.ledger = 0, nil
-		l.nextCallAt = max(now, l.changedAt+withDrift(l.cfg.Term))
+		l.nextCallAt = max(now, l.changedAt+withDrift(l.cfg.LeaseTerm))
 		if l.mayAcquire(now) {
 			l.nextCallAt = now
 		}
@@ -193,37 +193,37 @@
 
 // acquire handles a confirmed write of this process.
 func (l *Lease) acquire(now time.Duration) {
-	l.heldUntil = l.writeSentAt + l.cfg.Term*9/10
+	l.heldUntil = l.writeSentAt + l.cfg.LeaseTerm*9/10
 	l.writeSentAt = 0
 	l.renewedAt = now
-	l.nextCallAt = now + l.cfg.Renewal
+	l.nextCallAt = now + l.cfg.LeaseRenewal
 	if l.writtenRow.Released {
 		l.heldUntil, l.ledger = 0, nil
 		return
 	}
 	switch {
 	case l.ledger != nil:
-	case l.creates && l.writtenRow.Whole:
+	case l.creates && l.writtenRow.Complete:
 		l.ledger = FirstLedger(l.cfg, now)
 	default:
 		l.ledger = NewLedger(l.cfg, now, &l.writtenRow)
 	}
 	l.rewound = false
-	l.ledger.Written(&l.writtenRow)
+	l.ledger.RowWritten(&l.writtenRow)
 }
 
 // Ask answers a node's question if this node holds the lease.
-func (l *Lease) Ask(now time.Duration, a *Ask, limits func(request.Organisation) (Limit, bool)) Reply {
-	l.Asked(now)
+func (l *Lease) Ask(now time.Duration, a *GrantRequest, limits func(request.Organisation) (Limit, bool)) GrantReply {
+	l.RecordRequest(now)
 	if !l.Held(now) {
-		return Reply{Holder: l.Holder(now)}
+		return GrantReply{Holder: l.Holder(now)}
 	}
 	grants := l.ledger.Ask(now, a, limits)
 	if l.ledger.dirty {
 		l.ledger.dirty = false
 		l.nextCallAt = min(l.nextCallAt, max(now, l.renewedAt+minWriteInterval))
 	}
-	return Reply{Divides: true, Grants: grants}
+	return GrantReply{Divides: true, Grants: grants}
 }
 
 // HolderGone records that the process of a holder has certainly ended.
@@ -246,9 +246,9 @@
 	return r, l.version, true
 }
 
-// Rewound records that the table was restored from an older copy, so that the time for
+// TableRestored records that the table was restored from an older copy, so that the time for
 // which the row was seen unchanged is no longer meaningful.
-func (l *Lease) Rewound(now time.Duration) {
+func (l *Lease) TableRestored(now time.Duration) {
 	l.known, l.changedAt, l.first, l.rewound = false, now, false, true
 	l.nextCallAt = min(l.nextCallAt, now)
 }
--- a/internal/core/ratelimit/ledger.go
+++ b/internal/core/ratelimit/ledger.go
@@ -37,7 +37,7 @@
 		cfg: cfg, accounts: make(map[request.Organisation]*account), nodes: make(map[request.TargetID]*asker),
 		loansEndAt: now + withDrift(loanValidity),
 	}
-	if !row.Whole {
+	if !row.Complete {
 		l.unrecordedEndAt = now + withDrift(cfg.Validity)
 	}
 	for _, p := range row.Parts {
@@ -57,7 +57,7 @@
 
 // FirstLedger returns the first ledger of a fleet.
 func FirstLedger(cfg Config, now time.Duration) *Ledger {
-	l := NewLedger(cfg, now, &Row{Whole: true})
+	l := NewLedger(cfg, now, &Row{Complete: true})
 	l.loansEndAt, l.first = now, true
 	return l
 }
@@ -70,35 +70,35 @@
 
 // record adds the parts that nodes may hold to a row.
 func (l *Ledger) record(now time.Duration, r *Row) {
-	r.Whole = now >= l.unrecordedEndAt
+	r.Complete = now >= l.unrecordedEndAt
 	for _, o := range slices.Sorted(maps.Keys(l.accounts)) {
 		acc := l.accounts[o]
 		acc.expire(now)
 		at := len(r.Organisations)
 		for _, id := range slices.Sorted(maps.Keys(acc.holdings)) {
 			if s := acc.holdings[id].toRecord(now); s.capacity > 0 {
-				r.Parts = append(r.Parts, RowPart{Of: at, Node: id, Rate: float32(s.rate), Capacity: float32(s.capacity)})
+				r.Parts = append(r.Parts, RowPart{Organisation: at, Node: id, Rate: float32(s.rate), Capacity: float32(s.capacity)})
 			}
 		}
 		r.Organisations = append(r.Organisations, o)
 	}
 	if len(r.Parts) > maxParts {
-		r.Organisations, r.Parts, r.Whole = nil, nil, false
+		r.Organisations, r.Parts, r.Complete = nil, nil, false
 	}
 }
 
 // organisation returns the organisation of a part; empty if the row is malformed.
 func (r *Row) organisation(p *RowPart) request.Organisation {
-	if p.Of < 0 || p.Of >= len(r.Organisations) {
+	if p.Organisation < 0 || p.Organisation >= len(r.Organisations) {
 		return ""
 	}
-	return r.Organisations[p.Of]
+	return r.Organisations[p.Organisation]
 }
 
-// Written records that the row was written. If it says that there may be parts it
+// RowWritten records that the row was written. If it says that there may be parts it
 // doesn't record, parts needn't be recorded before they are granted.
-func (l *Ledger) Written(row *Row) {
-	l.rowPartial = !row.Whole
+func (l *Ledger) RowWritten(row *Row) {
+	l.rowPartial = !row.Complete
 	for _, acc := range l.accounts {
 		for _, h := range acc.holdings {
 			h.recorded = allocation{}
@@ -116,20 +116,20 @@
 
 // Ask answers a node's question. limits returns the limit of an organisation, false if
 // it has none. The answer is nil for a question that arrives out of order.
-func (l *Ledger) Ask(now time.Duration, a *Ask, limits func(request.Organisation) (Limit, bool)) []Grant {
+func (l *Ledger) Ask(now time.Duration, a *GrantRequest, limits func(request.Organisation) (Limit, bool)) []Grant {
 	h := l.nodes[a.Node]
 	switch {
-	case h == nil || h.life != a.Life:
-		if h != nil || a.Starts {
+	case h == nil || h.life != a.Incarnation:
+		if h != nil || a.Starting {
 			l.forget(a.Node) // the earlier process and its buckets are gone
 		}
-		h = &asker{life: a.Life}
+		h = &asker{life: a.Incarnation}
 		l.nodes[a.Node] = h
 	case a.Seq <= h.seq:
 		return nil
 	}
 	h.seq = a.Seq
-	if a.Leaves {
+	if a.Leaving {
 		l.forget(a.Node)
 		return nil
 	}
@@ -147,7 +147,7 @@
 			continue
 		}
 		if settled {
-			g.Again = acc.retryAfter()
+			g.RetryAfter = acc.retryAfter()
 		}
 		out = append(out, g)
 	}
--- a/internal/core/ratelimit/local.go
+++ b/internal/core/ratelimit/local.go
@@ -48,8 +48,8 @@
 	Admit Verdict = iota
 	// Unknown: no valid grant decides it; the node may ask for one.
 	Unknown
-	// Over: the organisation has reached its limit.
-	Over
+	// OverLimit: the organisation has reached its limit.
+	OverLimit
 )
 
 // Count counts a request of an organisation. Call it once, before Take.
@@ -77,7 +77,7 @@
 	}
 	b.short = true
 	if now < b.retryAt {
-		return Over
+		return OverLimit
 	}
 	return Unknown
 }
@@ -237,7 +237,7 @@
 	switch {
 	case b.tokensOnly:
 		return b.short || b.used || now < b.expiresAt && now-b.askedAt >= l.cfg.Validity/2
-	case now >= b.expiresAt, b.short, b.demand < minDemand, now-b.askedAt >= l.cfg.Renew:
+	case now >= b.expiresAt, b.short, b.demand < minDemand, now-b.askedAt >= l.cfg.RenewAfter:
 		return true
 	case b.tokens < float64(b.part.Capacity)/2:
 		return true
@@ -254,10 +254,10 @@
 		b.discard()
 		return n
 	}
-	n := Need{Organisation: o, Demand: float32(b.demand), Now: short}
+	n := Need{Organisation: o, Demand: float32(b.demand), Waiting: short}
 	if now < b.expiresAt {
 		n.Held = Part{Rate: b.part.Rate, Capacity: b.part.Capacity, Tokens: float32(b.tokens + b.returnable())}
-		n.Left = b.expiresAt - now
+		n.Remaining = b.expiresAt - now
 	}
 	return n
 }
@@ -288,11 +288,11 @@
 			continue
 		}
 		b.refill(now, limit)
-		b.part, b.limitRate, b.retryAt = g.Part, g.Of, 0
-		if g.Again > 0 {
-			b.retryAt = now + min(g.Again, maxRetryAfter)
+		b.part, b.limitRate, b.retryAt = g.Part, g.LimitRate, 0
+		if g.RetryAfter > 0 {
+			b.retryAt = now + min(g.RetryAfter, maxRetryAfter)
 		}
-		b.askedAt, b.expiresAt, b.tokensOnly = asked, asked+min(g.For, l.cfg.Validity), g.Part.Rate == 0
+		b.askedAt, b.expiresAt, b.tokensOnly = asked, asked+min(g.Validity, l.cfg.Validity), g.Part.Rate == 0
 		if b.tokensOnly {
 			b.recent = recentTakes{}
 		}
--- a/internal/core/ratelimit/messages.go
+++ b/internal/core/ratelimit/messages.go
@@ -6,20 +6,20 @@
 	"peardrift/internal/core/request"
 )
 
-// Ask is sent by a node to the lease holder of a shard.
-type Ask struct {
+// GrantRequest is sent by a node to the lease holder of a shard.
+type GrantRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
-	Shard int
-	Of    int // number of shards in the asking node's configuration
-	Node  request.TargetID
-	Life  uint64 // changes with each start of the node
-	Seq   uint64 // increases with each question of one Life
-	// Starts: the node has just started, so an earlier process of it has ended.
-	Starts bool
-	// Leaves: the node returns everything it holds.
-	Leaves bool
-	Needs  []Need
+	Shard       int
+	Shards      int // number of shards in the asking node's configuration
+	Node        request.TargetID
+	Incarnation uint64 // changes with each start of the node
+	Seq         uint64 // increases with each question of one Life
+	// Starting: the node has just started, so an earlier process of it has ended.
+	Starting bool
+	// Leaving: the node returns everything it holds.
+	Leaving bool
+	Needs   []Need
 }
 
 // Need is the entry of one organisation in an Ask: the demand and what the node holds.
@@ -29,9 +29,9 @@
 	Organisation request.Organisation
 	Demand       float32       // requests per second; 0: the node gives up its grant
 	Returned     float32       // tokens that it returns with that
-	Now          bool          // a request is waiting for a token
+	Waiting      bool          // a request is waiting for a token
 	Held         Part          // current holding; zero if none
-	Left         time.Duration // remaining validity of Held
+	Remaining    time.Duration // remaining validity of Held
 }
 
 // Part is a part of an organisation's limit.
@@ -43,8 +43,8 @@
 	Tokens   float32 // current tokens in the bucket
 }
 
-// Reply answers an Ask.
-type Reply struct {
+// GrantReply answers an Ask.
+type GrantReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
 	// Divides: the node holds the shard's lease. Otherwise Holder may name the node
@@ -60,11 +60,11 @@
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
 	Organisation request.Organisation
-	Of           float64 // the rate limit that it is a part of
+	LimitRate    float64 // the rate limit that it is a part of
 	Part         Part    // Tokens are added to the bucket's
-	For          time.Duration
-	// Again is the time until more tokens may be available; 0 means now.
-	Again time.Duration
+	Validity     time.Duration
+	// RetryAfter is the time until more tokens may be available; 0 means now.
+	RetryAfter time.Duration
 }
 
 // Shards returns the number of shards for the limits of n organisations. It changes
--- a/internal/core/ratelimit/simulation_test.go
+++ b/internal/core/ratelimit/simulation_test.go
@@ -184,7 +184,7 @@
 		if n.target == m.id {
 			return m
 		}
-		if best == nil || m.id.Order(7) > best.id.Order(7) {
+		if best == nil || m.id.SortKey(7) > best.id.SortKey(7) {
 			best = m
 		}
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	now := n.clock()
-	a := &Ask{Node: n.id, Life: life, Starts: n.reportAll}
+	a := &GrantRequest{Node: n.id, Incarnation: life, Starting: n.reportAll}
 	if then == nil || n.reportAll {
 		a.Needs = n.local.Needs(now, func(request.Organisation) bool { return true }, n.reportAll, w.limits)
 	} else if need, ok := n.local.NeedOf(now, w.org, w.limit); ok {
@@ -249,7 +249,7 @@
 	})
 }
 
-func (n *simNode) handleReply(life uint64, asked time.Duration, m *simNode, r Reply) {
+func (n *simNode) handleReply(life uint64, asked time.Duration, m *simNode, r GrantReply) {
 	if !r.Divides {
 		n.target = r.Holder
 		if r.Holder == 0 || r.Holder == m.id {
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -91,9 +91,9 @@
 // announced name.
 type TargetID uint64
 
-// Order returns a sort key of the target that is the same at all nodes and evenly
+// SortKey returns a sort key of the target that is the same at all nodes and evenly
 // distributed over 64-bit numbers; each salt gives a different order.
-func (t TargetID) Order(salt ...uint64) uint64 {
+func (t TargetID) SortKey(salt ...uint64) uint64 {
 	var room [4 * 8]byte
 	b := binary.LittleEndian.AppendUint64(room[:0], uint64(t))
 	for _, s := range salt {
--- a/internal/core/retry/allowance.go
+++ b/internal/core/retry/allowance.go
@@ -25,9 +25,9 @@
 // Left returns the remaining extra attempts.
 func (p *RequestAllowance) Left() int { return p.left }
 
-// Made returns the attempts made for the request by this node and below it, as far as
+// AttemptsMade returns the attempts made for the request by this node and below it, as far as
 // answers reported them. The node reports it upstream with its answer.
-func (p *RequestAllowance) Made() int { return p.made }
+func (p *RequestAllowance) AttemptsMade() int { return p.made }
 
 // Repeat reports whether this execution repeats one that may have run.
 func (p *RequestAllowance) Repeat() bool { return p.repeat }
@@ -43,8 +43,8 @@
 // Attempts returns the attempts started so far.
 func (c *Call) Attempts() int { return c.attempts }
 
-// Runs returns the attempts that weren't refused.
-func (c *Call) Runs() int { return c.runs }
+// NotRefused returns the attempts that weren't refused.
+func (c *Call) NotRefused() int { return c.runs }
 
 // MayHaveRun reports whether any attempt wasn't refused.
 func (c *Call) MayHaveRun() bool { return c.mayHaveRun }
@@ -67,8 +67,8 @@
 	// Unspent is the unused part of the grant. Without an answer it is 0, because a
 	// lost grant counts as spent, unless the outcome is Refused.
 	Unspent int
-	// Made is the number of attempts that the callee reports below it.
-	Made int
+	// AttemptsMade is the number of attempts that the callee reports below it.
+	AttemptsMade int
 	// Free is set if the attempt was refused before it reached a target and such
 	// attempts cost nothing (Config.RefusedFree).
 	Free bool
@@ -136,7 +136,7 @@
 	if a.Free && g.charged {
 		p.left++ // Config.PerCall still bounds the attempts of the call
 	}
-	p.made += max(a.Made, 0)
+	p.made += max(a.AttemptsMade, 0)
 }
 
 // Close ends the request at this node and returns the unspent part, to be reported
@@ -153,15 +153,15 @@
 	return n
 }
 
-// Cost is the moving average of the number of calls that an attempt at a callee makes
+// CallCount is the moving average of the number of calls that an attempt at a callee makes
 // below it, for one service and class at one node.
-type Cost struct {
+type CallCount struct {
 	mean     float64
 	observed bool
 }
 
 // Observe records Answer.Made of a completed attempt.
-func (c *Cost) Observe(cfg *Config, made int) {
+func (c *CallCount) Observe(cfg *Config, made int) {
 	if !c.observed {
 		c.mean, c.observed = float64(made), true
 		return
@@ -174,7 +174,7 @@
 
 // Below returns the expected number of calls below an attempt, rounded up, or -1
 // without observations.
-func (c *Cost) Below() int {
+func (c *CallCount) Below() int {
 	if !c.observed {
 		return -1
 	}
--- a/internal/core/retry/allowance_test.go
+++ b/internal/core/retry/allowance_test.go
@@ -104,7 +104,7 @@
 	for _, k := range c.children {
 		ch.call(k, &p)
 	}
-	return Answer{Outcome: request.Completed, Made: p.Made(), Unspent: p.Close()}
+	return Answer{Outcome: request.Completed, AttemptsMade: p.AttemptsMade(), Unspent: p.Close()}
 }
 
 func (ch *graphRun) runLater(all bool) {
@@ -178,7 +178,7 @@
 	is := is.New(t)
 	entry := NewRequestAllowance(4, false)
 	var call Call
-	var unknown Cost
+	var unknown CallCount
 	first, ok := entry.Start(&call, unknown.Below())
 	is.True(ok)
 	entry.Settle(&call, &first, Answer{Outcome: request.Unknown}) // its grant is lost
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -31,10 +31,10 @@
 	return ServiceBudget{cfg: cfg, tokens: min(1, cfg.Burst), rate: cfg.MinRate, burst: cfg.Burst, updatedAt: now}
 }
 
-// Share sets this node's part of the fleet-wide budget, if there is one, given the
+// SetNodes sets this node's part of the fleet-wide budget, if there is one, given the
 // number of nodes. The unspent part of a failed node is lost and never spent twice, so
 // the total holds while nodes come and go.
-func (b *ServiceBudget) Share(nodes int) {
+func (b *ServiceBudget) SetNodes(nodes int) {
 	if b.cfg.FleetBudget <= 0 || nodes <= 0 {
 		return
 	}
@@ -87,8 +87,8 @@
 	return true
 }
 
-// Budget returns the current tokens, in attempts, for metrics.
-func (b *ServiceBudget) Budget(now time.Duration) float64 {
+// Tokens returns the current tokens, in attempts, for metrics.
+func (b *ServiceBudget) Tokens(now time.Duration) float64 {
 	b.advance(now)
 	return b.tokens
 }
--- a/internal/core/retry/chain_sim_test.go
+++ b/internal/core/retry/chain_sim_test.go
@@ -18,7 +18,7 @@
 	slow     float64 // fraction of calls of the last service that time out
 	lost     float64 // fraction of other calls whose answer is lost
 	attempts int
-	costs    []Cost
+	costs    []CallCount
 	budgets  []ServiceBudget
 	decide   *Decider
 	now      time.Duration
@@ -28,7 +28,7 @@
 	cfg := DefaultConfig()
 	l := &chainSim{
 		cfg: &cfg, rng: rand.New(rand.NewPCG(1, 2)), depth: depth, slow: slow, lost: lost,
-		costs: make([]Cost, depth), budgets: make([]ServiceBudget, depth),
+		costs: make([]CallCount, depth), budgets: make([]ServiceBudget, depth),
 	}
 	l.decide = NewDecider(&cfg, l.rng)
 	for i := range l.budgets {
@@ -71,11 +71,11 @@
 		}
 		p.Settle(&sub, &g, a)
 		if a.Outcome == request.Completed {
-			l.costs[d].Observe(l.cfg, a.Made)
+			l.costs[d].Observe(l.cfg, a.AttemptsMade)
 		}
 		r := Result{
 			Outcome: a.Outcome, Code: status.CodeConnectionLost, Attempts: sub.Attempts(),
-			Left: p.Left(), Below: l.costs[d].Below(), MayHaveRun: sub.MayHaveRun(), Idempotent: true,
+			AllowanceLeft: p.Left(), CallsBelow: l.costs[d].Below(), MayHaveRun: sub.MayHaveRun(), Idempotent: true,
 		}
 		l.budgets[d].Observe(l.now, r.Outcome, r.Code)
 		if !l.decide.Decide(l.now, &r, &l.budgets[d]).Retry() {
@@ -93,7 +93,7 @@
 	if l.bounded(d+1, &p) {
 		a.Outcome = request.Completed
 	}
-	a.Made, a.Unspent = p.Made(), p.Close()
+	a.AttemptsMade, a.Unspent = p.AttemptsMade(), p.Close()
 	return a
 }
 
--- a/internal/core/retry/config.go
+++ b/internal/core/retry/config.go
@@ -32,9 +32,9 @@
 	// each node.
 	FleetBudget float64
 	FleetWindow time.Duration
-	// RefusedFree makes attempts that are refused before they reach a target free of
+	// FreeRefusals makes attempts that are refused before they reach a target free of
 	// charge. Default false. Set it where the budget counts what reaches targets.
-	RefusedFree bool
+	FreeRefusals bool
 	// MinRate fills the budget independently of successes, in attempts per second for
 	// each calling node and service. Default 0.2. Higher helps rarely called services;
 	// the extra load on the service grows by it times the number of nodes.
@@ -71,7 +71,7 @@
 
 // Free reports whether an attempt with this result costs nothing.
 func (c *Config) Free(o request.Outcome, code status.Code) bool {
-	return c.RefusedFree && o == request.Refused && code != status.CodeTargetShed
+	return c.FreeRefusals && o == request.Refused && code != status.CodeTargetShed
 }
 
 // DefaultConfig returns the default settings, which need no tuning for the deployments
--- a/internal/core/retry/decide.go
+++ b/internal/core/retry/decide.go
@@ -13,10 +13,10 @@
 
 // The reasons, in the order in which they are evaluated.
 const (
-	// Again: make another attempt after Decision.Wait.
-	Again Reason = iota
-	// Whole: the attempt completed; there is nothing to retry.
-	Whole
+	// Allowed: make another attempt after Decision.Wait.
+	Allowed Reason = iota
+	// Succeeded: the attempt completed; there is nothing to retry.
+	Succeeded
 	// Final: any other target would give the same answer.
 	Final
 	// AtMostOnce: the attempt may have run and must not run twice.
@@ -37,7 +37,7 @@
 )
 
 var reasonNames = [...]string{
-	Again: "again", Whole: "completed", Final: "final", AtMostOnce: "at-most-once",
+	Allowed: "again", Succeeded: "completed", Final: "final", AtMostOnce: "at-most-once",
 	NotIdempotent: "not-idempotent", PerCall: "per-call", Deadline: "deadline",
 	Allowance: "allowance", Overload: "overload", Budget: "budget",
 }
@@ -57,8 +57,8 @@
 
 	// Deadline of the request; 0 for none.
 	Deadline time.Duration
-	// Usual is the callee's expected latency; 0 if unknown.
-	Usual time.Duration
+	// ExpectedLatency is the callee's expected latency; 0 if unknown.
+	ExpectedLatency time.Duration
 	// Priority is the request's, Level the last known admission level of the callee's
 	// service as a whole (early.Table.Level).
 	Priority request.Priority
@@ -66,10 +66,10 @@
 
 	// Attempts of this call so far (Call.Attempts).
 	Attempts int
-	// Left is the remaining allowance (RequestAllowance.Left), Below the expected
+	// AllowanceLeft is the remaining allowance (RequestAllowance.Left), Below the expected
 	// number of calls below the callee (Cost.Below).
-	Left  int
-	Below int
+	AllowanceLeft int
+	CallsBelow    int
 	// Runs is the number of attempts that weren't refused (Call.Runs) and MaxRuns its
 	// limit; 0 means that only the allowance limits it.
 	Runs, MaxRuns int
@@ -94,7 +94,7 @@
 }
 
 // Retry reports whether to make another attempt.
-func (d Decision) Retry() bool { return d.Reason == Again }
+func (d Decision) Retry() bool { return d.Reason == Allowed }
 
 // Decider decides whether failed attempts are retried.
 type Decider struct {
@@ -110,45 +110,45 @@
 // Decide reports whether to make another attempt after r and, if so, takes its cost
 // from the service's budget.
 func (d *Decider) Decide(now time.Duration, r *Result, b *ServiceBudget) Decision {
-	if reason := d.evaluate(now, r, b); reason != Again {
+	if reason := d.evaluate(now, r, b); reason != Allowed {
 		return Decision{Reason: reason}
 	}
 	wait := d.backoff(r)
-	if r.Deadline != 0 && now+wait+r.Usual >= r.Deadline {
+	if r.Deadline != 0 && now+wait+r.ExpectedLatency >= r.Deadline {
 		return Decision{Reason: Deadline}
 	}
 	if !d.cfg.Free(r.Outcome, r.Code) && !b.Take(now, d.attemptCost(r)) {
 		return Decision{Reason: Budget}
 	}
-	return Decision{Reason: Again, Wait: wait}
+	return Decision{Reason: Allowed, Wait: wait}
 }
 
 func (d *Decider) evaluate(now time.Duration, r *Result, b *ServiceBudget) Reason {
-	if reason := mayRetry(r); reason != Again {
+	if reason := mayRetry(r); reason != Allowed {
 		return reason
 	}
 	if r.Attempts >= d.cfg.PerCall || r.MaxRuns > 0 && r.Runs >= r.MaxRuns {
 		return PerCall
 	}
-	if r.Left < d.attemptCost(r) {
+	if r.AllowanceLeft < d.attemptCost(r) {
 		return Allowance
 	}
 	if overloaded(now, r, b) {
 		return Overload
 	}
-	return Again
+	return Allowed
 }
 
 // mayRetry decides by the attempt's result alone.
 func mayRetry(r *Result) Reason {
 	if r.Outcome == request.Completed {
-		return Whole
+		return Succeeded
 	}
 	if isFinal(r.Code) {
 		return Final
 	}
 	if r.Outcome == request.Refused && !r.MayHaveRun {
-		return Again
+		return Allowed
 	}
 	if r.AtMostOnce {
 		return AtMostOnce
@@ -156,7 +156,7 @@
 	if !r.Idempotent {
 		return NotIdempotent
 	}
-	return Again
+	return Allowed
 }
 
 // isFinal reports whether any other target would return the same code, or whether the
@@ -183,7 +183,7 @@
 	if !r.MayHaveRun && r.Outcome == request.Refused {
 		return 1
 	}
-	return 1 + max(r.Below, 0)
+	return 1 + max(r.CallsBelow, 0)
 }
 
 // overloaded reports whether the service as a whole accepts no retries. Sending a
--- a/internal/core/retry/fleet_budget_test.go
+++ b/internal/core/retry/fleet_budget_test.go
@@ -21,7 +21,7 @@
 		taken := 0
 		for range nodes {
 			b := NewServiceBudget(&cfg, 0)
-			b.Share(nodes)
+			b.SetNodes(nodes)
 			for at := time.Duration(0); at < cfg.FleetWindow; at += 10 * time.Millisecond {
 				b.ObserveCall(at, request.Completed, "") // adds nothing to the budget
 				if b.Take(at, 1) {
@@ -38,7 +38,7 @@
 func TestRefusalBeforeTargetIsFree(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	cfg.RefusedFree = true
+	cfg.FreeRefusals = true
 	is.True(cfg.Free(request.Refused, status.CodeDraining))
 	is.True(!cfg.Free(request.Refused, status.CodeTargetShed)) // it reached a target
 	is.True(!cfg.Free(request.Unknown, status.CodeConnectionLost))
@@ -50,7 +50,7 @@
 		p.Settle(&c, &g, Answer{Outcome: request.Refused, Free: true})
 	}
 	is.Equal(p.Left(), 1)
-	is.Equal(c.Runs(), 0)
+	is.Equal(c.NotRefused(), 0)
 }
 
 // Guards against one call that runs on more targets than its route allows.
@@ -59,6 +59,6 @@
 	cfg := DefaultConfig()
 	d := NewDecider(&cfg, nil)
 	b := NewServiceBudget(&cfg, 0)
-	r := Result{Outcome: request.Unknown, Code: status.CodeConnectionLost, Attempts: 2, Left: 5, Idempotent: true, Runs: 2, MaxRuns: 2, MayHaveRun: true}
+	r := Result{Outcome: request.Unknown, Code: status.CodeConnectionLost, Attempts: 2, AllowanceLeft: 5, Idempotent: true, Runs: 2, MaxRuns: 2, MayHaveRun: true}
 	is.Equal(d.Decide(0, &r, &b).Reason, PerCall)
 }
--- a/internal/core/retry/repeats.go
+++ b/internal/core/retry/repeats.go
@@ -7,11 +7,11 @@
 	"peardrift/internal/status"
 )
 
-// Identity is the caller's name for one request, the same each time it sends the
+// CallerKey is the caller's name for one request, the same each time it sends the
 // request; 0 if it gives none.
-type Identity uint64
+type CallerKey uint64
 
-// Repeats bounds how often a request that its caller resends is run, at the node of the
+// ResubmissionLimiter bounds how often a request that its caller resends is run, at the node of the
 // called service.
 //
 // A caller may resend a failing request through a different entry node each time. Each
@@ -24,11 +24,11 @@
 //
 // within Config.RepeatWindow of one another. Attempts of the same submission are free
 // here, since its RequestAllowance pays for them.
-type Repeats struct {
+type ResubmissionLimiter struct {
 	cfg       *Config
 	budget    ServiceBudget
-	current   map[Identity]*submission // touched since rotatedAt
-	previous  map[Identity]*submission // touched in the previous window
+	current   map[CallerKey]*submission // touched since rotatedAt
+	previous  map[CallerKey]*submission // touched in the previous window
 	rotatedAt time.Duration
 }
 
@@ -39,15 +39,15 @@
 	ran      bool
 }
 
-// NewRepeats returns an empty Repeats with a budget of one.
-func NewRepeats(cfg *Config, now time.Duration) Repeats {
-	return Repeats{cfg: cfg, budget: NewServiceBudget(cfg, now), current: map[Identity]*submission{}, rotatedAt: now}
+// NewResubmissionLimiter returns an empty Repeats with a budget of one.
+func NewResubmissionLimiter(cfg *Config, now time.Duration) ResubmissionLimiter {
+	return ResubmissionLimiter{cfg: cfg, budget: NewServiceBudget(cfg, now), current: map[CallerKey]*submission{}, rotatedAt: now}
 }
 
 // Begin records a submission that is about to run. It returns false if the submission
 // repeats another one and the budget doesn't cover it; it must not run then, and End
 // isn't called.
-func (r *Repeats) Begin(now time.Duration, who Identity, id request.ID) bool {
+func (r *ResubmissionLimiter) Begin(now time.Duration, who CallerKey, id request.ID) bool {
 	r.rotate(now)
 	s := r.find(who)
 	if s == nil {
@@ -64,7 +64,7 @@
 
 // End records the end of a submission. A refused one didn't run, so the next one is as
 // free as it was.
-func (r *Repeats) End(now time.Duration, who Identity, o request.Outcome) {
+func (r *ResubmissionLimiter) End(now time.Duration, who CallerKey, o request.Outcome) {
 	r.Observe(now, o)
 	s := r.find(who)
 	if s == nil {
@@ -78,12 +78,12 @@
 }
 
 // Observe records the result of a run whose caller gave no identity.
-func (r *Repeats) Observe(now time.Duration, o request.Outcome) {
+func (r *ResubmissionLimiter) Observe(now time.Duration, o request.Outcome) {
 	r.budget.Observe(now, o, status.Code(""))
 }
 
 // find returns the entry of a request and marks it as touched.
-func (r *Repeats) find(who Identity) *submission {
+func (r *ResubmissionLimiter) find(who CallerKey) *submission {
 	if s := r.current[who]; s != nil {
 		return s
 	}
@@ -97,9 +97,9 @@
 
 // rotate drops entries that weren't touched for a window, or earlier if there are too
 // many. Two generations make it unnecessary to search for the oldest entry.
-func (r *Repeats) rotate(now time.Duration) {
+func (r *ResubmissionLimiter) rotate(now time.Duration) {
 	if now-r.rotatedAt < r.cfg.RepeatWindow && len(r.current) < r.cfg.MaxRepeats {
 		return
 	}
-	r.previous, r.current, r.rotatedAt = r.current, map[Identity]*submission{}, now
+	r.previous, r.current, r.rotatedAt = r.current, map[CallerKey]*submission{}, now
 }
--- a/internal/core/retry/repeats_test.go
+++ b/internal/core/retry/repeats_test.go
@@ -24,9 +24,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		targets := make([]Repeats, rapid.IntRange(1, 6).Draw(t, "targets"))
+		targets := make([]ResubmissionLimiter, rapid.IntRange(1, 6).Draw(t, "targets"))
 		for i := range targets {
-			targets[i] = NewRepeats(&cfg, 0)
+			targets[i] = NewResubmissionLimiter(&cfg, 0)
 		}
 		entries := rapid.IntRange(1, 40).Draw(t, "entry nodes")
 		health := rapid.Float64Range(0, 0.9).Draw(t, "share of others")
@@ -57,20 +57,20 @@
 
 func TestRepeats(t *testing.T) {
 	cfg := DefaultConfig()
-	fill := func(r *Repeats) {
+	fill := func(r *ResubmissionLimiter) {
 		for range 100 {
 			r.Observe(0, request.Completed)
 		}
 	}
-	drain := func(r *Repeats) {
+	drain := func(r *ResubmissionLimiter) {
 		for r.budget.Take(0, 1) {
 		}
 	}
 	for _, tt := range []struct {
 		name string
-		do   func(r *Repeats)
+		do   func(r *ResubmissionLimiter)
 		at   time.Duration
-		who  Identity
+		who  CallerKey
 		id   request.ID
 		want bool
 	}{
@@ -78,15 +78,15 @@
 		{"another attempt of the same sending", drain, 0, 1, idOf(1), true},
 		{"another sending while the first runs", drain, 0, 1, idOf(2), false},
 		{"another sending, with a budget", fill, 0, 1, idOf(2), true},
-		{"another sending after a refusal", func(r *Repeats) {
+		{"another sending after a refusal", func(r *ResubmissionLimiter) {
 			drain(r)
 			r.End(0, 1, request.Refused)
 		}, 0, 1, idOf(2), true},
-		{"another sending after an answer that was lost", func(r *Repeats) {
+		{"another sending after an answer that was lost", func(r *ResubmissionLimiter) {
 			drain(r)
 			r.End(0, 1, request.Completed)
 		}, 0, 1, idOf(2), false},
-		{"long after", func(r *Repeats) {
+		{"long after", func(r *ResubmissionLimiter) {
 			r.End(0, 1, request.Failed)
 			for at := time.Duration(0); at < 3*cfg.RepeatWindow; at += cfg.RepeatWindow {
 				r.rotate(at)
@@ -96,7 +96,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			r := NewRepeats(&cfg, 0)
+			r := NewResubmissionLimiter(&cfg, 0)
 			is.True(r.Begin(0, 1, idOf(1)))
 			tt.do(&r)
 			is.Equal(r.Begin(tt.at, tt.who, tt.id), tt.want)
@@ -107,9 +107,9 @@
 func TestRepeatsMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
-	r := NewRepeats(&cfg, 0)
+	r := NewResubmissionLimiter(&cfg, 0)
 	for n := range 5 * cfg.MaxRepeats {
-		is.True(r.Begin(0, Identity(n+1), idOf(1)))
+		is.True(r.Begin(0, CallerKey(n+1), idOf(1)))
 		is.True(len(r.current)+len(r.previous) <= 2*cfg.MaxRepeats)
 	}
 }
--- a/internal/core/route/config.go
+++ b/internal/core/route/config.go
@@ -42,19 +42,19 @@
 	// 1. Default 0.05. Higher detects a slow target sooner, but moves calls between
 	// zones because of noise in single samples.
 	LatencyWeight float64
-	// Forget is the time constant with which measurements of a target without calls
+	// DecayTime is the time constant with which measurements of a target without calls
 	// decay to the mean, so that it is tried again. Default 5s.
-	Forget time.Duration
+	DecayTime time.Duration
 	// ReportAge is how long a reported load is valid. Default 2s.
 	ReportAge time.Duration
 	// HotFactor times the mean load is the load above which a target is hot; a hot
 	// target is chosen only if no cold one was sampled. Default 1.25. Lower balances
 	// load better but sends fewer calls to the nearest and fastest targets.
 	HotFactor float64
-	// Floor is the load, 0 to 1, below which no target is hot and other zones aren't
+	// MinHotLoad is the load, 0 to 1, below which no target is hot and other zones aren't
 	// considered. Default 0.5. Lower balances load that does no harm, at the price of
 	// calls between zones.
-	Floor float64
+	MinHotLoad float64
 	// SlowStart is the time in which the weight of a new target rises to its full
 	// value. Default 10s. Longer protects cold targets and loads the others.
 	SlowStart time.Duration
@@ -93,10 +93,10 @@
 		ZoneFactor:    4,
 		Refresh:       10 * time.Millisecond,
 		LatencyWeight: 0.05,
-		Forget:        5 * time.Second,
+		DecayTime:     5 * time.Second,
 		ReportAge:     2 * time.Second,
 		HotFactor:     1.25,
-		Floor:         0.5,
+		MinHotLoad:    0.5,
 		SlowStart:     10 * time.Second,
 		SlowStartMin:  0.1,
 		EjectAfter:    5,
--- a/internal/core/route/eject_test.go
+++ b/internal/core/route/eject_test.go
@@ -26,7 +26,7 @@
 		{"the other broke", func(tab *Table, ts []Target, now time.Duration) {
 			idx := int(tab.index[ts[1].ID])
 			tab.Started(now, idx)
-			tab.Done(now, idx, &Result{Kind: Broken})
+			tab.Done(now, idx, &Result{Kind: ConnectionFailed})
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 	}
 	idx := f.inFlight[0]
 	f.inFlight = f.inFlight[1:]
-	kind := rapid.SampledFrom([]Kind{Success, Failure, Failure, Failure, Failure, Shed, Broken, Ignored}).Draw(t, "kind")
+	kind := rapid.SampledFrom([]Kind{Success, Failure, Failure, Failure, Failure, Shed, ConnectionFailed, Ignored}).Draw(t, "kind")
 	f.tab.Done(f.now, idx, &Result{Kind: kind, Latency: ms})
 }
 
--- a/internal/core/route/measure.go
+++ b/internal/core/route/measure.go
@@ -62,9 +62,9 @@
 		e.shedRate += shedWeight * (1 - e.shedRate)
 		e.updatedAt = now
 		e.connected()
-	case Leaves:
+	case Draining:
 		e.Leaving = true
-	case Broken:
+	case ConnectionFailed:
 		t.recordBreak(now, e)
 	case Ignored:
 		e.probing = false
@@ -209,8 +209,8 @@
 	return 0, false
 }
 
-// Probed records the end of a probe and whether the connection succeeded.
-func (t *Table) Probed(now time.Duration, idx int, connected bool) {
+// ProbeDone records the end of a probe and whether the connection succeeded.
+func (t *Table) ProbeDone(now time.Duration, idx int, connected bool) {
 	e := &t.entries[idx]
 	e.inFlight--
 	if connected {
--- a/internal/core/route/pick.go
+++ b/internal/core/route/pick.go
@@ -66,9 +66,9 @@
 // candidate.
 func (t *Table) considersRemote(c candidate) bool {
 	if t.cfg.ZoneGap > 0 && c.rank == hot {
-		return t.entries[c.idx].load > t.cfg.Floor
+		return t.entries[c.idx].load > t.cfg.MinHotLoad
 	}
-	return c.rank > cold || t.entries[c.idx].load > t.cfg.Floor
+	return c.rank > cold || t.entries[c.idx].load > t.cfg.MinHotLoad
 }
 
 // betterAcrossZones returns the better of a local and a remote candidate, with the
@@ -100,7 +100,7 @@
 	if near.idx < 0 {
 		return far
 	}
-	free := (1 - t.entries[near.idx].load) / (1 - t.cfg.Floor)
+	free := (1 - t.entries[near.idx].load) / (1 - t.cfg.MinHotLoad)
 	far.cost *= 1 + (t.cfg.ZoneFactor-1)*min(max(free, 0), 1)
 	return far
 }
--- a/internal/core/route/refresh.go
+++ b/internal/core/route/refresh.go
@@ -38,12 +38,12 @@
 }
 
 // hotLoad returns the load above which a target is hot.
-func (t *Table) hotLoad() float64 { return max(t.cfg.Floor, t.cfg.HotFactor*t.meanLoad) }
+func (t *Table) hotLoad() float64 { return max(t.cfg.MinHotLoad, t.cfg.HotFactor*t.meanLoad) }
 
 // updateMeans decays old measurements and computes the mean latency and load.
 func (t *Table) updateMeans(now, dt time.Duration) {
 	sum, n := 0.0, 0
-	f := decay{shed: decayFactor(dt, shedDecay), rest: decayFactor(dt, t.cfg.Forget)}
+	f := decay{shed: decayFactor(dt, shedDecay), rest: decayFactor(dt, t.cfg.DecayTime)}
 	for _, i := range t.all {
 		e := &t.entries[i]
 		t.decayEntry(now, e, f)
@@ -72,7 +72,7 @@
 	}
 	guess := 0.0
 	if known > 0 {
-		guess = min(sum/float64(known), t.cfg.Floor)
+		guess = min(sum/float64(known), t.cfg.MinHotLoad)
 	}
 	for _, i := range t.all {
 		if e := &t.entries[i]; e.load < 0 {
--- a/internal/core/route/scenario_test.go
+++ b/internal/core/route/scenario_test.go
@@ -26,7 +26,7 @@
 
 func newTablePicker(cfg *Config, caller int, zone string, ts []Target) picker {
 	r := &tablePicker{position: map[request.TargetID]int{}, index: map[int]int{}}
-	r.t = NewTable(cfg, Place{Caller: uint64(caller), Region: "r", Zone: zone}, rand.New(rand.NewPCG(uint64(caller), 9)))
+	r.t = NewTable(cfg, Locality{Caller: uint64(caller), Region: "r", Zone: zone}, rand.New(rand.NewPCG(uint64(caller), 9)))
 	r.t.Update(0, ts, 0)
 	for i, tg := range ts {
 		r.position[tg.ID] = i
@@ -84,7 +84,7 @@
 	s.received++
 	switch {
 	case s.down:
-		return now, Result{Kind: Broken}
+		return now, Result{Kind: ConnectionFailed}
 	case s.fails:
 		return now + ms/10, Result{Kind: Failure}
 	}
--- a/internal/core/route/subset.go
+++ b/internal/core/route/subset.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is the location of a caller.
-type Place struct {
+// Locality is the location of a caller.
+type Locality struct {
 	// Caller identifies the calling node and determines its subset.
 	Caller uint64
 	Region string
@@ -40,7 +40,7 @@
 // ordered by rendezvous hash. A target that is added or removed changes one target in
 // the subsets of about size/targets of the callers. Targets of another region are used
 // only if the caller's region has none.
-func subset(cfg *Config, at Place, ts []Target, callers int) (local, remote []int) {
+func subset(cfg *Config, at Locality, ts []Target, callers int) (local, remote []int) {
 	var own, region, far []hashedTarget
 	conns := 0
 	for i := range ts {
--- a/internal/core/route/subset_test.go
+++ b/internal/core/route/subset_test.go
@@ -42,7 +42,7 @@
 }
 
 func subsetIDs(cfg *Config, caller int, ts []Target, callers int) []request.TargetID {
-	at := Place{Caller: uint64(caller) * 0x9e3779b97f4a7c15, Region: "r", Zone: fmt.Sprint("z", caller%3)}
+	at := Locality{Caller: uint64(caller) * 0x9e3779b97f4a7c15, Region: "r", Zone: fmt.Sprint("z", caller%3)}
 	local, remote := subset(cfg, at, ts, callers)
 	var ids []request.TargetID
 	for _, i := range append(local, remote...) {
@@ -79,7 +79,7 @@
 	for i := range ts[:30] {
 		ts[i].Region = "far"
 	}
-	at := Place{Caller: 5, Region: "r", Zone: "z1"}
+	at := Locality{Caller: 5, Region: "r", Zone: "z1"}
 	local, remote := subset(&cfg, at, ts, 0)
 	is.Equal(len(local), 10)
 	is.Equal(len(remote), 6)
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -55,7 +55,7 @@
 // Table holds the targets of one callee service as seen by one caller.
 type Table struct {
 	cfg     *Config
-	place   Place
+	place   Locality
 	rng     *rand.Rand
 	entries []entry
 	free    []int32
@@ -72,7 +72,7 @@
 
 // NewTable returns an empty table for a caller at the given place. rng samples the
 // targets to compare; it must not be shared with another goroutine.
-func NewTable(cfg *Config, at Place, rng *rand.Rand) *Table {
+func NewTable(cfg *Config, at Locality, rng *rand.Rand) *Table {
 	return &Table{cfg: cfg, place: at, rng: rng, index: map[request.TargetID]int32{}}
 }
 
--- a/internal/core/route/table_test.go
+++ b/internal/core/route/table_test.go
@@ -29,7 +29,7 @@
 
 func newTable(ts []Target) *Table {
 	cfg := DefaultConfig()
-	t := NewTable(&cfg, Place{Caller: 1, Region: "r", Zone: "z0"}, rand.New(rand.NewPCG(1, 2)))
+	t := NewTable(&cfg, Locality{Caller: 1, Region: "r", Zone: "z0"}, rand.New(rand.NewPCG(1, 2)))
 	t.Update(0, ts, 0)
 	return t
 }
@@ -117,7 +117,7 @@
 	tab := newTable(ts)
 	end := func(now time.Duration, tg Target) Result {
 		if tg.ID == down && now < 2*time.Second {
-			return Result{Kind: Broken}
+			return Result{Kind: ConnectionFailed}
 		}
 		return Result{Kind: Success, Latency: 5 * ms}
 	}
@@ -132,7 +132,7 @@
 	tab := newTable(targets(1))
 	idx, _ := tab.Pick(0, 0, nil)
 	tab.Started(0, idx)
-	tab.Done(0, idx, &Result{Kind: Broken})
+	tab.Done(0, idx, &Result{Kind: ConnectionFailed})
 	_, ok := tab.Pick(ms, 0, nil)
 	is.True(!ok)
 	_, ok = tab.NextProbe(ms)
@@ -141,7 +141,7 @@
 	is.True(ok)
 	_, ok = tab.Pick(100*ms, 0, nil)
 	is.True(!ok) // no call is sent during the probe
-	tab.Probed(101*ms, p, true)
+	tab.ProbeDone(101*ms, p, true)
 	_, ok = tab.Pick(101*ms, 0, nil)
 	is.True(ok)
 	is.Equal(tab.InFlight(p), 0)
@@ -155,7 +155,7 @@
 	tab := newTable(ts)
 	idx, _ := tab.Pick(0, 0, nil)
 	tab.Started(0, idx)
-	tab.Done(0, idx, &Result{Kind: Leaves})
+	tab.Done(0, idx, &Result{Kind: Draining})
 	tab.Update(ms, ts, 0)
 	_, ok := tab.Pick(ms, 0, nil)
 	is.True(!ok)
@@ -176,14 +176,14 @@
 	tab.Update(ms, next, 0)
 	idx, ok := tab.Pick(ms, 0, nil)
 	is.True(ok && idx != old)
-	tab.Done(2*ms, old, &Result{Kind: Broken})
+	tab.Done(2*ms, old, &Result{Kind: ConnectionFailed})
 	_, ok = tab.Pick(2*ms, 0, nil)
 	is.True(ok)
 	is.Equal(len(tab.free), 1) // the index is free after the call
 	tab.Started(2*ms, idx)
 	tab.Update(3*ms, targets(0, 0, 1), 0)
 	tab.Update(4*ms, targets(0, 0, 0, 1), 0) // reuses the index of the previous target
-	tab.Done(5*ms, idx, &Result{Kind: Broken})
+	tab.Done(5*ms, idx, &Result{Kind: ConnectionFailed})
 	now, ok := tab.Pick(5*ms, 0, nil)
 	is.True(ok && tab.InFlight(now) == 0)
 }
--- a/internal/core/route/target.go
+++ b/internal/core/route/target.go
@@ -39,10 +39,10 @@
 	Failure
 	// Shed is a refusal for load.
 	Shed
-	// Leaves is a refusal because this incarnation of the target is draining.
-	Leaves
-	// Broken is a connection that couldn't be established, broke or went silent.
-	Broken
+	// Draining is a refusal because this incarnation of the target is draining.
+	Draining
+	// ConnectionFailed is a connection that couldn't be established, broke or went silent.
+	ConnectionFailed
 )
 
 // Result describes a finished call for Done.
--- a/internal/core/route/zone_test.go
+++ b/internal/core/route/zone_test.go
@@ -11,7 +11,7 @@
 func leavesZone(gap, own, other float64) bool {
 	ts := targets(1, 1)
 	t := newTable(ts)
-	t.cfg.Floor, t.cfg.ZoneGap = 0.85, gap
+	t.cfg.MinHotLoad, t.cfg.ZoneGap = 0.85, gap
 	t.refresh(0)
 	at := func(load float64, idx int32, inFlight int32) candidate {
 		e := &t.entries[idx]
--- a/internal/core/share/ledger.go
+++ b/internal/core/share/ledger.go
@@ -36,24 +36,24 @@
 	}
 }
 
-// Start records that the tenant takes a slot.
-func (l *Ledger) Start(tenant int) {
+// Acquire records that the tenant takes a slot.
+func (l *Ledger) Acquire(tenant int) {
 	l.ensure(tenant)
 	l.tenants[tenant].running++
 }
 
-// End records that the tenant releases a slot.
-func (l *Ledger) End(tenant int) { l.tenants[tenant].running-- }
+// Release records that the tenant releases a slot.
+func (l *Ledger) Release(tenant int) { l.tenants[tenant].running-- }
 
-// Wait records that a request of the tenant starts waiting.
-func (l *Ledger) Wait(tenant int) {
+// Enqueue records that a request of the tenant starts waiting.
+func (l *Ledger) Enqueue(tenant int) {
 	l.ensure(tenant)
 	l.tenants[tenant].waiting++
 	l.waiting++
 }
 
-// Leave records that a request of the tenant stops waiting.
-func (l *Ledger) Leave(tenant int) {
+// Dequeue records that a request of the tenant stops waiting.
+func (l *Ledger) Dequeue(tenant int) {
 	l.tenants[tenant].waiting--
 	l.waiting--
 }
@@ -78,11 +78,11 @@
 	return tenant, ok
 }
 
-// Most returns the tenant that must give up a place in a full queue: of those with
+// MostLoaded returns the tenant that must give up a place in a full queue: of those with
 // waiting requests, counting one more for the newcomer's tenant, the one with the most
 // running and waiting requests relative to its weight. A tie selects the newcomer's
 // tenant, so that the order within one tenant decides.
-func (l *Ledger) Most(newcomer int) int {
+func (l *Ledger) MostLoaded(newcomer int) int {
 	l.ensure(newcomer)
 	most := newcomer
 	load := l.load(newcomer, 1)
--- a/internal/core/share/share_test.go
+++ b/internal/core/share/share_test.go
@@ -65,31 +65,31 @@
 	_, ok := l.Next()
 	is.True(!ok)
 	for range 40 {
-		l.Wait(0)
-		l.Wait(1)
+		l.Enqueue(0)
+		l.Enqueue(1)
 	}
 	var held [2]int
 	for range 40 { // 40 slots, both tenants want all of them
 		t, ok := l.Next()
 		is.True(ok)
-		l.Leave(t)
-		l.Start(t)
+		l.Dequeue(t)
+		l.Acquire(t)
 		held[t]++
 	}
 	is.Equal(held, [2]int{10, 30})
 	is.Equal(l.Guaranteed(0, 40), 10.0)
-	is.Equal(l.Most(0), 0) // its share is smaller and its queue is longer
-	for range 30 {         // tenant 0 has no more demand; tenant 1 exceeds its share
-		l.Leave(0)
+	is.Equal(l.MostLoaded(0), 0) // its share is smaller and its queue is longer
+	for range 30 {               // tenant 0 has no more demand; tenant 1 exceeds its share
+		l.Dequeue(0)
 	}
 	for range 10 {
-		l.End(0)
+		l.Release(0)
 		t, _ := l.Next()
 		is.Equal(t, 1)
-		l.Leave(t)
-		l.Start(t)
+		l.Dequeue(t)
+		l.Acquire(t)
 	}
-	l.Wait(0)
+	l.Enqueue(0)
 	t0, _ := l.Next()
 	is.Equal(t0, 0) // the next free slot goes to tenant 0 again
 }
--- a/internal/core/suspect/config.go
+++ b/internal/core/suspect/config.go
@@ -16,12 +16,12 @@
 	// crash with n fingerprints in flight weighs 1/n. Default 2: two crashes with no
 	// other request in flight.
 	AloneWeight float64
-	// Forget is how long a fingerprint below MaxCrashes is remembered after its last
+	// SuspectTTL is how long a fingerprint below MaxCrashes is remembered after its last
 	// crash. Default 10m. Longer detects slower repetition.
-	Forget time.Duration
-	// Remember is how long a refused fingerprint is remembered after it was last seen.
+	SuspectTTL time.Duration
+	// RefusedTTL is how long a refused fingerprint is remembered after it was last seen.
 	// Default 1h. Longer keeps the bound for callers that rarely retry.
-	Remember time.Duration
+	RefusedTTL time.Duration
 	// MaxEntries bounds the remembered fingerprints. Default 4096, about 0.5 MB. Beyond
 	// it, those with the fewest and oldest crashes are evicted first.
 	MaxEntries int
@@ -43,8 +43,8 @@
 		MaxCrashes:   3,
 		IsolateAfter: 2,
 		AloneWeight:  2,
-		Forget:       10 * time.Minute,
-		Remember:     time.Hour,
+		SuspectTTL:   10 * time.Minute,
+		RefusedTTL:   time.Hour,
 		MaxEntries:   4096,
 		MaxReport:    1024,
 		RetryAfter:   time.Second,
--- a/internal/core/suspect/fingerprint.go
+++ b/internal/core/suspect/fingerprint.go
@@ -26,8 +26,8 @@
 // before it streams the rest.
 const MaxBody = 4 << 10
 
-// Of returns the fingerprint of a request.
-func Of(c *Content) Fingerprint {
+// FingerprintOf returns the fingerprint of a request.
+func FingerprintOf(c *Content) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
 	writeField(&d, string(c.Tenant))
--- a/internal/core/suspect/merge.go
+++ b/internal/core/suspect/merge.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Known returns the remembered crashes as reports, for a node that joins.
-func (t *Tracker) Known() []Report {
+// Reports returns the remembered crashes as reports, for a node that joins.
+func (t *Tracker) Reports() []Report {
 	rs := make([]Report, 0, len(t.crashes))
 	for id, c := range t.crashes {
 		r := Report{Crash: id, InFlight: c.inFlight}
@@ -212,12 +212,12 @@
 		}
 	}
 	for fp, at := range t.cleared {
-		if now-at >= t.cfg.Forget {
+		if now-at >= t.cfg.SuspectTTL {
 			delete(t.cleared, fp)
 		}
 	}
 	for id, c := range t.crashes {
-		if now-c.at >= t.cfg.Remember {
+		if now-c.at >= t.cfg.RefusedTTL {
 			delete(t.crashes, id)
 		}
 	}
--- a/internal/core/suspect/tracker.go
+++ b/internal/core/suspect/tracker.go
@@ -214,7 +214,7 @@
 
 func (t *Tracker) expired(now time.Duration, e *entry) bool {
 	if e.refused {
-		return now-e.lastUpdate >= t.cfg.Remember
+		return now-e.lastUpdate >= t.cfg.RefusedTTL
 	}
-	return now-e.lastUpdate >= t.cfg.Forget
+	return now-e.lastUpdate >= t.cfg.SuspectTTL
 }
--- a/internal/core/suspect/tracker_test.go
+++ b/internal/core/suspect/tracker_test.go
@@ -96,8 +96,8 @@
 	for i := range 2 {
 		tr.Merge(0, Report{Crash: crashID(i), InFlight: 9, Fingerprints: []Fingerprint{culprit}})
 	}
-	is.Equal(tr.Check(cfg.Forget-1, culprit), Isolate)
-	is.Equal(tr.Check(cfg.Forget, culprit), Run)
+	is.Equal(tr.Check(cfg.SuspectTTL-1, culprit), Isolate)
+	is.Equal(tr.Check(cfg.SuspectTTL, culprit), Run)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
@@ -257,7 +257,7 @@
 func TestFingerprint(t *testing.T) {
 	is := is.New(t)
 	base := Content{Tenant: "a", Service: "s", Method: "GET", URI: "/x?y", Size: 3, Body: []byte("abc")}
-	is.Equal(Of(&base), Of(&base))
+	is.Equal(FingerprintOf(&base), FingerprintOf(&base))
 	for _, edit := range []func(*Content){
 		func(c *Content) { c.Tenant, c.Service = "as", "" },
 		func(c *Content) { c.URI = "/x?z" },
@@ -266,12 +266,12 @@
 	} {
 		c := base
 		edit(&c)
-		is.True(Of(&c) != Of(&base))
+		is.True(FingerprintOf(&c) != FingerprintOf(&base))
 	}
 }
 
 func runRequest(tr *Tracker, c *Content) {
-	fp := Of(c)
+	fp := FingerprintOf(c)
 	tr.Check(0, fp)
 	tr.Ended(0, tr.Started(fp), true)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -72,7 +72,7 @@
 
 // runOnPlatform runs the node with the platform's settings.
 func runOnPlatform(check bool, stdout, stderr io.Writer) int {
-	cfg, integration, err := platform.Enter()
+	cfg, integration, err := platform.Load()
 	if err != nil {
 		return fail(stderr, err)
 	}
@@ -97,7 +97,7 @@
 }
 
 // serve runs the node until SIGTERM or SIGINT; a second signal ends it at once.
-func serve(cfg settings.Settings, integration *node.Outside, stderr io.Writer) int {
+func serve(cfg settings.Settings, integration *node.Integration, stderr io.Writer) int {
 	tuneGC(cfg.Limits.MemoryBytes)
 	tuneProcs()
 	// By default SIGPIPE and SIGHUP would end the process and abort its calls. SIGPIPE
--- a/internal/dataplane/allowance_test.go
+++ b/internal/dataplane/allowance_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/retry"
 )
 
@@ -14,5 +14,5 @@
 // of the answers were lost; the measured allowance completed 99%.
 func TestDefaultAttemptsMatchRetryConfig(t *testing.T) {
 	is := is.New(t)
-	is.Equal(confset.DefaultAttempts, retry.DefaultConfig().Attempts)
+	is.Equal(configset.DefaultAttempts, retry.DefaultConfig().Attempts)
 }
--- a/internal/dataplane/answer.go
+++ b/internal/dataplane/answer.go
@@ -24,7 +24,7 @@
 		return
 	}
 	r.stream.OnClose(func() {
-		if !r.stream.Whole() {
+		if !r.stream.Complete() {
 			hop.Outcome = request.Unknown
 		}
 		hop.End = time.Now()
@@ -68,7 +68,7 @@
 		h.Detail = r.detail
 	}
 	h.Level = r.answer.Level
-	h.Known = out.knownLevel
+	h.KnownLevel = out.knownLevel
 	h.Allowance = out.allowance.remaining()
 }
 
--- a/internal/dataplane/assured_test.go
+++ b/internal/dataplane/assured_test.go
@@ -13,7 +13,7 @@
 // that it needs.
 func TestAssuredFractionGetsMaxImportance(t *testing.T) {
 	is := is.New(t)
-	e := &Engine{cfg: Config{Assured: 0.125}}
+	e := &Engine{cfg: Config{AssuredFraction: 0.125}}
 	const n = 20_000
 	assured, lowOrder := 0, 0
 	for range n {
--- a/internal/dataplane/call.go
+++ b/internal/dataplane/call.go
@@ -8,7 +8,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 
 	"peardrift/internal/adapter/hertzhttp"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/core/route"
@@ -18,8 +18,8 @@
 
 // outboundCall is one call from this node to a service, including all its attempts.
 type outboundCall struct {
-	info          *confset.ServiceInfo
-	class         *confset.Class // of the callee
+	info          *configset.ServiceInfo
+	class         *configset.Class // of the callee
 	meta          wire.Meta
 	id            request.ID
 	sampled       bool   // the request's spans are recorded
@@ -38,7 +38,7 @@
 	grant     retry.Grant
 	entry     entryAllowance // of a root request
 
-	organisation *confset.OrganisationInfo // of a root request; nil if none
+	organisation *configset.OrganisationInfo // of a root request; nil if none
 }
 
 // allowance is the retry allowance that attempts are charged to. An entry's allowance
@@ -109,7 +109,7 @@
 // answered with a failure, the code of the downstream call that failed.
 func (r *result) cause() status.Code {
 	if r.code == "" && r.outcome != request.Completed {
-		return r.answer.Below
+		return r.answer.DownstreamCode
 	}
 	return r.code
 }
@@ -161,7 +161,7 @@
 		c.parent.endAttempt(e.now(), r)
 	}
 	c.allowance.settle(sub, &c.grant, retry.Answer{
-		Outcome: r.outcome, Unspent: r.answer.Unspent, Made: r.answer.Made,
+		Outcome: r.outcome, Unspent: r.answer.Unspent, AttemptsMade: r.answer.AttemptsMade,
 		Free: e.cfg.Retry.Free(r.outcome, r.code),
 	})
 	cl.record(ch, c, r)
@@ -244,19 +244,19 @@
 // retryInput describes an ended attempt to the retry decider.
 func (e *Engine) retryInput(c *outboundCall, r *result, sub *retry.Call, cl *callee) retry.Result {
 	return retry.Result{
-		Outcome:    r.outcome,
-		Code:       r.cause(),
-		Deadline:   c.deadline,
-		Priority:   c.priority,
-		Level:      e.levels.level(c),
-		Attempts:   sub.Attempts(),
-		Left:       c.allowance.remaining(),
-		Below:      cl.downstreamCalls(c.class.Name),
-		Runs:       sub.Runs(),
-		MaxRuns:    c.class.Runs,
-		MayHaveRun: sub.MayHaveRun(),
-		AtMostOnce: c.class.AtMostOnce || c.class.Repeat == confset.Once,
-		Idempotent: c.class.Repeat == confset.Repeatable || idempotent(c.req),
+		Outcome:       r.outcome,
+		Code:          r.cause(),
+		Deadline:      c.deadline,
+		Priority:      c.priority,
+		Level:         e.levels.level(c),
+		Attempts:      sub.Attempts(),
+		AllowanceLeft: c.allowance.remaining(),
+		CallsBelow:    cl.downstreamCalls(c.class.Name),
+		Runs:          sub.NotRefused(),
+		MaxRuns:       c.class.Runs,
+		MayHaveRun:    sub.MayHaveRun(),
+		AtMostOnce:    c.class.AtMostOnce || c.class.Repeat == configset.NeverRepeatable,
+		Idempotent:    c.class.Repeat == configset.Repeatable || idempotent(c.req),
 	}
 }
 
--- a/internal/dataplane/call_test.go
+++ b/internal/dataplane/call_test.go
@@ -15,7 +15,7 @@
 
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/core/admission"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/core/route"
@@ -43,10 +43,10 @@
 }
 
 // newCaller returns an engine that calls service "svc.t" on the given nodes.
-func newCaller(t *testing.T, nodes ...*hertzhttp.Server) (*Engine, *confset.ServiceInfo) {
-	class := confset.Class{Name: "read", Path: "/", Importance: 10, Deadline: time.Minute, Attempts: 3, MaxBody: 1 << 20}
-	idx := confset.NewIndex(confset.Set{Tenant: "t", Version: 1, Share: 1, Services: []confset.Service{
-		{Name: "svc", Slots: 10, Connections: 100, Classes: []confset.Class{class}},
+func newCaller(t *testing.T, nodes ...*hertzhttp.Server) (*Engine, *configset.ServiceInfo) {
+	class := configset.Class{Name: "read", Path: "/", Importance: 10, Deadline: time.Minute, Attempts: 3, MaxBody: 1 << 20}
+	idx := configset.NewIndex(configset.Set{Tenant: "t", Version: 1, Share: 1, Services: []configset.Service{
+		{Name: "svc", Slots: 10, Connections: 100, Classes: []configset.Class{class}},
 	}})
 	cl := hertzhttp.NewClient(hertzhttp.DefaultClientConfig())
 	e := New(DefaultConfig(), Self{Name: "caller", Service: "other.t", Tenant: "t"}, cl, cl, nil, nil)
@@ -67,7 +67,7 @@
 	return e, info
 }
 
-func outgoingTo(e *Engine, info *confset.ServiceInfo) *outboundCall {
+func outgoingTo(e *Engine, info *configset.ServiceInfo) *outboundCall {
 	req := &protocol.Request{}
 	req.Header.SetMethod("GET")
 	req.Header.SetRequestURI("/")
@@ -256,11 +256,11 @@
 		_, fault := e.gate.acquire(context.Background(), admission.Arrival{Deadline: e.now() + time.Minute})
 		return fault == nil
 	}
-	e.SetLifetime(Lifetime{Instance: "a", Born: 1, Slots: 10, Takes: true})
+	e.SetTargetState(TargetState{Instance: "a", StartedAt: 1, Slots: 10, AcceptsCalls: true})
 	is.True(admitted())
 	e.gate.drain()
-	e.SetLifetime(Lifetime{Instance: "a", Born: 1, Slots: 10, Takes: true})
+	e.SetTargetState(TargetState{Instance: "a", StartedAt: 1, Slots: 10, AcceptsCalls: true})
 	is.True(!admitted())
-	e.SetLifetime(Lifetime{Instance: "a", Born: 2, Slots: 10, Takes: true})
+	e.SetTargetState(TargetState{Instance: "a", StartedAt: 2, Slots: 10, AcceptsCalls: true})
 	is.True(admitted())
 }
--- a/internal/dataplane/callee.go
+++ b/internal/dataplane/callee.go
@@ -21,7 +21,7 @@
 	table       *route.Table
 	budget      retry.ServiceBudget
 	decider     *retry.Decider
-	costs       map[request.Class]*retry.Cost
+	costs       map[request.Class]*retry.CallCount
 	forget      func(request.TargetID) // called for each target that was removed
 	meanLatency time.Duration          // moving average of the latency of completed calls; 0 if unknown
 }
@@ -42,7 +42,7 @@
 		table:   route.NewTable(&e.cfg.Route, e.self.Place, rng),
 		budget:  retry.NewServiceBudget(&e.cfg.Retry, e.now()),
 		decider: retry.NewDecider(&e.cfg.Retry, rng),
-		costs:   make(map[request.Class]*retry.Cost),
+		costs:   make(map[request.Class]*retry.CallCount),
 		forget:  e.levels.forget,
 	}
 	e.callees[name] = cl
@@ -55,7 +55,7 @@
 		return
 	}
 	cl.gen = v.Gen
-	cl.budget.Share(v.Nodes)
+	cl.budget.SetNodes(v.Nodes)
 	peers := v.Peers(name)
 	ts := make([]route.Target, len(peers))
 	before := cl.addrs
@@ -124,7 +124,7 @@
 	if r.outcome != request.Completed {
 		return
 	}
-	cl.cost(c.class.Name).Observe(&cl.cfg.Retry, r.answer.Made)
+	cl.cost(c.class.Name).Observe(&cl.cfg.Retry, r.answer.AttemptsMade)
 	took := r.headAt - ch.started
 	if cl.meanLatency == 0 {
 		cl.meanLatency = took
@@ -140,10 +140,10 @@
 	return cl.cost(class).Below()
 }
 
-func (cl *callee) cost(class request.Class) *retry.Cost {
+func (cl *callee) cost(class request.Class) *retry.CallCount {
 	c, ok := cl.costs[class]
 	if !ok {
-		c = new(retry.Cost)
+		c = new(retry.CallCount)
 		cl.costs[class] = c
 	}
 	return c
@@ -153,7 +153,7 @@
 func (cl *callee) decide(r *retry.Result) retry.Decision {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	r.Usual = cl.meanLatency
+	r.ExpectedLatency = cl.meanLatency
 	return cl.decider.Decide(cl.now(), r, &cl.budget)
 }
 
@@ -164,7 +164,7 @@
 		switch {
 		case r.outcome == request.Completed:
 			return route.Success
-		case r.answer.Below != "":
+		case r.answer.DownstreamCode != "":
 			// A service below it failed. Counting that against the target would let
 			// one overloaded service eject the healthy targets of all its callers,
 			// also for requests that don't need it.
@@ -177,16 +177,16 @@
 	case status.CodeOverloaded, status.CodeOverShare, status.CodeTargetShed:
 		return route.Shed
 	case status.CodeDraining, status.CodeMisdirected:
-		return route.Leaves
+		return route.Draining
 	case status.CodeConnectFailed, status.CodeConnectionLost:
 		if r.answered {
 			return route.Failure // the callee's node lost its target; our connection to the node is fine
 		}
-		return route.Broken
+		return route.ConnectionFailed
 	case status.CodeNotReady:
 		// Unlike a leave, this ends without a new incarnation of the node, and often
 		// soon: a starting node is not ready for a moment.
-		return route.Broken
+		return route.ConnectionFailed
 	case status.CodeDeadlineExceeded, status.CodeTargetFailed, status.CodeNoTarget,
 		status.CodeOutcomeUnknown, status.CodeInternal, status.CodeProtocol:
 		return route.Failure
--- a/internal/dataplane/callerretries.go
+++ b/internal/dataplane/callerretries.go
@@ -18,12 +18,12 @@
 	now  func() time.Duration
 	cfg  retry.Config
 	mu   sync.Mutex
-	core retry.Repeats
+	core retry.ResubmissionLimiter
 }
 
 func newCallerRetries(cfg retry.Config, now func() time.Duration) *callerRetries {
 	r := &callerRetries{now: now, cfg: cfg}
-	r.core = retry.NewRepeats(&r.cfg, now())
+	r.core = retry.NewResubmissionLimiter(&r.cfg, now())
 	return r
 }
 
@@ -64,7 +64,7 @@
 // identity returns a hash of the caller's names for the request, 0 if it has none.
 // Nothing else identifies a resent request: different requests may be equal in all but
 // these names, as when many clients read the same page.
-func (s *inboundCall) identity() retry.Identity {
+func (s *inboundCall) identity() retry.CallerKey {
 	if !s.isRoot() {
 		return 0
 	}
@@ -79,7 +79,7 @@
 		_, _ = d.Write(part)
 		_, _ = d.Write(separator)
 	}
-	return retry.Identity(max(d.Sum64(), 1))
+	return retry.CallerKey(max(d.Sum64(), 1))
 }
 
 // separator is a byte that no header contains.
--- a/internal/dataplane/checkanswer.go
+++ b/internal/dataplane/checkanswer.go
@@ -17,12 +17,12 @@
 	return func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) hertzhttp.Match {
 		echo := resp.Peek(d.Request)
 		if len(echo) > 0 && !bytes.Equal(echo, req.Peek(d.Request)) {
-			return hertzhttp.Other
+			return hertzhttp.MatchesEarlierRequest
 		}
 		success := resp.StatusCode() >= 200 && resp.StatusCode() < 300
 		if success && (len(resp.Peek(d.Signature)) == 0 || len(resp.ContentEncoding()) > 0) {
-			return hertzhttp.Foreign
+			return hertzhttp.MatchesNone
 		}
-		return hertzhttp.Own
+		return hertzhttp.MatchesRequest
 	}
 }
--- a/internal/dataplane/checkanswer_test.go
+++ b/internal/dataplane/checkanswer_test.go
@@ -22,13 +22,13 @@
 		echo, signed, encoding string
 		want                   hertzhttp.Match
 	}{
-		{200, "a", "s", "", hertzhttp.Own},
-		{500, "a", "", "", hertzhttp.Own},
-		{200, "", "s", "", hertzhttp.Own},
-		{200, "b", "s", "", hertzhttp.Other},
-		{503, "b", "", "", hertzhttp.Other},
-		{200, "a", "", "", hertzhttp.Foreign},
-		{200, "a", "s", "gzip", hertzhttp.Foreign},
+		{200, "a", "s", "", hertzhttp.MatchesRequest},
+		{500, "a", "", "", hertzhttp.MatchesRequest},
+		{200, "", "s", "", hertzhttp.MatchesRequest},
+		{200, "b", "s", "", hertzhttp.MatchesEarlierRequest},
+		{503, "b", "", "", hertzhttp.MatchesEarlierRequest},
+		{200, "a", "", "", hertzhttp.MatchesNone},
+		{200, "a", "s", "gzip", hertzhttp.MatchesNone},
 	} {
 		var req protocol.RequestHeader
 		var resp protocol.ResponseHeader
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -12,8 +12,8 @@
 
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/core/admission"
-	"peardrift/internal/core/confset"
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/configset"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/core/route"
@@ -46,7 +46,7 @@
 // immutable.
 type View struct {
 	Gen   uint64 // increases with each view
-	Index *confset.Index
+	Index *configset.Index
 	// Peers returns the targets of a service. It is called once per view for each
 	// service that the node calls, from traffic goroutines.
 	Peers func(request.Service) []Peer
@@ -69,7 +69,7 @@
 	ID      request.TargetID
 	Service request.Service
 	Tenant  request.Tenant
-	Place   route.Place
+	Place   route.Locality
 	Target  string // address ip:port of the target
 	Slots   int    // of the target; 0: taken from the configuration
 }
@@ -93,11 +93,11 @@
 	AbandonAfter time.Duration
 	// MaxCalls limits the calls in flight on all listeners together (default 4096).
 	MaxCalls int
-	// Assured is the fraction of each class's requests, 0 to 1, that is refused as
+	// AssuredFraction is the fraction of each class's requests, 0 to 1, that is refused as
 	// late as the most important ones (default 0). Without it, classes that are less
 	// important than the requests that fill an overloaded service get nothing there. A
 	// higher value leaves less capacity to more important classes during overload.
-	Assured float64
+	AssuredFraction float64
 	// Sampled reports whether a request's spans are recorded; it sets the sampled flag
 	// of traceparent (default: none are).
 	Sampled func(request.ID) bool
@@ -108,7 +108,7 @@
 	Route   route.Config
 	Gate    admission.Config
 	Suspect suspect.Config
-	Early   early.Config
+	Early   earlyrefusal.Config
 }
 
 // DefaultConfig returns the defaults.
@@ -123,7 +123,7 @@
 		Retry:         retry.DefaultConfig(),
 		Route:         route.DefaultConfig(),
 		Gate:          admission.DefaultConfig(),
-		Early:         early.DefaultConfig(),
+		Early:         earlyrefusal.DefaultConfig(),
 		Suspect:       suspect.DefaultConfig(),
 	}
 }
@@ -152,8 +152,8 @@
 	refusing        atomic.Bool // new requests of callers are refused
 	configStale     atomic.Bool // other nodes may have a newer configuration in force
 	routeTurns      roundRobin
-	limiter         Limiter                  // nil: no rate limits
-	lifetime        atomic.Pointer[Lifetime] // of the target; nil if targets don't announce themselves
+	limiter         Limiter                     // nil: no rate limits
+	lifetime        atomic.Pointer[TargetState] // of the target; nil if targets don't announce themselves
 	onShed          func()
 	onOtherInstance func(instance string) // called when an unexpected instance answers
 
@@ -186,9 +186,9 @@
 	return e
 }
 
-// SetFar sets the transport for calls to nodes of other zones, if it differs. Call it
+// SetCrossZoneTransport sets the transport for calls to nodes of other zones, if it differs. Call it
 // before traffic begins.
-func (e *Engine) SetFar(t Transport) { e.crossZone = t }
+func (e *Engine) SetCrossZoneTransport(t Transport) { e.crossZone = t }
 
 // transportTo returns the transport for calls to nodes of a zone.
 func (e *Engine) transportTo(zone string) Transport {
@@ -215,19 +215,19 @@
 	}
 }
 
-// Retire records that the node is going to stop: calls in flight are left to end by
+// BeginStop records that the node is going to stop: calls in flight are left to end by
 // themselves.
-func (e *Engine) Retire() { e.retiring.Store(true) }
+func (e *Engine) BeginStop() { e.retiring.Store(true) }
 
-// SetBehind sets whether other nodes may have a newer configuration in force. While it
+// SetConfigStale sets whether other nodes may have a newer configuration in force. While it
 // is set, an unknown API key gets a retryable refusal instead of a final one.
-func (e *Engine) SetBehind(behind bool) { e.configStale.Store(behind) }
+func (e *Engine) SetConfigStale(behind bool) { e.configStale.Store(behind) }
 
-// Turn makes the node refuse new requests of callers and close their connections, so
+// RefuseCallers makes the node refuse new requests of callers and close their connections, so
 // that they use other nodes. The gate refuses calls of other nodes once the view says
 // that the target is leaving; running requests continue, with all the calls that they
 // make.
-func (e *Engine) Turn() { e.refusing.Store(true) }
+func (e *Engine) RefuseCallers() { e.refusing.Store(true) }
 
 // Close stops the engine's timers; all calls must have ended.
 func (e *Engine) Close() { e.gate.close() }
@@ -275,7 +275,7 @@
 }
 
 // weights returns the tenants' shares by index.
-func (t *tenantIndexes) weights(idx *confset.Index) []float64 {
+func (t *tenantIndexes) weights(idx *configset.Index) []float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range idx.Tenants() {
--- a/internal/dataplane/entry.go
+++ b/internal/dataplane/entry.go
@@ -12,7 +12,7 @@
 
 	"peardrift/internal/adapter/hertzhttp"
 	"peardrift/internal/core/claim"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -81,8 +81,8 @@
 func (e *Engine) parentOf(c *app.RequestContext) (x *runningRequest, parent string) {
 	d := &e.cfg.Dialect
 	name := string(c.Request.Header.Peek(d.Request))
-	at := strings.LastIndex(name, d.Chain)
-	if d.Chain == "" || at < 0 {
+	at := strings.LastIndex(name, d.ChainSeparator)
+	if d.ChainSeparator == "" || at < 0 {
 		return nil, ""
 	}
 	return e.running.named(name[:at]), name[:at]
@@ -199,7 +199,7 @@
 	if fault != nil {
 		return nil, fault
 	}
-	var caller *confset.OrganisationInfo
+	var caller *configset.OrganisationInfo
 	if external {
 		if caller, fault = e.authenticate(v, c, info, class); fault != nil {
 			return nil, fault
@@ -241,7 +241,7 @@
 // applyAssured gives a fraction of all requests the highest importance, for their
 // whole chains.
 func (e *Engine) applyAssured(out *outboundCall) {
-	if request.Assured(out.id, e.cfg.Assured) {
+	if request.Assured(out.id, e.cfg.AssuredFraction) {
 		out.meta.Importance = request.MaxImportance
 		out.priority = request.PriorityOf(out.meta.Importance, out.id)
 	}
@@ -253,7 +253,7 @@
 	if out == nil {
 		return nil, fault
 	}
-	if !out.info.Accepts(e.self.Tenant) {
+	if !out.info.AllowsTenant(e.self.Tenant) {
 		protocol.ReleaseRequest(out.req)
 		return nil, status.Refuse(status.CodeForbidden, 0, "%s accepts no requests of tenant %s", out.info.Name, e.self.Tenant)
 	}
@@ -267,7 +267,7 @@
 	if fault != nil {
 		return nil, fault
 	}
-	if !info.Accepts(x.meta.Tenant) {
+	if !info.AllowsTenant(x.meta.Tenant) {
 		return nil, status.Refuse(status.CodeForbidden, 0, "%s accepts no requests of tenant %s", info.Name, x.meta.Tenant)
 	}
 	if x.meta.Depth >= wire.MaxDepth {
@@ -299,8 +299,8 @@
 
 // lookup finds the service that a route or Host names, and the request's class. A name
 // without a tenant belongs to the own tenant.
-func (e *Engine) lookup(v *View, c *app.RequestContext) (*confset.ServiceInfo, *confset.Class, *status.Error) {
-	if v.Index.Routed() {
+func (e *Engine) lookup(v *View, c *app.RequestContext) (*configset.ServiceInfo, *configset.Class, *status.Error) {
+	if v.Index.HasRoutes() {
 		return e.lookupRoute(v, c)
 	}
 	name := hostService(string(c.Request.Header.Host()), e.self.Tenant)
@@ -318,7 +318,7 @@
 // lookupRoute finds a request's route and the service that is next in its weighted
 // round robin. It matches the path as sent: the codec's normalized path may select
 // another route than the path that the target receives.
-func (e *Engine) lookupRoute(v *View, c *app.RequestContext) (*confset.ServiceInfo, *confset.Class, *status.Error) {
+func (e *Engine) lookupRoute(v *View, c *app.RequestContext) (*configset.ServiceInfo, *configset.Class, *status.Error) {
 	host, _, _ := strings.Cut(string(c.Request.Header.Host()), ":")
 	path, _, _ := strings.Cut(string(c.Request.Header.RequestURI()), "?")
 	r, ok := v.Index.Route(strings.ToLower(host), path)
@@ -335,7 +335,7 @@
 // setRoute sets the route fields of a call's meta. The origin is then the service
 // beside which the request began, whoever sent it.
 func (e *Engine) setRoute(v *View, out *outboundCall) {
-	if !v.Index.Routed() {
+	if !v.Index.HasRoutes() {
 		return
 	}
 	out.meta.Service, out.meta.Route = out.info.Name, out.class.Name
--- a/internal/dataplane/explain.go
+++ b/internal/dataplane/explain.go
@@ -37,13 +37,13 @@
 func (c *outboundCall) claimRequest(deadline time.Time) claims.Request {
 	h := &c.req.Header
 	return claims.Request{
-		Scope:    claim.Scope{Tenant: c.meta.Tenant, Service: c.info.Name, Class: c.class.Name},
-		Key:      string(h.Peek(wire.HeaderIdempotencyKey)),
-		Method:   string(h.Method()),
-		Path:     string(h.RequestURI()),
-		Body:     claim.Sum(c.req.BodyBytes()),
-		Remember: c.class.Remember,
-		Deadline: deadline,
+		Scope:     claim.Scope{Tenant: c.meta.Tenant, Service: c.info.Name, Class: c.class.Name},
+		Key:       string(h.Peek(wire.HeaderIdempotencyKey)),
+		Method:    string(h.Method()),
+		Path:      string(h.RequestURI()),
+		Body:      claim.Sum(c.req.BodyBytes()),
+		Retention: c.class.KeyRetention,
+		Deadline:  deadline,
 	}
 }
 
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -156,7 +156,7 @@
 func (g *gate) level(tenant uint16) request.Level {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.LevelOf(tenant)
+	return g.core.TenantLevel(tenant)
 }
 
 func (g *gate) stats() admission.Stats {
--- a/internal/dataplane/hop.go
+++ b/internal/dataplane/hop.go
@@ -44,18 +44,18 @@
 
 	Organisation request.Organisation // of the caller; empty if unknown
 
-	Target    request.TargetID
-	Zone      string
-	Attempt   int
-	Outcome   request.Outcome
-	Code      status.Code // reason, if the node itself answered
-	Detail    string      // of a rate limit refusal: what decided it
-	Retry     string      // why there was no further attempt
-	Level     request.Level
-	Known     request.Level // of the callee and its downstream services, as checked at the entry
-	Allowance int
-	Queued    time.Duration
-	Version   int64 // of the configuration set in force
+	Target     request.TargetID
+	Zone       string
+	Attempt    int
+	Outcome    request.Outcome
+	Code       status.Code // reason, if the node itself answered
+	Detail     string      // of a rate limit refusal: what decided it
+	Retry      string      // why there was no further attempt
+	Level      request.Level
+	KnownLevel request.Level // of the callee and its downstream services, as checked at the entry
+	Allowance  int
+	Queued     time.Duration
+	Version    int64 // of the configuration set in force
 }
 
 func (e *Engine) observe(h *Hop) {
--- a/internal/dataplane/inflight.go
+++ b/internal/dataplane/inflight.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -31,13 +31,13 @@
 
 	mu           sync.Mutex
 	allowance    retry.RequestAllowance
-	openAttempts int           // downstream attempts in flight
-	hasUnknown   bool          // a downstream call may have run without a known result
-	hasFailed    bool          // the target has answered that it failed
-	calledKeys   []early.Key   // services called so far
-	lastFailure  status.Code   // of the last downstream call that failed; empty if none
-	blockedSince time.Duration // when the first of the attempts in flight began
-	blocked      time.Duration // total time in which the target could only wait for others
+	openAttempts int                // downstream attempts in flight
+	hasUnknown   bool               // a downstream call may have run without a known result
+	hasFailed    bool               // the target has answered that it failed
+	calledKeys   []earlyrefusal.Key // services called so far
+	lastFailure  status.Code        // of the last downstream call that failed; empty if none
+	blockedSince time.Duration      // when the first of the attempts in flight began
+	blocked      time.Duration      // total time in which the target could only wait for others
 
 	next *runningRequest // earlier run with the same identity; guarded by registry.mu
 }
@@ -61,7 +61,7 @@
 }
 
 // isFirstCall reports whether this is the request's first call with the key.
-func (x *runningRequest) isFirstCall(k early.Key) bool {
+func (x *runningRequest) isFirstCall(k earlyrefusal.Key) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if slices.Contains(x.calledKeys, k) {
@@ -137,7 +137,7 @@
 func (x *runningRequest) close() (unspent, made int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	made = x.allowance.Made()
+	made = x.allowance.AttemptsMade()
 	return x.allowance.Close(), made
 }
 
--- a/internal/dataplane/levels.go
+++ b/internal/dataplane/levels.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"peardrift/internal/core/early"
+	"peardrift/internal/core/earlyrefusal"
 	"peardrift/internal/core/request"
 	"peardrift/internal/status"
 )
@@ -14,13 +14,13 @@
 type levels struct {
 	now   func() time.Duration
 	mu    sync.Mutex
-	table *early.Table
-	chain *early.Chain
+	table *earlyrefusal.Table
+	chain *earlyrefusal.Chain
 }
 
-func newLevels(cfg *early.Config, now func() time.Duration) *levels {
-	table := early.NewTable(cfg, newRand())
-	return &levels{now: now, table: table, chain: early.NewChain(cfg, table)}
+func newLevels(cfg *earlyrefusal.Config, now func() time.Duration) *levels {
+	table := earlyrefusal.NewTable(cfg, newRand())
+	return &levels{now: now, table: table, chain: earlyrefusal.NewChain(cfg, table)}
 }
 
 // check refuses a call that its callee, or a service below it, would refuse.
@@ -49,37 +49,37 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Learn(l.now(), c.key(), early.Report{
+	l.table.Learn(l.now(), c.key(), earlyrefusal.Report{
 		Target: r.target,
 		Own:    r.answer.Level,
-		Chain:  r.answer.Chain,
+		Chain:  r.answer.ChainLevel,
 		Slots:  r.answer.Limit,
 	})
 }
 
 // recordServed counts a request that the own target begins to serve.
-func (l *levels) recordServed(w early.Work) {
+func (l *levels) recordServed(w earlyrefusal.WorkKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.chain.Served(l.now(), w)
+	l.chain.RecordRequest(l.now(), w)
 }
 
 // recordCall counts a call that such a request makes.
-func (l *levels) recordCall(w early.Work, c *outboundCall) {
+func (l *levels) recordCall(w earlyrefusal.WorkKey, c *outboundCall) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.chain.Used(l.now(), w, c.key())
+	l.chain.RecordCall(l.now(), w, c.key())
 }
 
 // chainLevel returns the admission level of the downstream services for such requests.
-func (l *levels) chainLevel(w early.Work) request.Level {
+func (l *levels) chainLevel(w earlyrefusal.WorkKey) request.Level {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.chain.Level(l.now(), w)
 }
 
-func (c *outboundCall) key() early.Key {
-	return early.Key{Service: c.info.Name, Class: c.class.Name, Tenant: c.meta.Tenant}
+func (c *outboundCall) key() earlyrefusal.Key {
+	return earlyrefusal.Key{Service: c.info.Name, Class: c.class.Name, Tenant: c.meta.Tenant}
 }
 
 // forget drops a target that is no longer a member.
@@ -90,6 +90,6 @@
 }
 
 // work returns the key of the request in the chain statistics.
-func (x *runningRequest) work() early.Work {
-	return early.Work{Class: x.class, Tenant: x.meta.Tenant}
+func (x *runningRequest) work() earlyrefusal.WorkKey {
+	return earlyrefusal.WorkKey{Class: x.class, Tenant: x.meta.Tenant}
 }
--- a/internal/dataplane/nodecalls.go
+++ b/internal/dataplane/nodecalls.go
@@ -158,7 +158,7 @@
 			activeTags = append(activeTags, tag)
 		}
 	}
-	c.Response.Header.Set(wire.HeaderInHand, strings.Join(activeTags, ","))
+	c.Response.Header.Set(wire.HeaderProbeReply, strings.Join(activeTags, ","))
 	c.SetStatusCode(consts.StatusNoContent)
 	return true
 }
@@ -171,19 +171,19 @@
 	return spanIn(h)
 }
 
-// Ask implements hertzhttp.Prober.
-func (Prober) Ask(req *protocol.Request, tags []string) {
+// WriteProbe implements hertzhttp.Prober.
+func (Prober) WriteProbe(req *protocol.Request, tags []string) {
 	req.Header.SetMethod(consts.MethodGet)
 	req.Header.SetRequestURI("/")
 	req.Header.SetHost("node")
 	req.Header.Set(wire.HeaderProbe, strings.Join(tags, ","))
 }
 
-// Told implements hertzhttp.Prober. A node that doesn't support probes answers with
+// ParseReply implements hertzhttp.Prober. A node that doesn't support probes answers with
 // another status.
-func (Prober) Told(resp *protocol.Response) (tags []string, ok bool) {
+func (Prober) ParseReply(resp *protocol.Response) (tags []string, ok bool) {
 	if resp.StatusCode() != consts.StatusNoContent {
 		return nil, false
 	}
-	return strings.Split(string(resp.Header.Peek(wire.HeaderInHand)), ","), true
+	return strings.Split(string(resp.Header.Peek(wire.HeaderProbeReply)), ","), true
 }
--- a/internal/dataplane/organisation.go
+++ b/internal/dataplane/organisation.go
@@ -8,7 +8,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/cloudwego/hertz/pkg/protocol"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/status"
 	"peardrift/internal/wire"
@@ -18,12 +18,12 @@
 type Limiter interface {
 	// Take requests a permit for one request. It may wait for other nodes, for a time
 	// that is short compared with a request's.
-	Take(ctx context.Context, o *confset.OrganisationInfo) *status.Error
+	Take(ctx context.Context, o *configset.OrganisationInfo) *status.Error
 	// Now returns the current time on the clock that Return uses.
 	Now() time.Duration
 	// Return returns the permit taken at the given time, for a request that did not
 	// run.
-	Return(taken time.Duration, o *confset.OrganisationInfo)
+	Return(taken time.Duration, o *configset.OrganisationInfo)
 }
 
 // SetLimiter sets the rate limiter of organisations; without it there are no limits.
@@ -32,12 +32,12 @@
 
 // authenticate finds the organisation of an external request; nil if none is required.
 // On an anonymous route an unknown key is treated as no key.
-func (e *Engine) authenticate(v *View, c *app.RequestContext, info *confset.ServiceInfo, class *confset.Class) (*confset.OrganisationInfo, *status.Error) {
-	if !v.Index.Keyed(info.Tenant) {
+func (e *Engine) authenticate(v *View, c *app.RequestContext, info *configset.ServiceInfo, class *configset.Class) (*configset.OrganisationInfo, *status.Error) {
+	if !v.Index.RequiresKey(info.Tenant) {
 		return nil, nil
 	}
 	key := e.cfg.Dialect.Key(c.Request.Header.Peek(wire.HeaderAuthorization))
-	if o, ok := v.Index.ByKey(info.Tenant, key); ok {
+	if o, ok := v.Index.OrganisationByKey(info.Tenant, key); ok {
 		return o, nil
 	}
 	if class.Anonymous {
@@ -61,11 +61,11 @@
 // After a restart the node gets such calls of requests that it doesn't know.
 func (e *Engine) isNamedAsCall(c *app.RequestContext) bool {
 	d := &e.cfg.Dialect
-	return d.Chain != "" && strings.Contains(string(c.Request.Header.Peek(d.Request)), d.Chain)
+	return d.ChainSeparator != "" && strings.Contains(string(c.Request.Header.Peek(d.Request)), d.ChainSeparator)
 }
 
 // setOrganisation sets the organisation of a root request.
-func (out *outboundCall) setOrganisation(o *confset.OrganisationInfo) {
+func (out *outboundCall) setOrganisation(o *configset.OrganisationInfo) {
 	if o == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 
 // stripKey removes the caller's API key from the request that goes to a target.
 func stripKey(v *View, out *outboundCall) {
-	if v.Index.Keyed(out.info.Tenant) {
+	if v.Index.RequiresKey(out.info.Tenant) {
 		out.req.Header.Del(wire.HeaderAuthorization)
 	}
 }
--- a/internal/dataplane/probe.go
+++ b/internal/dataplane/probe.go
@@ -44,5 +44,5 @@
 func (cl *callee) probed(idx int, connected bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.table.Probed(cl.now(), idx, connected)
+	cl.table.ProbeDone(cl.now(), idx, connected)
 }
--- a/internal/dataplane/problem.go
+++ b/internal/dataplane/problem.go
@@ -53,7 +53,7 @@
 	resp.Header.SetContentType(problemContentType)
 	resp.SetBody(body)
 	if e.RetryAfter > 0 {
-		resp.Header.Set(wire.HeaderRetryAfter, retryAfter(e.RetryAfter, x.cfg.Dialect.Fractions))
+		resp.Header.Set(wire.HeaderRetryAfter, retryAfter(e.RetryAfter, x.cfg.Dialect.FractionalRetryAfter))
 	}
 	if code == consts.StatusUnauthorized {
 		resp.Header.Set(wire.HeaderAuthenticate, x.cfg.Dialect.KeyScheme())
--- a/internal/dataplane/retire_test.go
+++ b/internal/dataplane/retire_test.go
@@ -17,7 +17,7 @@
 		for _, stopping := range []bool{false, true} {
 			e := &Engine{}
 			if stopping {
-				e.Retire()
+				e.BeginStop()
 			}
 			parent, endParent := context.WithCancel(context.Background())
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/dataplane/roundrobin.go
+++ b/internal/dataplane/roundrobin.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"sync"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -26,11 +26,11 @@
 
 // next returns the part with the most credit: each part earns its weight's share with
 // every request, and the selected part pays one. It is nil if no part has a weight.
-func (t *roundRobin) next(r *confset.RouteInfo) *confset.Part {
-	if len(r.Parts) == 1 && r.Total > 0 {
-		return &r.Parts[0]
+func (t *roundRobin) next(r *configset.RouteInfo) *configset.WeightedService {
+	if len(r.Services) == 1 && r.TotalWeight > 0 {
+		return &r.Services[0]
 	}
-	if r.Total == 0 {
+	if r.TotalWeight == 0 {
 		return nil
 	}
 	t.mu.Lock()
@@ -40,14 +40,14 @@
 	}
 	best := -1
 	bestCredit := 0.0
-	for i := range r.Parts {
+	for i := range r.Services {
 		c := t.addCredit(r, i)
 		if best < 0 || c > bestCredit {
 			best, bestCredit = i, c
 		}
 	}
 	t.credit[partKeyOf(r, best)] -= 1
-	return &r.Parts[best]
+	return &r.Services[best]
 }
 
 // maxCredits limits the entries kept for routes that no longer exist.
@@ -56,9 +56,9 @@
 // addCredit adds a part's share of one request to its credit and returns it. The
 // initial credit is random, since otherwise all nodes would send their first requests
 // to the same part.
-func (t *roundRobin) addCredit(r *confset.RouteInfo, i int) float64 {
+func (t *roundRobin) addCredit(r *configset.RouteInfo, i int) float64 {
 	at := partKeyOf(r, i)
-	share := float64(r.Parts[i].Weight) / float64(r.Total)
+	share := float64(r.Services[i].Weight) / float64(r.TotalWeight)
 	c, ok := t.credit[at]
 	if !ok {
 		c = share * rand.Float64()
@@ -70,6 +70,6 @@
 	return c + share
 }
 
-func partKeyOf(r *confset.RouteInfo, i int) partKey {
-	return partKey{r.Host, r.Prefix, r.Parts[i].Service.Name}
+func partKeyOf(r *configset.RouteInfo, i int) partKey {
+	return partKey{r.Host, r.Prefix, r.Services[i].Service.Name}
 }
--- a/internal/dataplane/roundrobin_test.go
+++ b/internal/dataplane/roundrobin_test.go
@@ -5,15 +5,15 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
-func split(weights ...int) *confset.RouteInfo {
-	r := &confset.RouteInfo{Host: "h", Prefix: "/"}
+func split(weights ...int) *configset.RouteInfo {
+	r := &configset.RouteInfo{Host: "h", Prefix: "/"}
 	for i, w := range weights {
-		r.Parts = append(r.Parts, confset.Part{Service: &confset.ServiceInfo{Name: request.Service(rune('a' + i))}, Weight: w})
-		r.Total += w
+		r.Services = append(r.Services, configset.WeightedService{Service: &configset.ServiceInfo{Name: request.Service(rune('a' + i))}, Weight: w})
+		r.TotalWeight += w
 	}
 	return r
 }
@@ -22,15 +22,15 @@
 // given a tenth of a route gets a quarter of the requests, or none.
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	is := is.New(t)
-	for _, r := range []*confset.RouteInfo{split(90, 10), split(1, 1, 2), split(1, 0)} {
+	for _, r := range []*configset.RouteInfo{split(90, 10), split(1, 1, 2), split(1, 0)} {
 		var ts roundRobin
 		got := make(map[request.Service]int)
 		const n = 200
 		for range n {
 			got[ts.next(r).Service.Name]++
 		}
-		for _, p := range r.Parts {
-			want := float64(p.Weight) / float64(r.Total) * n
+		for _, p := range r.Services {
+			want := float64(p.Weight) / float64(r.TotalWeight) * n
 			is.True(float64(got[p.Service.Name]) >= want-1 && float64(got[p.Service.Name]) <= want+1)
 		}
 	}
--- a/internal/dataplane/serve.go
+++ b/internal/dataplane/serve.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/claims"
 	"peardrift/internal/core/admission"
 	"peardrift/internal/core/claim"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/retry"
 	"peardrift/internal/status"
@@ -28,7 +28,7 @@
 // inboundCall is one call from another node while this node processes it.
 type inboundCall struct {
 	c              *app.RequestContext
-	class          *confset.Class
+	class          *configset.Class
 	meta           wire.Meta
 	trace          traceContext
 	body           body
@@ -38,7 +38,7 @@
 	hop            Hop
 	tracked        nodeCall
 	runningStorage runningRequest
-	callerKey      retry.Identity // 0: the caller sent no name
+	callerKey      retry.CallerKey // 0: the caller sent no name
 }
 
 // ServeNode handles the listener for other nodes: a call passes the gate and runs on
@@ -111,7 +111,7 @@
 		// the address, it must not run the call.
 		return status.Refuse(status.CodeMisdirected, 0, "the node has no target of %s", info.Name)
 	}
-	if !info.Accepts(meta.Tenant) {
+	if !info.AllowsTenant(meta.Tenant) {
 		return status.Refuse(status.CodeForbidden, 0, "%s accepts no requests of tenant %s", info.Name, meta.Tenant)
 	}
 	s.class = class
@@ -131,7 +131,7 @@
 	if !e.acceptsCalls(v) {
 		return status.Refuse(status.CodeNotReady, retryDelay(), "the target is not ready")
 	}
-	s.class = &confset.Class{Name: s.meta.Route, MaxBody: e.cfg.MaxBody, Repeat: confset.Repeatable}
+	s.class = &configset.Class{Name: s.meta.Route, MaxBody: e.cfg.MaxBody, Repeat: configset.Repeatable}
 	return e.prepare(s)
 }
 
@@ -176,7 +176,7 @@
 		Priority: s.running.priority,
 		Tenant:   s.tenant,
 		Deadline: s.running.deadline,
-		Deep:     s.meta.Depth > 0,
+		Nested:   s.meta.Depth > 0,
 	})
 	s.ticket = t
 	s.hop.Queued = time.Since(s.hop.Start)
@@ -208,13 +208,13 @@
 func (e *Engine) claimRequest(s *inboundCall) claims.Request {
 	h := &s.c.Request.Header
 	return claims.Request{
-		Scope:    claim.Scope{Tenant: s.meta.Tenant, Service: e.self.Service, Class: s.class.Name},
-		Key:      string(h.Peek(wire.HeaderIdempotencyKey)),
-		Method:   string(h.Method()),
-		Path:     string(h.RequestURI()),
-		Body:     claim.Sum(s.body.whole),
-		Remember: s.class.Remember,
-		Deadline: e.epoch.Add(s.running.deadline),
+		Scope:     claim.Scope{Tenant: s.meta.Tenant, Service: e.self.Service, Class: s.class.Name},
+		Key:       string(h.Peek(wire.HeaderIdempotencyKey)),
+		Method:    string(h.Method()),
+		Path:      string(h.RequestURI()),
+		Body:      claim.Sum(s.body.whole),
+		Retention: s.class.KeyRetention,
+		Deadline:  e.epoch.Add(s.running.deadline),
 	}
 }
 
@@ -262,7 +262,7 @@
 		e.suspects.end(t, r.code == "", r.code == status.CodeConnectionLost)
 		return r, resp
 	}
-	r.stream.OnClose(func() { e.suspects.end(t, r.stream.Whole(), r.stream.Broken()) })
+	r.stream.OnClose(func() { e.suspects.end(t, r.stream.Complete(), r.stream.Failed()) })
 	return r, resp
 }
 
@@ -287,7 +287,7 @@
 
 // release frees the slot, and records and reports the end of the call.
 func (e *Engine) release(s *inboundCall, r *result, cancel func()) {
-	if r.stream != nil && !r.stream.Whole() {
+	if r.stream != nil && !r.stream.Complete() {
 		r.outcome = request.Unknown
 	}
 	e.running.remove(s.running)
@@ -333,15 +333,15 @@
 	a.InFlight, a.Limit = st.Running+st.Queued, st.Limit
 	a.Level = e.gate.level(s.tenant)
 	if s.running != nil && r.code == "" && r.outcome != request.Completed {
-		a.Below = s.running.downstreamFailure()
+		a.DownstreamCode = s.running.downstreamFailure()
 	}
 	if s.running != nil {
-		a.Chain = e.levels.chainLevel(s.running.work())
+		a.ChainLevel = e.levels.chainLevel(s.running.work())
 	}
 	// While the answer streams, the target may still make calls: its allowance stays
 	// open, and the caller counts the remainder as spent.
 	if s.running != nil && r.stream == nil {
-		a.Unspent, a.Made = s.running.close()
+		a.Unspent, a.AttemptsMade = s.running.close()
 	}
 	h := &s.c.Response.Header
 	wire.SetAnswer(h, &a)
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -105,13 +105,13 @@
 func (s *suspects) reports() []suspect.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Known()
+	return s.core.Reports()
 }
 
 // fingerprint identifies the content of a call's request.
 func (s *inboundCall) fingerprint(self request.Service) suspect.Fingerprint {
 	h := &s.c.Request.Header
-	return suspect.Of(&suspect.Content{
+	return suspect.FingerprintOf(&suspect.Content{
 		Tenant:  s.meta.Tenant,
 		Service: self,
 		Method:  string(h.Method()),
--- a/internal/dataplane/suspects_test.go
+++ b/internal/dataplane/suspects_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/suspect"
 )
@@ -19,13 +19,13 @@
 	e.suspects.targetReachable = func() bool { return false }
 	var reports []suspect.Report
 	e.OnCrash(func(r suspect.Report) { reports = append(reports, r) })
-	view := View{Index: confset.NewIndex(), Ready: true, Peers: func(request.Service) []Peer { return nil }}
+	view := View{Index: configset.NewIndex(), Ready: true, Peers: func(request.Service) []Peer { return nil }}
 	for n := range 2 {
 		down, up := view, view
 		up.TargetUp = true
 		e.Publish(&down)
 		e.Publish(&up)
-		tk, fault := e.suspects.start(suspect.Of(&suspect.Content{URI: "/crash"}))
+		tk, fault := e.suspects.start(suspect.FingerprintOf(&suspect.Content{URI: "/crash"}))
 		is.True(fault == nil)
 		e.suspects.end(tk, false, true)
 		is.Equal(len(reports), n+1)
--- a/internal/dataplane/target.go
+++ b/internal/dataplane/target.go
@@ -52,7 +52,7 @@
 	if l == nil {
 		return nil
 	}
-	if !l.Takes {
+	if !l.AcceptsCalls {
 		return status.Refuse(status.CodeDraining, 0, "the target is leaving")
 	}
 	if d.Instance != "" {
@@ -65,14 +65,14 @@
 // request to a refusal; nil for any other answer.
 func (e *Engine) notExecuted(resp *protocol.Response) *status.Error {
 	d := &e.cfg.Dialect
-	if d.NotRun == "" {
+	if d.NotExecuted == "" {
 		return nil
 	}
 	if resp.StatusCode() == http.StatusMisdirectedRequest {
-		e.onOtherInstance(string(resp.Header.Peek(d.InstanceIs)))
+		e.onOtherInstance(string(resp.Header.Peek(d.ActualInstance)))
 		return status.Refuse(status.CodeNotReady, 0, "another target answers at the target's address")
 	}
-	if len(resp.Header.Peek(d.NotRun)) == 0 {
+	if len(resp.Header.Peek(d.NotExecuted)) == 0 {
 		return nil
 	}
 	return status.Refuse(status.CodeTargetShed, retryDelay(), "the target shed the request")
--- a/internal/dataplane/zone_test.go
+++ b/internal/dataplane/zone_test.go
@@ -29,7 +29,7 @@
 	e, info := newCaller(t)
 	near, far := &countingTransport{}, &countingTransport{}
 	e.peers = near
-	e.SetFar(far)
+	e.SetCrossZoneTransport(far)
 	c := &outboundCall{info: info, class: &info.Classes[0], req: protocol.AcquireRequest()}
 	send := func(zone string) {
 		var resp protocol.Response
--- a/internal/link/link.go
+++ b/internal/faultproxy/link.go
@@ -5,7 +5,7 @@
 // It simulates network faults between two processes, and the death of a process
 // as its peer sees it. It is for tests of the product and of bench. A Link is
 // safe for concurrent use.
-package link
+package faultproxy
 
 import (
 	"net"
@@ -14,29 +14,29 @@
 	"peardrift/internal/status"
 )
 
-// Way is a direction of traffic.
-type Way int
+// Direction is a direction of traffic.
+type Direction int
 
 // Directions: from the connecting side to the address, and back.
 const (
-	Request Way = iota
+	Request Direction = iota
 	Answer
 )
 
 // String returns the direction's name, used in test names.
-func (w Way) String() string { return [...]string{"request", "answer"}[w] }
+func (w Direction) String() string { return [...]string{"request", "answer"}[w] }
 
-// How is how a connection breaks.
-type How int
+// Fault is how a connection breaks.
+type Fault int
 
 const (
 	// Reset closes both sides with a TCP reset.
-	Reset How = iota
-	// Finish closes both sides normally, like a process that exits between two
+	Reset Fault = iota
+	// CloseGracefully closes both sides normally, like a process that exits between two
 	// writes.
-	Finish
-	// Silence drops all further bytes and ends of stream in both directions.
-	Silence
+	CloseGracefully
+	// Blackhole drops all further bytes and ends of stream in both directions.
+	Blackhole
 	// Stall is like Silence but also stops reading, so writers block once their
 	// buffers are full.
 	Stall
@@ -45,17 +45,17 @@
 )
 
 // String returns the fault's name, used in test names.
-func (h How) String() string { return [...]string{"reset", "finish", "silence", "stall", "kill"}[h] }
+func (h Fault) String() string { return [...]string{"reset", "finish", "silence", "stall", "kill"}[h] }
 
 // Cut breaks the connection that carries a given byte.
 type Cut struct {
-	Way   Way
-	After int // bytes in that direction that still pass, over all connections
-	How   How
+	Direction Direction
+	After     int // bytes in that direction that still pass, over all connections
+	Fault     Fault
 }
 
-// Link proxies connections to one address.
-type Link struct {
+// Proxy proxies connections to one address.
+type Proxy struct {
 	upstreamAddr string
 	addr         string
 
@@ -69,20 +69,20 @@
 }
 
 // Listen starts a link to an address, on a free port of the loopback interface.
-func Listen(upstreamAddr string) (*Link, error) {
-	l := &Link{upstreamAddr: upstreamAddr, addr: "127.0.0.1:0", conns: make(map[*proxiedConn]struct{})}
-	if err := l.Up(); err != nil {
+func Listen(upstreamAddr string) (*Proxy, error) {
+	l := &Proxy{upstreamAddr: upstreamAddr, addr: "127.0.0.1:0", conns: make(map[*proxiedConn]struct{})}
+	if err := l.Resume(); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
 // Addr returns the address to connect to.
-func (l *Link) Addr() string { return l.addr }
+func (l *Proxy) Addr() string { return l.addr }
 
 // Arm resets the byte counts and applies c when its byte is reached. The
 // returned channel is closed when c has been applied.
-func (l *Link) Arm(c Cut) <-chan struct{} {
+func (l *Proxy) Arm(c Cut) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut, l.cutDone, l.passedBytes = &c, make(chan struct{}), [2]int{}
@@ -91,23 +91,23 @@
 
 // Disarm cancels an armed cut, resets the byte counts, and accepts connections
 // again.
-func (l *Link) Disarm() error {
+func (l *Proxy) Disarm() error {
 	l.mu.Lock()
 	l.cut, l.passedBytes = nil, [2]int{}
 	l.mu.Unlock()
-	return l.Up()
+	return l.Resume()
 }
 
-// Passed returns the bytes forwarded in a direction since Arm or Disarm.
-func (l *Link) Passed(w Way) int {
+// PassedBytes returns the bytes forwarded in a direction since Arm or Disarm.
+func (l *Proxy) PassedBytes(w Direction) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passedBytes[w]
 }
 
-// Open returns the number of connections that the connecting side has not
+// OpenConns returns the number of connections that the connecting side has not
 // closed.
-func (l *Link) Open() (n int) {
+func (l *Proxy) OpenConns() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.conns {
@@ -119,7 +119,7 @@
 }
 
 // Break breaks all open connections. New connections work, except after Kill.
-func (l *Link) Break(h How) {
+func (l *Proxy) Break(h Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.conns {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Release closes the silenced connections, so both sides see their end.
-func (l *Link) Release() {
+// CloseSilenced closes the silenced connections, so both sides see their end.
+func (l *Proxy) CloseSilenced() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.conns {
@@ -142,8 +142,8 @@
 	}
 }
 
-// Up accepts connections again after a Kill.
-func (l *Link) Up() error {
+// Resume accepts connections again after a Kill.
+func (l *Proxy) Resume() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil || l.closed {
@@ -159,23 +159,23 @@
 }
 
 // Close closes the link and all its connections.
-func (l *Link) Close() {
+func (l *Proxy) Close() {
 	l.Break(Kill)
-	l.Release()
+	l.CloseSilenced()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 }
 
 // closeListener refuses new connections. The caller must hold mu.
-func (l *Link) closeListener() {
+func (l *Proxy) closeListener() {
 	if l.listener != nil {
 		_ = l.listener.Close()
 		l.listener = nil
 	}
 }
 
-func (l *Link) accept(ln net.Listener) {
+func (l *Proxy) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (l *Link) handleConn(c net.Conn) {
+func (l *Proxy) handleConn(c net.Conn) {
 	upstream, err := net.Dial("tcp", l.upstreamAddr)
 	if err != nil {
 		reset(c)
@@ -207,7 +207,7 @@
 const bufferSize = 32 << 10
 
 // copyDirection forwards one direction of a connection until it ends.
-func (l *Link) copyDirection(p *proxiedConn, w Way) {
+func (l *Proxy) copyDirection(p *proxiedConn, w Direction) {
 	src, dst := p.client, p.upstream
 	if w == Answer {
 		src, dst = p.upstream, p.client
@@ -230,13 +230,13 @@
 }
 
 // countBytes counts n bytes and returns how many of them to forward.
-func (l *Link) countBytes(p *proxiedConn, w Way, n int) int {
+func (l *Proxy) countBytes(p *proxiedConn, w Direction, n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.silenced {
 		return 0
 	}
-	if c := l.cut; c != nil && c.Way == w && l.passedBytes[w]+n > c.After {
+	if c := l.cut; c != nil && c.Direction == w && l.passedBytes[w]+n > c.After {
 		n = c.After - l.passedBytes[w]
 		p.cutReached[w] = true
 	}
@@ -246,14 +246,14 @@
 
 // applyCut breaks a connection whose cut has been reached, once the bytes
 // before it have been written.
-func (l *Link) applyCut(p *proxiedConn, w Way) {
+func (l *Proxy) applyCut(p *proxiedConn, w Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !p.cutReached[w] || l.cut == nil {
 		return
 	}
 	p.cutReached[w] = false
-	how := l.cut.How
+	how := l.cut.Fault
 	l.cut = nil
 	if how == Kill {
 		for q := range l.conns {
@@ -266,7 +266,7 @@
 	close(l.cutDone)
 }
 
-func (l *Link) handleEnd(p *proxiedConn, w Way) {
+func (l *Proxy) handleEnd(p *proxiedConn, w Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p.clientClosed = p.clientClosed || w == Request
@@ -274,7 +274,7 @@
 		return // the end of stream is dropped too; only Release and Close close the other side
 	}
 	delete(l.conns, p)
-	p.shutDown(Finish)
+	p.shutDown(CloseGracefully)
 }
 
 // proxiedConn is one connection through a link. Its fields are guarded by
@@ -303,15 +303,15 @@
 	}
 }
 
-func (p *proxiedConn) shutDown(h How) {
+func (p *proxiedConn) shutDown(h Fault) {
 	switch {
 	case p.closed || p.silenced:
-	case h == Silence:
+	case h == Blackhole:
 		p.silenced = true
 	case h == Stall:
 		p.silenced = true
 		close(p.stalled)
-	case h == Finish:
+	case h == CloseGracefully:
 		p.closed = true
 		_ = p.client.Close()
 		_ = p.upstream.Close()
--- a/internal/link/link_test.go
+++ b/internal/faultproxy/link_test.go
@@ -1,4 +1,4 @@
-package link
+package faultproxy
 
 import (
 	"io"
@@ -10,7 +10,7 @@
 )
 
 // newEchoLink returns a link to an echo server.
-func newEchoLink(t *testing.T) *Link {
+func newEchoLink(t *testing.T) *Proxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	return l
 }
 
-func dial(t *testing.T, l *Link) net.Conn {
+func dial(t *testing.T, l *Proxy) net.Conn {
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 }
 
 func TestCutAtByte(t *testing.T) {
-	for _, w := range []Way{Request, Answer} {
-		for _, h := range []How{Reset, Finish, Kill} {
+	for _, w := range []Direction{Request, Answer} {
+		for _, h := range []Fault{Reset, CloseGracefully, Kill} {
 			t.Run(w.String()+" "+h.String(), func(t *testing.T) {
 				is := is.New(t)
 				l := newEchoLink(t)
@@ -66,11 +66,11 @@
 				s, err := roundTrip(c, "first")
 				is.NoErr(err)
 				is.Equal(s, "first")
-				cutDone := l.Arm(Cut{Way: w, After: 3, How: h})
+				cutDone := l.Arm(Cut{Direction: w, After: 3, Fault: h})
 				_, err = roundTrip(c, "second")
 				is.True(err != nil)
 				<-cutDone
-				is.Equal(l.Passed(w), 3)
+				is.Equal(l.PassedBytes(w), 3)
 				if h == Kill {
 					_, err := net.Dial("tcp", l.Addr())
 					is.True(err != nil)
@@ -90,7 +90,7 @@
 	old := dial(t, l)
 	_, err := roundTrip(old, "x")
 	is.NoErr(err)
-	l.Break(Silence)
+	l.Break(Blackhole)
 	_, err = io.WriteString(old, "lost")
 	is.NoErr(err)
 	s, err := roundTrip(dial(t, l), "new")
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -2,22 +2,22 @@
 
 import (
 	"peardrift/internal/adapter/rpc"
-	"peardrift/internal/claims/shared"
+	"peardrift/internal/claims/sharedrows"
 	"peardrift/internal/core/member"
 )
 
-func (n *Node) newClaimRows() *shared.Rows {
+func (n *Node) newClaimRows() *sharedrows.Rows {
 	n.claimPeers = rpc.NewClaimPeers(rpc.DefaultConfig())
-	return shared.New(n.table, n.claimPeers, uint64(n.self.ID), n.pool, shared.DefaultConfig(), n.metrics.Scope())
+	return sharedrows.New(n.table, n.claimPeers, uint64(n.self.ID), n.pool, sharedrows.DefaultConfig(), n.metrics.Scope())
 }
 
 // updateClaimBatchers sets the nodes that may batch claims. A leaving node is excluded
 // because it would return the claims sent to it.
 func (n *Node) updateClaimBatchers(v *member.View) {
-	var ms []shared.Member
+	var ms []sharedrows.Member
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive {
-			ms = append(ms, shared.Member{ID: uint64(m.ID), Addr: m.Control})
+			ms = append(ms, sharedrows.Member{ID: uint64(m.ID), Addr: m.ControlAddr})
 		}
 		return true
 	})
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,8 +11,8 @@
 	"peardrift/internal/adapter/rpc"
 	"peardrift/internal/adapter/zaplog"
 	"peardrift/internal/apply"
-	"peardrift/internal/core/confset"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configset"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 	"peardrift/internal/port"
@@ -23,7 +23,7 @@
 // platform, and gossips heads. Its fields belong to the control goroutine.
 type configManager struct {
 	log       *zap.Logger
-	state     *inforce.State
+	state     *configsync.State
 	store     port.Sets
 	calls     *rpc.Pool
 	submit    func(func()) error
@@ -36,11 +36,11 @@
 
 	factsVersion uint64 // version of the facts processed last
 	lastAskID    uint64
-	pendingAsks  map[uint64]chan inforce.Reply
-	deferred     []inforce.Action // actions from heartbeats, executed at the next tick
+	pendingAsks  map[uint64]chan configsync.Reply
+	deferred     []configsync.Action // actions from heartbeats, executed at the next tick
 }
 
-func (c *configManager) index() *confset.Index { return c.state.Index() }
+func (c *configManager) index() *configset.Index { return c.state.Index() }
 
 func (c *configManager) tick() {
 	ridden := c.deferred
@@ -54,14 +54,14 @@
 // for the next tick, since they may call the membership.
 type heartbeatPiggyback struct{ config *configManager }
 
-func (r heartbeatPiggyback) Ask(room int) []byte { return r.config.state.RideAsk(room) }
+func (r heartbeatPiggyback) Request(room int) []byte { return r.config.state.PiggybackQuery(room) }
 
-func (r heartbeatPiggyback) Answer(question []byte, room int) []byte {
-	return r.config.state.RideAnswer(question, room)
+func (r heartbeatPiggyback) Reply(question []byte, room int) []byte {
+	return r.config.state.PiggybackAnswer(question, room)
 }
 
-func (r heartbeatPiggyback) Take(now time.Duration, answer []byte) {
-	r.config.deferred = append(r.config.deferred, r.config.state.RideTake(now, answer)...)
+func (r heartbeatPiggyback) HandleReply(now time.Duration, answer []byte) {
+	r.config.deferred = append(r.config.deferred, r.config.state.HandlePiggyback(now, answer)...)
 }
 
 // learnGossiped processes the gossiped heads if any fact has changed.
@@ -71,7 +71,7 @@
 	}
 	c.factsVersion = s.FactsVersion()
 	for _, f := range s.Facts(member.ConfigHead) {
-		h, err := inforce.HeadOf(f.Key, f.Version, f.Value)
+		h, err := configsync.HeadOf(f.Key, f.Version, f.Value)
 		if err != nil {
 			c.log.Warn("gossiped head", zaplog.Failure(err))
 			continue
@@ -82,12 +82,12 @@
 
 // setPeers passes the other nodes to the core and the watch.
 func (c *configManager) setPeers(v *member.View, region string, complete bool) {
-	var all, near []inforce.Peer
+	var all, near []configsync.Peer
 	v.All(func(m member.Member) bool {
 		if m.Status != member.Alive && m.Status != member.Suspect {
 			return true
 		}
-		p := inforce.Peer{ID: m.ID, Region: m.Region, Addr: m.Control}
+		p := configsync.Peer{ID: m.ID, Region: m.Region, Addr: m.ControlAddr}
 		all = append(all, p)
 		if m.Region == region {
 			near = append(near, p)
@@ -99,27 +99,27 @@
 }
 
 // execute starts actions without blocking; results return through post.
-func (c *configManager) execute(actions []inforce.Action) {
+func (c *configManager) execute(actions []configsync.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case inforce.AskPeer:
-			c.callAsync(a.ID, func(ctx context.Context) (func() []inforce.Action, error) { return c.ask(ctx, a) })
-		case inforce.LoadObject:
-			c.callAsync(a.ID, func(ctx context.Context) (func() []inforce.Action, error) { return c.load(ctx, a) })
-		case inforce.ReadHead:
-			c.callAsync(a.ID, func(ctx context.Context) (func() []inforce.Action, error) { return c.readHead(ctx, a) })
-		case inforce.ReadTenants:
-			c.callAsync(a.ID, func(ctx context.Context) (func() []inforce.Action, error) { return c.readTenants(ctx, a) })
-		case inforce.Answer:
+		case configsync.AskPeer:
+			c.callAsync(a.ID, func(ctx context.Context) (func() []configsync.Action, error) { return c.ask(ctx, a) })
+		case configsync.LoadObject:
+			c.callAsync(a.ID, func(ctx context.Context) (func() []configsync.Action, error) { return c.load(ctx, a) })
+		case configsync.ReadHead:
+			c.callAsync(a.ID, func(ctx context.Context) (func() []configsync.Action, error) { return c.readHead(ctx, a) })
+		case configsync.ReadTenants:
+			c.callAsync(a.ID, func(ctx context.Context) (func() []configsync.Action, error) { return c.readTenants(ctx, a) })
+		case configsync.Answer:
 			c.sendReply(a)
-		case inforce.Install:
+		case configsync.Install:
 			c.onInstall()
 			c.log.Info("configuration in force", zaplog.Tenant(a.Head.Tenant), zaplog.Version(a.Head.Version),
 				zap.String("by", string(a.By)))
 			c.watch.handleInstalled(a.Head)
-		case inforce.Spread:
+		case configsync.GossipHead:
 			c.logNewerVersion(a.Head)
-			key, version, value := inforce.FactOf(a.Head)
+			key, version, value := configsync.FactOf(a.Head)
 			c.gossip(member.Fact{Kind: member.ConfigHead, Key: key, Version: version, Value: value})
 		}
 	}
@@ -127,7 +127,7 @@
 
 // logNewerVersion logs that a version is known before it is in force. It tells a node
 // that never heard of the version from one that could not fetch it.
-func (c *configManager) logNewerVersion(h confset.Head) {
+func (c *configManager) logNewerVersion(h configset.Head) {
 	if h.Version > c.state.InForce(h.Tenant) {
 		c.log.Info("newer configuration known", zaplog.Tenant(h.Tenant), zaplog.Version(h.Version))
 	}
@@ -142,15 +142,15 @@
 
 // callAsync runs a call on the pool and passes its outcome to the core. If the pool is
 // full the call is dropped, and the core treats it as failed after a timeout.
-func (c *configManager) callAsync(id uint64, call func(context.Context) (func() []inforce.Action, error)) {
+func (c *configManager) callAsync(id uint64, call func(context.Context) (func() []configsync.Action, error)) {
 	_ = c.submit(func() {
-		cfg := inforce.DefaultConfig()
+		cfg := configsync.DefaultConfig()
 		ctx, cancel := context.WithTimeout(context.Background(), max(cfg.AskTimeout, cfg.LoadTimeout))
 		defer cancel()
 		outcome, err := call(ctx)
 		if err != nil {
 			c.logFailure(err)
-			outcome = func() []inforce.Action { return c.state.HandleFailure(c.now(), id) }
+			outcome = func() []configsync.Action { return c.state.HandleFailure(c.now(), id) }
 		}
 		c.post(func() { c.execute(outcome()) })
 	})
@@ -168,50 +168,50 @@
 	c.log.Log(level, "configuration not fetched", zaplog.Failure(err))
 }
 
-func (c *configManager) ask(ctx context.Context, a inforce.AskPeer) (func() []inforce.Action, error) {
-	var reply inforce.Reply
+func (c *configManager) ask(ctx context.Context, a configsync.AskPeer) (func() []configsync.Action, error) {
+	var reply configsync.Reply
 	if err := c.calls.CallOnce(ctx, a.To.Addr, methodAsk, &a.Ask, &reply); err != nil {
 		return nil, err
 	}
-	return func() []inforce.Action { return c.state.HandleReply(c.now(), a.ID, reply) }, nil
+	return func() []configsync.Action { return c.state.HandleReply(c.now(), a.ID, reply) }, nil
 }
 
-func (c *configManager) load(ctx context.Context, a inforce.LoadObject) (func() []inforce.Action, error) {
+func (c *configManager) load(ctx context.Context, a configsync.LoadObject) (func() []configsync.Action, error) {
 	body, err := c.store.Body(ctx, a.Head.Tenant, a.Head.Digest)
 	if err != nil {
 		return nil, err
 	}
-	return func() []inforce.Action { return c.state.HandleLoaded(c.now(), a.ID, body) }, nil
+	return func() []configsync.Action { return c.state.HandleLoaded(c.now(), a.ID, body) }, nil
 }
 
-func (c *configManager) readHead(ctx context.Context, a inforce.ReadHead) (func() []inforce.Action, error) {
+func (c *configManager) readHead(ctx context.Context, a configsync.ReadHead) (func() []configsync.Action, error) {
 	h, err := c.store.Head(ctx, a.Tenant)
 	if err != nil && !errors.Is(err, port.ErrNotFound) {
 		return nil, err
 	}
 	c.logRead("head", h.Version)
-	return func() []inforce.Action { return c.state.HandleHead(c.now(), a.ID, h) }, nil
+	return func() []configsync.Action { return c.state.HandleHead(c.now(), a.ID, h) }, nil
 }
 
-func (c *configManager) readTenants(ctx context.Context, a inforce.ReadTenants) (func() []inforce.Action, error) {
+func (c *configManager) readTenants(ctx context.Context, a configsync.ReadTenants) (func() []configsync.Action, error) {
 	tenants, err := c.store.Tenants(ctx)
 	if err != nil {
 		return nil, err
 	}
 	c.logRead("tenants", 0)
-	return func() []inforce.Action { return c.state.HandleTenants(c.now(), a.ID, tenants) }, nil
+	return func() []configsync.Action { return c.state.HandleTenants(c.now(), a.ID, tenants) }, nil
 }
 
 // handleAsk passes a peer's request to the core; the reply arrives on the channel.
-func (c *configManager) handleAsk(a inforce.Ask) <-chan inforce.Reply {
+func (c *configManager) handleAsk(a configsync.Ask) <-chan configsync.Reply {
 	c.lastAskID++
-	ch := make(chan inforce.Reply, 1)
+	ch := make(chan configsync.Reply, 1)
 	c.pendingAsks[c.lastAskID] = ch
 	c.execute(c.state.HandleAsk(c.now(), c.lastAskID, a))
 	return ch
 }
 
-func (c *configManager) sendReply(a inforce.Answer) {
+func (c *configManager) sendReply(a configsync.Answer) {
 	if ch, ok := c.pendingAsks[a.ID]; ok {
 		delete(c.pendingAsks, a.ID)
 		ch <- a.Reply
@@ -228,15 +228,15 @@
 }
 
 // Head implements port.Sets.
-func (a acceptedSets) Head(ctx context.Context, t request.Tenant) (confset.Head, error) {
+func (a acceptedSets) Head(ctx context.Context, t request.Tenant) (configset.Head, error) {
 	r, err := a.store.Head(ctx, t)
 	if err != nil {
-		return confset.Head{}, err
+		return configset.Head{}, err
 	}
-	return confset.Head{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest}, nil
+	return configset.Head{Tenant: r.Tenant, Version: r.Version, Digest: r.Digest}, nil
 }
 
 // Body implements port.Sets.
-func (a acceptedSets) Body(ctx context.Context, t request.Tenant, d confset.Digest) ([]byte, error) {
+func (a acceptedSets) Body(ctx context.Context, t request.Tenant, d configset.Digest) ([]byte, error) {
 	return a.store.Body(ctx, t, d)
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 	zapobserver "go.uber.org/zap/zaptest/observer"
 
-	"peardrift/internal/core/confset"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configset"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/port"
 	"peardrift/internal/status"
@@ -34,12 +34,12 @@
 		core, logs := zapobserver.New(zap.DebugLevel)
 		c := &configManager{
 			log:    zap.New(core),
-			state:  inforce.New(inforce.DefaultConfig(), inforce.Peer{}, rand.New(rand.NewPCG(1, 2)), 0),
+			state:  configsync.New(configsync.DefaultConfig(), configsync.Peer{}, rand.New(rand.NewPCG(1, 2)), 0),
 			submit: func(f func()) error { f(); return nil },
 			post:   func(f func()) { f() },
 			now:    func() time.Duration { return 0 },
 		}
-		c.callAsync(1, func(context.Context) (func() []inforce.Action, error) { return nil, tt.err })
+		c.callAsync(1, func(context.Context) (func() []configsync.Action, error) { return nil, tt.err })
 		is.Equal(logs.Len(), 1)
 		is.Equal(logs.All()[0].Message, "configuration not fetched")
 		is.Equal(logs.All()[0].Level.String(), tt.level)
@@ -53,22 +53,22 @@
 	core, logs := zapobserver.New(zap.InfoLevel)
 	c := &configManager{
 		log:       zap.New(core),
-		state:     inforce.New(inforce.DefaultConfig(), inforce.Peer{}, rand.New(rand.NewPCG(1, 2)), 0),
+		state:     configsync.New(configsync.DefaultConfig(), configsync.Peer{}, rand.New(rand.NewPCG(1, 2)), 0),
 		gossip:    func(member.Fact) {},
 		onInstall: func() {},
 	}
-	set := func(version int64) *confset.Packed {
-		p, err := confset.Pack(confset.Set{Tenant: "t", Version: version, Share: 1})
+	set := func(version int64) *configset.EncodedSet {
+		p, err := configset.Pack(configset.Set{Tenant: "t", Version: version, Share: 1})
 		is.NoErr(err)
 		return p
 	}
 	c.execute(c.state.Learn(0, set(7).Head()))
-	c.execute(c.state.Offer(0, set(7)))
-	c.execute(c.state.Offer(0, set(9))) // not known before
+	c.execute(c.state.HandlePlatformSet(0, set(7)))
+	c.execute(c.state.HandlePlatformSet(0, set(9))) // not known before
 	var messages []string
 	for _, l := range logs.All() {
 		messages = append(messages, l.Message)
 	}
 	is.Equal(messages, []string{"newer configuration known", "configuration in force", "configuration in force"})
-	is.Equal(logs.All()[1].ContextMap()["by"], string(inforce.ByWatch))
+	is.Equal(logs.All()[1].ContextMap()["by"], string(configsync.ByWatch))
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -9,13 +9,13 @@
 	"go.uber.org/zap"
 
 	"peardrift/internal/adapter/rpc"
-	"peardrift/internal/cadence"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/lifetime"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/route"
 	"peardrift/internal/dataplane"
+	"peardrift/internal/timeralign"
 )
 
 // control owns the node's control state. All its fields belong to the goroutine
@@ -49,7 +49,7 @@
 // viewInputs are the values that a published view is built from.
 type viewInputs struct {
 	members  *member.View
-	index    *confset.Index
+	index    *configset.Index
 	complete bool // the member list is complete
 	ready    bool
 	targetUp bool // the target accepts calls
@@ -97,7 +97,7 @@
 func (c *control) loop(ctx context.Context, interval time.Duration) {
 	defer close(c.done)
 	c.config.watch.tick()
-	tick := time.NewTimer(cadence.Until(time.Now(), 0, interval))
+	tick := time.NewTimer(timeralign.Until(time.Now(), 0, interval))
 	defer tick.Stop()
 	for {
 		select {
@@ -107,7 +107,7 @@
 			f()
 		case <-tick.C:
 			c.tick()
-			tick.Reset(cadence.Until(time.Now(), interval/2, interval))
+			tick.Reset(timeralign.Until(time.Now(), interval/2, interval))
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	c.carrier.Do(c.state.Tick(c.now()))
 	c.config.learnGossiped(c.state)
 	c.config.tick()
-	c.engine.SetBehind(c.config.watch.isStale())
+	c.engine.SetConfigStale(c.config.watch.isStale())
 	c.publish()
 	c.limiter.tick()
 	c.node.updateGauges(c)
@@ -219,13 +219,13 @@
 
 // routePeers converts a service's members to routing targets. Slots and connections
 // default to the configuration's where a target's own settings have none.
-func routePeers(ms []member.Member, info *confset.ServiceInfo, seen map[request.TargetID]firstSeen) []dataplane.Peer {
+func routePeers(ms []member.Member, info *configset.ServiceInfo, seen map[request.TargetID]firstSeen) []dataplane.Peer {
 	out := make([]dataplane.Peer, 0, len(ms))
 	for _, m := range ms {
 		if m.Status == member.Dead {
 			continue
 		}
-		out = append(out, dataplane.Peer{Addr: m.Data, Target: route.Target{
+		out = append(out, dataplane.Peer{Addr: m.DataAddr, Target: route.Target{
 			ID:          m.ID,
 			Incarnation: uint64(m.Record.Incarnation),
 			Region:      m.Region,
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -18,10 +18,10 @@
 // rows, the membership state returns to "joining", and readiness must not follow.
 func TestServingNodeStaysReadyDuringALaterJoin(t *testing.T) {
 	is := is.New(t)
-	self := member.Record{ID: request.TargetIDOf("a"), Name: "a", Service: "feed.khaosan", Control: "127.0.0.1:1"}
+	self := member.Record{ID: request.TargetIDOf("a"), Name: "a", Service: "feed.khaosan", ControlAddr: "127.0.0.1:1"}
 	c := &control{state: member.New(member.DefaultConfig(), self, rand.New(rand.NewPCG(1, 2))), epoch: time.Now()}
 	is.True(c.membersKnown())
-	c.state.Join([]member.Peer{{Control: "127.0.0.1:2"}}, nil)
+	c.state.Join([]member.Peer{{ControlAddr: "127.0.0.1:2"}}, nil)
 	is.True(!c.state.Complete()) // joining again
 	is.True(c.membersKnown())
 }
@@ -42,8 +42,8 @@
 
 func TestJoiningNodeIsNotReady(t *testing.T) {
 	is := is.New(t)
-	self := member.Record{ID: request.TargetIDOf("a"), Name: "a", Service: "feed.khaosan", Control: "127.0.0.1:1"}
+	self := member.Record{ID: request.TargetIDOf("a"), Name: "a", Service: "feed.khaosan", ControlAddr: "127.0.0.1:1"}
 	c := &control{state: member.New(member.DefaultConfig(), self, rand.New(rand.NewPCG(1, 2))), epoch: time.Now()}
-	c.state.Join([]member.Peer{{Control: "127.0.0.1:2"}}, nil)
+	c.state.Join([]member.Peer{{ControlAddr: "127.0.0.1:2"}}, nil)
 	is.True(!c.membersKnown())
 }
--- a/internal/node/integration.go
+++ b/internal/node/integration.go
@@ -14,16 +14,16 @@
 	"peardrift/internal/wire"
 )
 
-// Outside adapts a node to an environment that doesn't use the project's default
+// Integration adapts a node to an environment that doesn't use the project's default
 // interfaces: the dialect of callers and targets, the platform's storage of rows and
 // accepted sets, and targets that announce themselves.
-type Outside struct {
+type Integration struct {
 	Dialect wire.Dialect
 	Table   Table
 	Sets    port.WatchedSets
-	// InForceIn is the time within which an accepted set must be in force at every
+	// PropagationBound is the time within which an accepted set must be in force at every
 	// node; 0 selects the default, 3 s.
-	InForceIn time.Duration
+	PropagationBound time.Duration
 	// Reports returns the handler for the own target's reports. take returns nil once a
 	// report has been applied, so that it may be acknowledged; refused is called with
 	// the reason for which a report is invalid.
@@ -82,13 +82,13 @@
 // other nodes as a new incarnation: their measurements of the previous one, and that it
 // was leaving, don't apply to this one.
 func (c *control) applyLifetime(previous, current lifetime.State, by string) {
-	if previous.Instance == current.Instance && previous.Born == current.Born && previous.Takes == current.Takes && previous.Slots == current.Slots {
+	if previous.Instance == current.Instance && previous.StartedAt == current.StartedAt && previous.AcceptsCalls == current.AcceptsCalls && previous.Slots == current.Slots {
 		return
 	}
-	c.engine.SetLifetime(dataplane.Lifetime{Instance: current.Instance, Born: current.Born, Slots: current.Slots, Takes: current.Takes})
-	c.log.Info("target", zap.String("instance", current.Instance), zap.Int64("born", current.Born), zap.Bool("takes", current.Takes),
+	c.engine.SetTargetState(dataplane.TargetState{Instance: current.Instance, StartedAt: current.StartedAt, Slots: current.Slots, AcceptsCalls: current.AcceptsCalls})
+	c.log.Info("target", zap.String("instance", current.Instance), zap.Int64("born", current.StartedAt), zap.Bool("takes", current.AcceptsCalls),
 		zap.Int("slots", current.Slots), zap.Duration("cold", current.Cold), zap.String("by", by))
-	if current.Takes {
+	if current.AcceptsCalls {
 		rec := c.node.record()
 		rec.Slots = uint32(current.Slots)
 		c.state.Update(c.now(), rec)
--- a/internal/node/limitgrants.go
+++ b/internal/node/limitgrants.go
@@ -48,8 +48,8 @@
 	if s.askInFlight || !ok {
 		return
 	}
-	a := &ratelimit.Ask{Shard: s.n, Of: len(l.shards), Node: l.self, Life: l.processID, Starts: s.starting, Needs: l.needs(now, s)}
-	if len(a.Needs) == 0 && !a.Starts {
+	a := &ratelimit.GrantRequest{Shard: s.n, Shards: len(l.shards), Node: l.self, Incarnation: l.processID, Starting: s.starting, Needs: l.needs(now, s)}
+	if len(a.Needs) == 0 && !a.Starting {
 		return
 	}
 	s.seq++
@@ -62,8 +62,8 @@
 	submitErr := l.submit(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
-		var r ratelimit.Reply
-		err := l.calls.Call(ctx, m.Control, methodAskLimits, a, &r)
+		var r ratelimit.GrantReply
+		err := l.calls.Call(ctx, m.ControlAddr, methodAskLimits, a, &r)
 		l.waive(a, &r)
 		l.post(func() { l.handleReply(s, m, now, r, err) })
 	})
@@ -94,7 +94,7 @@
 }
 
 // handleReply processes the reply to a request that was sent at the given time.
-func (l *limiter) handleReply(s *shard, m member.Member, asked time.Duration, r ratelimit.Reply, err error) {
+func (l *limiter) handleReply(s *shard, m member.Member, asked time.Duration, r ratelimit.GrantReply, err error) {
 	s.askInFlight = false
 	if s.n >= len(l.shards) || l.shards[s.n] != s {
 		return // the shards have been rebuilt
@@ -128,7 +128,7 @@
 }
 
 // handleRedirect processes a reply from a node that doesn't hold the lease.
-func (l *limiter) handleRedirect(s *shard, m member.Member, now time.Duration, r ratelimit.Reply) {
+func (l *limiter) handleRedirect(s *shard, m member.Member, now time.Duration, r ratelimit.GrantReply) {
 	s.knownHolder = 0
 	if r.Holder != 0 && r.Holder != m.ID {
 		s.knownHolder, s.emptyReplies, s.nextAsk = r.Holder, 0, now
@@ -142,10 +142,10 @@
 }
 
 // serve answers a node's request for grants.
-func (l *limiter) serve(a *ratelimit.Ask) ratelimit.Reply {
+func (l *limiter) serve(a *ratelimit.GrantRequest) ratelimit.GrantReply {
 	l.applyRewinds()
-	if a.Of != len(l.shards) || a.Shard < 0 || a.Shard >= len(l.shards) || l.retiring {
-		return ratelimit.Reply{}
+	if a.Shards != len(l.shards) || a.Shard < 0 || a.Shard >= len(l.shards) || l.retiring {
+		return ratelimit.GrantReply{}
 	}
 	s := l.shards[a.Shard]
 	r := s.lease.Ask(l.now(), a, l.limitByID)
@@ -169,7 +169,7 @@
 
 // waive excludes a request and its reply from the control budget, because callers'
 // requests wait for them.
-func (l *limiter) waive(a *ratelimit.Ask, r *ratelimit.Reply) {
+func (l *limiter) waive(a *ratelimit.GrantRequest, r *ratelimit.GrantReply) {
 	l.meter.Waive(askBytes + needBytes/2*(len(a.Needs)+len(r.Grants)))
 }
 
@@ -181,11 +181,11 @@
 			continue
 		}
 		s.seq++
-		a := &ratelimit.Ask{Shard: s.n, Of: len(l.shards), Node: l.self, Life: l.processID, Seq: s.seq, Leaves: true}
+		a := &ratelimit.GrantRequest{Shard: s.n, Shards: len(l.shards), Node: l.self, Incarnation: l.processID, Seq: s.seq, Leaving: true}
 		_ = l.submit(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 			defer cancel()
-			_ = l.calls.Call(ctx, m.Control, methodAskLimits, a, &ratelimit.Reply{})
+			_ = l.calls.Call(ctx, m.ControlAddr, methodAskLimits, a, &ratelimit.GrantReply{})
 		})
 	}
 }
@@ -195,7 +195,7 @@
 type limitsService struct{ control *control }
 
 // Ask grants shares of rate limits.
-func (s *limitsService) Ask(in *ratelimit.Ask, out *ratelimit.Reply) error {
+func (s *limitsService) Ask(in *ratelimit.GrantRequest, out *ratelimit.GrantReply) error {
 	if !s.control.ask(func() { *out = s.control.limiter.serve(in) }) {
 		return errStopping
 	}
--- a/internal/node/limitrows.go
+++ b/internal/node/limitrows.go
@@ -196,7 +196,7 @@
 	value, err := msgpack.Marshal(&row)
 	if err == nil {
 		_, err = l.rows.do(RowArgs{Write: true, Put: port.Put{
-			Item:      port.Item{Key: s.key, Version: version + 1, Value: value, Token: fmt.Sprintf("%x-%d", row.Life, row.Count)},
+			Item:      port.Item{Key: s.key, Version: version + 1, Value: value, Token: fmt.Sprintf("%x-%d", row.Incarnation, row.Count)},
 			IfVersion: version,
 		}})
 	}
@@ -213,7 +213,7 @@
 	}
 	s.holderProbed = now
 	_ = l.submit(func() {
-		c, err := net.DialTimeout("tcp", holder.Control, holderProbeTimeout)
+		c, err := net.DialTimeout("tcp", holder.ControlAddr, holderProbeTimeout)
 		if err == nil {
 			_ = c.Close()
 		}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"peardrift/internal/adapter/rpc"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/ratelimit"
 	"peardrift/internal/core/request"
@@ -35,7 +35,7 @@
 	post      func(func())
 	tryPost   func(func()) // post that drops the event if the queue is full
 	now       func() time.Duration
-	index     func() *confset.Index // called on the control goroutine
+	index     func() *configset.Index // called on the control goroutine
 
 	rewinds    atomic.Int64 // restores of the table from an older copy
 	proxyUntil atomic.Int64 // time until which table calls go through another node
@@ -48,7 +48,7 @@
 	otherNodes []string
 
 	// The fields below belong to the control goroutine.
-	shardedIndex *confset.Index // the index that shards were built from
+	shardedIndex *configset.Index // the index that shards were built from
 	shards       []*shard
 	members      *member.View
 	rewindsSeen  int64
@@ -125,7 +125,7 @@
 }
 
 // Take implements dataplane.Limiter.
-func (l *limiter) Take(ctx context.Context, o *confset.OrganisationInfo) *status.Error {
+func (l *limiter) Take(ctx context.Context, o *configset.OrganisationInfo) *status.Error {
 	v := l.tryTake(o, true)
 	if v == ratelimit.Unknown {
 		v = l.waitAndTake(ctx, o)
@@ -136,7 +136,7 @@
 	return l.refusal(o, v)
 }
 
-func (l *limiter) tryTake(o *confset.OrganisationInfo, first bool) ratelimit.Verdict {
+func (l *limiter) tryTake(o *configset.OrganisationInfo, first bool) ratelimit.Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -147,7 +147,7 @@
 }
 
 // waitAndTake requests a grant and takes a token from it.
-func (l *limiter) waitAndTake(ctx context.Context, o *confset.OrganisationInfo) ratelimit.Verdict {
+func (l *limiter) waitAndTake(ctx context.Context, o *configset.OrganisationInfo) ratelimit.Verdict {
 	timer := time.NewTimer(takeTimeout)
 	defer timer.Stop()
 	v := ratelimit.Unknown
@@ -192,11 +192,11 @@
 }
 
 // refusal returns the error for a request that is not admitted.
-func (l *limiter) refusal(o *confset.OrganisationInfo, v ratelimit.Verdict) *status.Error {
+func (l *limiter) refusal(o *configset.OrganisationInfo, v ratelimit.Verdict) *status.Error {
 	l.mu.Lock()
 	s, wait := l.local.State(l.now(), o.ID), l.local.Wait(o.ID)
 	l.mu.Unlock()
-	if v == ratelimit.Over {
+	if v == ratelimit.OverLimit {
 		return status.Refuse(status.CodeOverLimit, max(wait, minOverLimitRetryAfter+rand.N(minOverLimitRetryAfter)),
 			"%s exceeds its limit of %g requests per second: %.1f tokens are left of a grant of %.2f per second, %v old",
 			o.Name, o.Rate, s.Tokens, s.Rate, s.Age.Round(time.Millisecond))
@@ -215,7 +215,7 @@
 const minOverLimitRetryAfter = 700 * time.Millisecond
 
 // Return implements dataplane.Limiter.
-func (l *limiter) Return(taken time.Duration, o *confset.OrganisationInfo) {
+func (l *limiter) Return(taken time.Duration, o *configset.OrganisationInfo) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.local.Return(l.now(), taken, o.ID, l.limitOf(o))
@@ -224,7 +224,7 @@
 // Now implements dataplane.Limiter.
 func (l *limiter) Now() time.Duration { return l.now() }
 
-func (l *limiter) limitOf(o *confset.OrganisationInfo) ratelimit.Limit {
+func (l *limiter) limitOf(o *configset.OrganisationInfo) ratelimit.Limit {
 	return l.cfg.Terms.Limit(o.Rate, o.Burst)
 }
 
@@ -259,7 +259,7 @@
 	}
 	l.shardedIndex = idx
 	limited := 0
-	idx.Organisations(func(o *confset.OrganisationInfo) {
+	idx.Organisations(func(o *configset.OrganisationInfo) {
 		if o.Rate > 0 {
 			limited++
 		}
@@ -298,7 +298,7 @@
 	var others []string
 	v.All(func(m member.Member) bool {
 		if m.Status == member.Alive && m.ID != l.self {
-			others = append(others, m.Control)
+			others = append(others, m.ControlAddr)
 		}
 		return true
 	})
@@ -321,7 +321,7 @@
 			return true
 		})
 		slices.SortFunc(s.ranked, func(a, b member.Member) int {
-			return cmp.Compare(b.ID.Order(uint64(s.n)), a.ID.Order(uint64(s.n)))
+			return cmp.Compare(b.ID.SortKey(uint64(s.n)), a.ID.SortKey(uint64(s.n)))
 		})
 	}
 }
@@ -334,7 +334,7 @@
 	}
 	l.rewindsSeen = n
 	for _, s := range l.shards {
-		s.lease.Rewound(l.now())
+		s.lease.TableRestored(l.now())
 	}
 }
 
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -49,7 +49,7 @@
 	}
 	for _, f := range all {
 		nodes := f.server == &n.servers.nodes
-		cfg.Conns, cfg.NoDate, cfg.Packed = f.conns, nodes, nodes
+		cfg.Conns, cfg.NoDate, cfg.CompressHeaders = f.conns, nodes, nodes
 		s, err := hertzhttp.Listen(f.addr, cfg, f.handle)
 		if err != nil {
 			failed = append(failed, status.Wrap(status.CodeListen, status.From(err).Cause, "%s", f.key))
@@ -123,7 +123,7 @@
 func (c *rejectedConnections) sinceLast() map[string]int64 {
 	var counts map[string]int64
 	for face, l := range c.limits {
-		n := l.Turned.Load()
+		n := l.Rejected.Load()
 		if n == c.reported[face] {
 			continue
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,8 +21,8 @@
 	"peardrift/internal/adapter/zaplog"
 	"peardrift/internal/apply"
 	"peardrift/internal/claims"
-	"peardrift/internal/claims/shared"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/claims/sharedrows"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/lifetime"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
@@ -42,14 +42,14 @@
 	tracer          *oteltrace.Tracer
 	self            dataplane.Self
 	pool            *ants.Pool
-	integration     *Outside // nil: the project's default interfaces
+	integration     *Integration // nil: the project's default interfaces
 	table           Table
 	objects         *awsobject.Store
 	sets            port.Sets
 	peers           *hertzhttp.Client // to nodes in the own zone
 	crossZone       *hertzhttp.Client // to nodes in other zones
 	local           *hertzhttp.Client
-	rows            *shared.Rows
+	rows            *sharedrows.Rows
 	claimPeers      *rpc.ClaimPeers
 	claims          *claims.Runner
 	engine          *dataplane.Engine
@@ -71,7 +71,7 @@
 // New binds the listeners and builds the node without announcing it. Its errors carry
 // a status code: the settings are unusable, or an address is in use. out is nil if the
 // node uses the project's default interfaces.
-func New(cfg settings.Settings, out *Outside) (*Node, error) {
+func New(cfg settings.Settings, out *Integration) (*Node, error) {
 	log, closeLog, err := zaplog.New(cfg.Logs)
 	if err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 		ID:      id,
 		Service: request.Service(cfg.Target.Service),
 		Tenant:  request.Tenant(tenant),
-		Place:   route.Place{Caller: uint64(id), Region: cfg.Node.Region, Zone: cfg.Node.Zone},
+		Place:   route.Locality{Caller: uint64(id), Region: cfg.Node.Region, Zone: cfg.Node.Zone},
 		Target:  cfg.Target.Address,
 		Slots:   cfg.Target.Slots,
 	}
@@ -153,23 +153,23 @@
 		cfg.Dialect = out.Dialect
 		cfg.Gate.Limit.InitialFraction = 1 // targets declare their slots
 		cfg.Gate.Limit.Headroom = limitHeadroom
-		cfg.Route.Floor, cfg.Route.ZoneGap = zoneFullUtilization, zoneGap
-		cfg.Assured = reservedFraction
-		cfg.Retry.CallRatio, cfg.Retry.RefusedFree = 0, true
+		cfg.Route.MinHotLoad, cfg.Route.ZoneGap = zoneFullUtilization, zoneGap
+		cfg.AssuredFraction = reservedFraction
+		cfg.Retry.CallRatio, cfg.Retry.FreeRefusals = 0, true
 		cfg.Retry.FleetBudget, cfg.Retry.FleetWindow = out.RetryBudget, out.RetryWindow
 	}
 	lc := cc
 	if n.integration != nil {
-		lc.IdleTimeout, lc.KeepAlive = targetIdleTimeout, true
-		lc.Unframed = true
-		lc.Check = dataplane.CheckAnswer(cfg.Dialect)
+		lc.IdleTimeout, lc.UsePeerIdleTimeout = targetIdleTimeout, true
+		lc.AllowUnframed = true
+		lc.MatchResponse = dataplane.CheckAnswer(cfg.Dialect)
 	}
 	n.local = hertzhttp.NewClient(lc)
 	cc.Prober = dataplane.Prober{}
 	n.peers = hertzhttp.NewClient(cc)
 	// Bytes within a zone are free, and packing takes processor time: 16 us for a call
 	// and its answer, 60 us on a busy machine. Only calls to other zones are packed.
-	cc.Pack = true
+	cc.CompressHeaders = true
 	n.crossZone = hertzhttp.NewClient(cc)
 	n.rows = n.newClaimRows()
 	n.claims = claims.New(n.rows, n.pool, claims.DefaultConfig(), n.log, n.metrics.Scope())
@@ -178,7 +178,7 @@
 	cfg.Sampled = n.tracer.Sampled
 	obs := &observer{metrics: n.metrics, tracer: n.tracer, log: n.log}
 	n.engine = dataplane.New(cfg, n.self, n.peers, n.local, n.claims, obs)
-	n.engine.SetFar(n.crossZone)
+	n.engine.SetCrossZoneTransport(n.crossZone)
 }
 
 const (
@@ -199,8 +199,8 @@
 
 // inforceConfig returns the configuration of the inforce core. Where the platform can be
 // watched for new sets, polling is off.
-func (n *Node) inforceConfig() inforce.Config {
-	cfg := inforce.DefaultConfig()
+func (n *Node) inforceConfig() configsync.Config {
+	cfg := configsync.DefaultConfig()
 	if n.integration != nil {
 		cfg.Pollers = 0
 	}
@@ -213,7 +213,7 @@
 func (n *Node) memberConfig() member.Config {
 	cfg := member.DefaultConfig()
 	if n.integration != nil {
-		cfg.JoinRetry, cfg.CallTimeout = joinRetryInterval, exchangeTimeout
+		cfg.JoinRetryInterval, cfg.ExchangeTimeout = joinRetryInterval, exchangeTimeout
 	}
 	return cfg
 }
@@ -248,14 +248,14 @@
 		c.post(func() { f(c.state, c.now()) })
 	})
 	rec := n.record()
-	self := inforce.Peer{ID: rec.ID, Region: rec.Region, Addr: rec.Control}
+	self := configsync.Peer{ID: rec.ID, Region: rec.Region, Addr: rec.ControlAddr}
 	c.config = &configManager{
 		log: n.log, store: n.sets, calls: n.calls,
 		submit: n.pool.Submit, post: c.post, now: c.now,
-		state:       inforce.New(n.inforceConfig(), self, rand.New(rand.NewPCG(rand.Uint64(), uint64(rec.ID))), 0),
+		state:       configsync.New(n.inforceConfig(), self, rand.New(rand.NewPCG(rand.Uint64(), uint64(rec.ID))), 0),
 		gossip:      func(f member.Fact) { c.state.PutFact(c.now(), f) },
 		onInstall:   func() { n.metrics.Counters.ConfigChanges.Inc(1) },
-		pendingAsks: make(map[uint64]chan inforce.Reply),
+		pendingAsks: make(map[uint64]chan configsync.Reply),
 		readLevel:   zapcore.DebugLevel,
 	}
 	if n.integration != nil {
@@ -263,7 +263,7 @@
 	}
 	c.config.watch = n.newWatcher(c, meter)
 	c.config.state.SetBudget(c.state.Budget())
-	c.state.Carry(heartbeatPiggyback{c.config})
+	c.state.SetPiggybackHandler(heartbeatPiggyback{c.config})
 	c.limiter = n.newLimiter(c)
 	n.control = c
 }
@@ -273,8 +273,8 @@
 	return member.Record{
 		ID: n.self.ID, Name: n.self.Name, Service: n.self.Service, Tenant: n.self.Tenant,
 		Zone: n.self.Place.Zone, Region: n.self.Place.Region,
-		Data:        firstNonEmpty(n.settings.Advertise.Data, n.servers.nodes.Addr()),
-		Control:     firstNonEmpty(n.settings.Advertise.Control, n.controlListener.Addr().String()),
+		DataAddr:    firstNonEmpty(n.settings.Advertise.Data, n.servers.nodes.Addr()),
+		ControlAddr: firstNonEmpty(n.settings.Advertise.Control, n.controlListener.Addr().String()),
 		Incarnation: uint32(time.Since(incarnationEpoch) / time.Second),
 		Slots:       uint32(n.settings.Target.Slots),
 	}
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -7,7 +7,7 @@
 	"peardrift/internal/adapter/tallymetrics"
 	"peardrift/internal/adapter/zaplog"
 	"peardrift/internal/core/admission"
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/suspect"
@@ -67,7 +67,7 @@
 		fields = append(fields, zaplog.Level(h.Level))
 	}
 	if h.Kind == dataplane.HopEntry {
-		fields = append(fields, zaplog.Known(h.Known))
+		fields = append(fields, zaplog.Known(h.KnownLevel))
 	}
 	if h.Queued > 0 {
 		fields = append(fields, zap.Duration("queued", h.Queued))
@@ -134,7 +134,7 @@
 }
 
 // metricLabels returns the services and classes that have metric series.
-func metricLabels(idx *confset.Index) (services []request.Service, names []request.Class) {
+func metricLabels(idx *configset.Index) (services []request.Service, names []request.Class) {
 	services = idx.Services()
 	for _, s := range services {
 		info, _ := idx.Service(s)
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -30,7 +30,7 @@
 // it knew the other members, for lack of targets.
 func (c *control) canRoute() bool {
 	_, known := c.config.index().Service(c.self.Service)
-	known = known || c.config.index().Routed() // a target whose service has no route still has callers
+	known = known || c.config.index().HasRoutes() // a target whose service has no route still has callers
 	return c.membersKnown() && known && c.config.state.Ready()
 }
 
@@ -54,7 +54,7 @@
 	}{
 		{!c.membersKnown(), notReadyMembers},
 		{!c.config.state.Ready(), notReadyConfig},
-		{c.config.state.Ready() && !known && !c.config.index().Routed(), notReadyService},
+		{c.config.state.Ready() && !known && !c.config.index().HasRoutes(), notReadyService},
 		{!c.targetUp, notReadyTarget},
 		{c.leaving, notReadyLeaving},
 		{c.retiring, notReadyStopping},
--- a/internal/node/rewind.go
+++ b/internal/node/rewind.go
@@ -19,12 +19,12 @@
 // this node into a seed row if the copy lacks them. The configuration in force stays: the
 // operator writes it again, and its version never decreases.
 func (n *Node) watchRewinds(ctx context.Context) {
-	t, ok := n.table.(port.Rewinds)
+	t, ok := n.table.(port.RestoreNotifier)
 	if !ok {
 		return
 	}
-	rewinds := make(chan port.Rewind, 1)
-	t.OnRewind(func(r port.Rewind) {
+	rewinds := make(chan port.Restore, 1)
+	t.OnRestore(func(r port.Restore) {
 		n.log.Warn("store came back from a copy", zap.Int64("from_era", r.FromEra), zap.Int64("to_era", r.ToEra),
 			zap.Int64("before", r.Before), zap.Int64("after", r.After))
 		n.metrics.Counters.StoreRewinds.Inc(1)
@@ -47,7 +47,7 @@
 
 // rejoin calls join after each restore of the store and retries until it succeeds, each
 // time after a random delay of up to jitter.
-func rejoin(ctx context.Context, rewinds <-chan port.Rewind, jitter time.Duration, join func() error) {
+func rejoin(ctx context.Context, rewinds <-chan port.Restore, jitter time.Duration, join func() error) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -64,5 +64,5 @@
 
 // newSeedStore returns the seed rows as this node uses them.
 func (n *Node) newSeedStore() *seedStore {
-	return &seedStore{table: n.table, self: seedRow{Control: n.record().Control, Region: n.self.Place.Region}}
+	return &seedStore{table: n.table, self: seedRow{Control: n.record().ControlAddr, Region: n.self.Place.Region}}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 
 	"peardrift/internal/adapter/zaplog"
-	"peardrift/internal/cadence"
 	"peardrift/internal/core/member"
 	"peardrift/internal/dataplane"
+	"peardrift/internal/timeralign"
 )
 
 // Run joins, serves until ctx ends, and then shuts down gracefully. The end of kill cuts
@@ -20,14 +20,14 @@
 		return err
 	}
 	n.engine.OnCrash(n.reportCrash)
-	n.engine.OnOther(n.handleOtherInstance)
+	n.engine.OnOtherInstance(n.handleOtherInstance)
 	if n.integration == nil {
 		n.health = newHealthChecker(n.settings.Target, n.local, func(up bool) {
 			n.control.post(func() { n.control.setTargetUp(up) })
 		})
 		n.engine.OnShed(n.health.requestCheck)
 	} else {
-		n.engine.SetLifetime(dataplane.Lifetime{}) // no call runs until the target reports
+		n.engine.SetTargetState(dataplane.TargetState{}) // no call runs until the target reports
 	}
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -47,7 +47,7 @@
 func (n *Node) start(ctx context.Context) {
 	n.watchRewinds(ctx)
 	n.spawn(func() { _ = n.server.Serve(n.controlListener) })
-	n.spawn(func() { n.control.loop(ctx, member.DefaultConfig().TickEvery) })
+	n.spawn(func() { n.control.loop(ctx, member.DefaultConfig().TickInterval) })
 	n.spawn(func() { n.join(ctx) })
 	if n.health != nil {
 		n.spawn(func() { n.health.run(ctx) })
@@ -81,7 +81,7 @@
 	s := n.newSeedStore()
 	var known []member.Peer
 	for _, p := range n.settings.Peers {
-		known = append(known, member.Peer{Control: p})
+		known = append(known, member.Peer{ControlAddr: p})
 	}
 	n.joinThrough(known)
 	if n.integration != nil && n.integration.Bootstrap && !sleep(ctx, rand.N(bootstrapJitter)) {
@@ -150,7 +150,7 @@
 
 // runEvery calls f at each tick until ctx ends.
 func runEvery(ctx context.Context, d time.Duration, f func(time.Time)) {
-	tick := time.NewTimer(cadence.Until(time.Now(), 0, d))
+	tick := time.NewTimer(timeralign.Until(time.Now(), 0, d))
 	defer tick.Stop()
 	for {
 		select {
@@ -158,7 +158,7 @@
 			return
 		case now := <-tick.C:
 			f(now)
-			tick.Reset(cadence.Until(time.Now(), d/2, d))
+			tick.Reset(timeralign.Until(time.Now(), d/2, d))
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithTimeout(kill, n.settings.Shutdown.Grace)
 	defer cancel()
 	n.log.Info("leaving")
-	n.engine.Retire()
+	n.engine.BeginStop()
 	if n.integration != nil {
 		// The target outlives its node, and other targets take over its load only once
 		// it accepts no calls. It therefore accepts calls until callers are redirected.
@@ -184,7 +184,7 @@
 		n.control.ask(n.control.leave)
 		sleep(ctx, n.settings.Shutdown.Announce)
 	}
-	n.engine.Turn()
+	n.engine.RefuseCallers()
 	n.waitDrained(ctx)
 	n.control.ask(n.control.limiter.returnGrants)
 	n.control.ask(n.control.announceDeparture)
--- a/internal/node/seeds.go
+++ b/internal/node/seeds.go
@@ -54,7 +54,7 @@
 			return found, wrote, err
 		}
 		if row.Control != "" && row.Control != s.self.Control {
-			found = append(found, member.Peer{Control: row.Control})
+			found = append(found, member.Peer{ControlAddr: row.Control})
 		}
 		if !claimed && (row.Control == s.self.Control || time.Since(row.At) > seedMaxAge) {
 			wrote = true
@@ -85,7 +85,7 @@
 			continue
 		}
 		if row.Control != "" {
-			found = append(found, member.Peer{Control: row.Control})
+			found = append(found, member.Peer{ControlAddr: row.Control})
 		}
 		versions[it.Key] = it.Version
 		if time.Since(row.At) <= seedMaxAge {
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -6,7 +6,7 @@
 
 	"peardrift/internal/adapter/rpc"
 	"peardrift/internal/adapter/rpc/adminapi"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configsync"
 	"peardrift/internal/core/member"
 	"peardrift/internal/core/request"
 	"peardrift/internal/core/suspect"
@@ -47,13 +47,13 @@
 type configService struct{ control *control }
 
 // Ask blocks until the core replies to the peer.
-func (s *configService) Ask(in *inforce.Ask, out *inforce.Reply) error {
-	return await(s.control, out, func() <-chan inforce.Reply { return s.control.config.handleAsk(*in) })
+func (s *configService) Ask(in *configsync.Ask, out *configsync.Reply) error {
+	return await(s.control, out, func() <-chan configsync.Reply { return s.control.config.handleAsk(*in) })
 }
 
 // Next blocks until the watch replies to the child.
-func (s *configService) Next(in *NextArgs, out *NextReply) error {
-	return await(s.control, out, func() <-chan NextReply { return s.control.config.watch.handleAsk(*in) })
+func (s *configService) Next(in *WatchArgs, out *WatchReply) error {
+	return await(s.control, out, func() <-chan WatchReply { return s.control.config.watch.handleAsk(*in) })
 }
 
 var errStopping = status.New(status.CodeDraining, "the node is stopping")
@@ -100,7 +100,7 @@
 		n.control.handleTargetDeath()
 		for _, m := range n.control.published.members.Members(n.self.Service) {
 			if m.ID != n.self.ID && m.Status != member.Dead {
-				n.sendReport(m.Control, r)
+				n.sendReport(m.ControlAddr, r)
 			}
 		}
 	})
@@ -137,7 +137,7 @@
 	n.control.ask(func() {
 		for _, m := range n.control.state.Snapshot().Members(n.self.Service) {
 			if m.ID != n.self.ID && m.Status == member.Alive {
-				addrs = append(addrs, m.Control)
+				addrs = append(addrs, m.ControlAddr)
 			}
 		}
 	})
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -32,19 +32,19 @@
 
 // Gate is the state of the target's admission gate.
 type Gate struct {
-	Limit      int     `json:"limit"`      // maximum concurrent requests
-	Running    int     `json:"running"`    // running requests
-	Queued     int     `json:"queued"`     // queued requests
-	Demand     float64 `json:"demand"`     // recent demand, in slots
-	Level      float64 `json:"level"`      // requests of lower importance are refused; 0: none are
-	Overloaded bool    `json:"overloaded"` // the queue does not drain
-	ServiceMS  float64 `json:"service_ms"` // expected service time of a request at the target
-	BacklogMS  float64 `json:"backlog_ms"` // expected time to drain the queue
-	Decisions  Counts  `json:"decisions"`
+	Limit      int            `json:"limit"`      // maximum concurrent requests
+	Running    int            `json:"running"`    // running requests
+	Queued     int            `json:"queued"`     // queued requests
+	Demand     float64        `json:"demand"`     // recent demand, in slots
+	Level      float64        `json:"level"`      // requests of lower importance are refused; 0: none are
+	Overloaded bool           `json:"overloaded"` // the queue does not drain
+	ServiceMS  float64        `json:"service_ms"` // expected service time of a request at the target
+	BacklogMS  float64        `json:"backlog_ms"` // expected time to drain the queue
+	Decisions  DecisionCounts `json:"decisions"`
 }
 
-// Counts holds the gate's final decisions since the start; refusals are by code.
-type Counts struct {
+// DecisionCounts holds the gate's final decisions since the start; refusals are by code.
+type DecisionCounts struct {
 	Admitted         uint64 `json:"admitted"`
 	Overloaded       uint64 `json:"overloaded"`
 	OverShare        uint64 `json:"over-share"`
@@ -58,7 +58,7 @@
 		Limit: st.Limit, Running: st.Running, Queued: st.Queued, Demand: st.Demand,
 		Level: st.Level.AsImportance(), Overloaded: st.Active,
 		ServiceMS: milliseconds(st.Service), BacklogMS: milliseconds(st.Backlog),
-		Decisions: Counts{
+		Decisions: DecisionCounts{
 			Admitted: st.Admitted, Overloaded: st.Overloaded, OverShare: st.OverShare,
 			DeadlineTooShort: st.DeadlineShort, Draining: st.Counts.Draining, Canceled: st.CanceledQueued,
 		},
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -9,26 +9,26 @@
 
 	"peardrift/internal/adapter/rpc"
 	"peardrift/internal/adapter/zaplog"
-	"peardrift/internal/core/confset"
-	"peardrift/internal/core/inforce"
+	"peardrift/internal/core/configset"
+	"peardrift/internal/core/configsync"
+	"peardrift/internal/core/configwatch"
 	"peardrift/internal/core/request"
-	"peardrift/internal/core/watch"
 	"peardrift/internal/port"
 )
 
 // defaultInForceIn is the value of Outside.InForceIn where the platform sets none.
 const defaultInForceIn = 3 * time.Second
 
-// NextArgs is a child's request for the next version.
-type NextArgs struct {
-	Ask  watch.Ask
+// WatchArgs is a child's request for the next version.
+type WatchArgs struct {
+	Ask  configwatch.PollRequest
 	Base int64 // base version of a delta; 0 for the whole set
 }
 
-// NextReply is the reply to NextArgs.
-type NextReply struct {
-	Reply watch.Reply
-	Set   *inforce.Reply // nil if there is no newer set
+// WatchReply is the reply to NextArgs.
+type WatchReply struct {
+	Reply configwatch.PollReply
+	Set   *configsync.Reply // nil if there is no newer set
 }
 
 // watcher executes the actions of the watch core: it queries the platform and the parent,
@@ -36,7 +36,7 @@
 // nil watcher do nothing.
 type watcher struct {
 	log    *zap.Logger
-	core   *watch.State
+	core   *configwatch.State
 	conf   *configManager
 	sets   port.WatchedSets
 	tenant request.Tenant
@@ -55,22 +55,22 @@
 
 // pendingNext is a child's request that waits for its reply.
 type pendingNext struct {
-	args NextArgs
-	ch   chan NextReply
+	args WatchArgs
+	ch   chan WatchReply
 }
 
 func (n *Node) newWatcher(c *control, meter *rpc.Meter) *watcher {
 	if n.integration == nil {
 		return nil
 	}
-	bound := n.integration.InForceIn
+	bound := n.integration.PropagationBound
 	if bound <= 0 {
 		bound = defaultInForceIn
 	}
 	start := uptime()
 	return &watcher{
 		log: n.log, conf: c.config, sets: n.integration.Sets, tenant: n.self.Tenant,
-		core:  watch.New(watch.ConfigFor(bound), n.self.ID, rand.New(rand.NewPCG(rand.Uint64(), uint64(n.self.ID))), 0),
+		core:  configwatch.New(configwatch.ConfigFor(bound), n.self.ID, rand.New(rand.NewPCG(rand.Uint64(), uint64(n.self.ID))), 0),
 		calls: n.calls, meter: meter, submit: n.pool.Submit, post: c.post,
 		now:        func() time.Duration { return uptime() - start },
 		pending:    make(map[uint64]pendingNext),
@@ -90,11 +90,11 @@
 // logTransitions logs when the node begins or stops querying the platform on behalf of
 // the others (the root role), and when its version becomes stale or fresh.
 func (w *watcher) logTransitions(now time.Duration) {
-	if root := w.core.Root(now); root != w.loggedRoot {
+	if root := w.core.IsRoot(now); root != w.loggedRoot {
 		w.loggedRoot = root
 		w.log.Info("watch role", zap.Bool("root", root))
 	}
-	switch stale := w.core.Stale(now); {
+	switch stale := w.core.IsStale(now); {
 	case stale && w.staleSince == 0:
 		w.staleSince = max(now, 1)
 		w.log.Warn("configuration may be old", zap.Bool("root", w.loggedRoot))
@@ -105,21 +105,21 @@
 }
 
 // isStale reports whether the node can't show that its version is the newest.
-func (w *watcher) isStale() bool { return w != nil && w.core.Stale(w.now()) }
+func (w *watcher) isStale() bool { return w != nil && w.core.IsStale(w.now()) }
 
-func (w *watcher) setPeers(near []inforce.Peer, complete bool) {
+func (w *watcher) setPeers(near []configsync.Peer, complete bool) {
 	if w == nil {
 		return
 	}
-	peers := make([]watch.Peer, len(near))
+	peers := make([]configwatch.Peer, len(near))
 	for i, p := range near {
-		peers[i] = watch.Peer{ID: p.ID, Addr: p.Addr}
+		peers[i] = configwatch.Peer{ID: p.ID, Addr: p.Addr}
 	}
 	w.execute(w.core.SetPeers(w.now(), peers, complete))
 }
 
 // handleInstalled records that a version has taken effect, from whatever source.
-func (w *watcher) handleInstalled(h confset.Head) {
+func (w *watcher) handleInstalled(h configset.Head) {
 	if w != nil && h.Tenant == w.tenant {
 		w.execute(w.core.SetVersion(w.now(), h.Version))
 	}
@@ -127,21 +127,21 @@
 
 // execute starts actions without blocking; results return through post. An action that
 // finds the pool full is dropped, and the core treats it as failed after its time limit.
-func (w *watcher) execute(actions []watch.Action) {
+func (w *watcher) execute(actions []configwatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case watch.AskPlatform:
+		case configwatch.PollPlatform:
 			_ = w.submit(func() { w.askPlatform(a) })
-		case watch.AskPeer:
-			args := NextArgs{Ask: a.Ask, Base: w.conf.state.Base(w.tenant)}
+		case configwatch.PollPeer:
+			args := WatchArgs{Ask: a.Request, Base: w.conf.state.DeltaBase(w.tenant)}
 			_ = w.submit(func() { w.askPeer(a, args) })
-		case watch.Answer:
+		case configwatch.SendReply:
 			w.sendReply(a)
 		}
 	}
 }
 
-func (w *watcher) askPlatform(a watch.AskPlatform) {
+func (w *watcher) askPlatform(a configwatch.PollPlatform) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
 	defer cancel()
 	change, err := w.sets.Next(ctx, a.After, a.Wait)
@@ -154,18 +154,18 @@
 		var version int64
 		if p := change.Set; p != nil {
 			version = p.Head().Version
-			w.conf.execute(w.conf.state.Offer(w.conf.now(), p))
+			w.conf.execute(w.conf.state.HandlePlatformSet(w.conf.now(), p))
 		} else if a.After == 0 {
-			w.conf.execute(w.conf.state.OfferNone(w.conf.now()))
+			w.conf.execute(w.conf.state.HandlePlatformEmpty(w.conf.now()))
 		}
-		w.execute(w.core.HandlePlatform(w.now(), a.ID, version, change.Quiet))
+		w.execute(w.core.HandlePlatformReply(w.now(), a.ID, version, change.Unchanged))
 	})
 }
 
-func (w *watcher) askPeer(a watch.AskPeer, args NextArgs) {
+func (w *watcher) askPeer(a configwatch.PollPeer, args WatchArgs) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
 	defer cancel()
-	var reply NextReply
+	var reply WatchReply
 	err := w.calls.Call(ctx, a.To.Addr, methodNext, &args, &reply)
 	w.post(func() {
 		if err != nil {
@@ -174,34 +174,34 @@
 		}
 		w.waive(reply.Set)
 		if reply.Set != nil {
-			w.conf.execute(w.conf.state.Give(w.conf.now(), w.tenant, *reply.Set))
+			w.conf.execute(w.conf.state.HandlePush(w.conf.now(), w.tenant, *reply.Set))
 		}
 		w.execute(w.core.HandleReply(w.now(), a.ID, reply.Reply))
 	})
 }
 
 // handleAsk passes a child's request to the core; the reply arrives on the channel.
-func (w *watcher) handleAsk(args NextArgs) <-chan NextReply {
-	ch := make(chan NextReply, 1)
+func (w *watcher) handleAsk(args WatchArgs) <-chan WatchReply {
+	ch := make(chan WatchReply, 1)
 	if w == nil {
-		ch <- NextReply{}
+		ch <- WatchReply{}
 		return ch
 	}
 	w.lastAskID++
 	w.pending[w.lastAskID] = pendingNext{args: args, ch: ch}
-	w.execute(w.core.HandleAsk(w.now(), w.lastAskID, args.Ask))
+	w.execute(w.core.HandlePoll(w.now(), w.lastAskID, args.Ask))
 	return ch
 }
 
-func (w *watcher) sendReply(a watch.Answer) {
+func (w *watcher) sendReply(a configwatch.SendReply) {
 	p, ok := w.pending[a.ID]
 	if !ok {
 		return
 	}
 	delete(w.pending, a.ID)
-	r := NextReply{Reply: a.Reply}
+	r := WatchReply{Reply: a.Reply}
 	if a.Reply.Version > a.Have {
-		r.Set = w.conf.state.Since(w.conf.now(), w.tenant, p.args.Base)
+		r.Set = w.conf.state.ReplySince(w.conf.now(), w.tenant, p.args.Base)
 	}
 	w.waive(r.Set)
 	p.ch <- r
@@ -212,7 +212,7 @@
 
 // waive excludes a request and its reply from the control budget. They deliver the
 // configuration, which has priority over everything else that the budget pays for.
-func (w *watcher) waive(set *inforce.Reply) {
+func (w *watcher) waive(set *configsync.Reply) {
 	size := nextBytes
 	if set != nil {
 		size += len(set.Delta) + len(set.Whole)
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -9,13 +9,13 @@
 	"github.com/matryer/is"
 
 	"peardrift/internal/adapter/rpc"
-	"peardrift/internal/core/watch"
+	"peardrift/internal/core/configwatch"
 )
 
 type stubParent struct{}
 
-func (stubParent) Next(_ *NextArgs, out *NextReply) error {
-	*out = NextReply{Reply: watch.Reply{Version: 12345, Marked: true, Since: -700 * time.Millisecond}}
+func (stubParent) Next(_ *WatchArgs, out *WatchReply) error {
+	*out = WatchReply{Reply: configwatch.PollReply{Version: 12345, HasWatermark: true, WatermarkOffset: -700 * time.Millisecond}}
 	return nil
 }
 
@@ -33,8 +33,8 @@
 	p := rpc.NewPool(rpc.DefaultConfig(), called)
 	defer p.Close()
 	ask := func() {
-		args := NextArgs{Ask: watch.Ask{Have: 12345}, Base: 12345}
-		is.NoErr(p.Call(context.Background(), ln.Addr().String(), methodNext, &args, &NextReply{}))
+		args := WatchArgs{Ask: configwatch.PollRequest{Version: 12345}, Base: 12345}
+		is.NoErr(p.Call(context.Background(), ln.Addr().String(), methodNext, &args, &WatchReply{}))
 	}
 	ask() // opens the connection
 	for _, m := range []*rpc.Meter{served, called} {
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -63,19 +63,19 @@
 	List(ctx context.Context, prefix string) ([]Item, error)
 }
 
-// Rewind describes a restore of the platform's store from an older copy: later writes are
+// Restore describes a restore of the platform's store from an older copy: later writes are
 // lost, and their versions are assigned again.
-type Rewind struct {
+type Restore struct {
 	FromEra, ToEra int64
 	Before, After  int64 // newest row versions seen in each era; 0: none
 }
 
-// Rewinds is implemented by tables that detect restores from an older copy.
-type Rewinds interface {
-	// OnRewind sets the function that is called once per detected restore. It must be
+// RestoreNotifier is implemented by tables that detect restores from an older copy.
+type RestoreNotifier interface {
+	// OnRestore sets the function that is called once per detected restore. It must be
 	// called before the first use of the table; f may be called from any goroutine and
 	// must not block.
-	OnRewind(f func(Rewind))
+	OnRestore(f func(Restore))
 }
 
 // Objects is the platform's object store. Objects are written under a name that includes
--- a/internal/port/porttest/doc.go
+++ b/internal/port/porttest/doc.go
@@ -15,13 +15,13 @@
 	None Fault = iota
 	// Unavailable fails the call without any effect.
 	Unavailable
-	// LostAnswer applies the write and loses its response.
-	LostAnswer
+	// LostResponse applies the write and loses its response.
+	LostResponse
 	// LostRequest drops the write; its writer can't tell.
 	LostRequest
-	// Late loses the response and delays the write until the next call of the fake or
+	// Delayed loses the response and delays the write until the next call of the fake or
 	// of Flush.
-	Late
+	Delayed
 )
 
 // Op is the method of a call.
--- a/internal/port/porttest/objects.go
+++ b/internal/port/porttest/objects.go
@@ -57,7 +57,7 @@
 		return port.ErrUnavailable
 	case LostRequest:
 		return port.ErrAmbiguous
-	case LostAnswer, Late:
+	case LostResponse, Delayed:
 		o.bodies[name] = bytes.Clone(body)
 		return port.ErrAmbiguous
 	default:
--- a/internal/port/porttest/table.go
+++ b/internal/port/porttest/table.go
@@ -81,10 +81,10 @@
 		return port.ErrUnavailable
 	case LostRequest:
 		return port.ErrAmbiguous
-	case LostAnswer:
+	case LostResponse:
 		t.apply(ps)
 		return port.ErrAmbiguous
-	case Late:
+	case Delayed:
 		t.delayed = append(t.delayed, ps)
 		return port.ErrAmbiguous
 	default:
--- a/internal/port/sets.go
+++ b/internal/port/sets.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"peardrift/internal/core/confset"
+	"peardrift/internal/core/configset"
 	"peardrift/internal/core/request"
 )
 
@@ -14,9 +14,9 @@
 	// Tenants returns the tenants that have an accepted set.
 	Tenants(ctx context.Context) ([]request.Tenant, error)
 	// Head returns the accepted version of a tenant's set, or ErrNotFound if there is none.
-	Head(ctx context.Context, t request.Tenant) (confset.Head, error)
+	Head(ctx context.Context, t request.Tenant) (configset.Head, error)
 	// Body returns the canonical bytes of a set without verifying them.
-	Body(ctx context.Context, t request.Tenant, d confset.Digest) ([]byte, error)
+	Body(ctx context.Context, t request.Tenant, d configset.Digest) ([]byte, error)
 }
 
 // WatchedSets are Sets that support watching for newly accepted sets.
@@ -31,19 +31,19 @@
 
 // Change is the platform's response to a watch.
 type Change struct {
-	Set   *confset.Packed // nil if there is no newer set
-	Quiet bool            // the platform waited the full time and nothing changed
+	Set       *configset.EncodedSet // nil if there is no newer set
+	Unchanged bool                  // the platform waited the full time and nothing changed
 }
 
 // Report is a target's report on its own state.
 type Report struct {
-	Instance string // the instance's name
-	Born     int64  // start time in Unix milliseconds; 0 if not reported
-	Service  request.Service
-	Address  string        // address that the target serves on; empty if not reported
-	Slots    int           // maximum concurrent requests; 0 if not reported
-	Leaving  bool          // the target accepts no new work
-	Last     bool          // the final report of this lifetime
-	Seq      int64         // increases with each report of a lifetime
-	Cold     time.Duration // remaining warm-up time; 0 if not reported
+	Instance        string // the instance's name
+	StartedAt       int64  // start time in Unix milliseconds; 0 if not reported
+	Service         request.Service
+	Address         string        // address that the target serves on; empty if not reported
+	Slots           int           // maximum concurrent requests; 0 if not reported
+	Leaving         bool          // the target accepts no new work
+	Final           bool          // the final report of this lifetime
+	Seq             int64         // increases with each report of a lifetime
+	WarmupRemaining time.Duration // remaining warm-up time; 0 if not reported
 }
--- a/internal/cadence/cadence_test.go
+++ b/internal/timeralign/cadence_test.go
@@ -1,4 +1,4 @@
-package cadence
+package timeralign
 
 import (
 	"testing"
--- a/internal/wire/dialect.go
+++ b/internal/wire/dialect.go
@@ -13,9 +13,9 @@
 	// Request names the caller's request; each attempt of a caller has another name.
 	// It is passed on to the target, which echoes it.
 	Request string
-	// Chain separates, in the name of a target's call, the name of the request that
+	// ChainSeparator separates, in the name of a target's call, the name of the request that
 	// the target runs from the rest. Empty: targets pass on traceparent instead.
-	Chain string
+	ChainSeparator string
 	// Timeout carries how many milliseconds the sender waits. Empty:
 	// HeaderTargetDeadline.
 	Timeout string
@@ -23,10 +23,10 @@
 	Origin string
 	// Instance tells the target which of its instances is meant. Another instance
 	// answers with StatusMisdirected and names itself in InstanceIs.
-	Instance   string
-	InstanceIs string
-	// NotRun marks the answers of a target that has not run the request.
-	NotRun string
+	Instance       string
+	ActualInstance string
+	// NotExecuted marks the answers of a target that has not run the request.
+	NotExecuted string
 	// Signature marks the answers that a target has made itself. A success without it,
 	// or with another name echoed in Request, is not passed on.
 	Signature string
@@ -35,8 +35,8 @@
 	Organisation string
 	// Scheme precedes a caller's API key in Authorization. Empty: DefaultScheme.
 	Scheme string
-	// Fractions reports whether Retry-After may have fractions of seconds.
-	Fractions bool
+	// FractionalRetryAfter reports whether Retry-After may have fractions of seconds.
+	FractionalRetryAfter bool
 }
 
 // TimeoutHeader returns the name of the header that carries the timeout.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -48,8 +48,8 @@
 	HeaderRequest = Prefix + "Request"
 	// HeaderProbe asks a node which of these attempts, given by span, it is still
 	// processing; HeaderInHand lists those in the answer.
-	HeaderProbe  = Prefix + "Probe"
-	HeaderInHand = Prefix + "In-Hand"
+	HeaderProbe      = Prefix + "Probe"
+	HeaderProbeReply = Prefix + "In-Hand"
 )
 
 // Headers not defined by the project that nodes use.
@@ -234,16 +234,16 @@
 
 // Answer is what the callee's node tells the calling node with an answer.
 type Answer struct {
-	Outcome  request.Outcome
-	Code     status.Code
-	Below    status.Code   // why a downstream call failed, if the target itself answered with a failure
-	Level    request.Level // 0: all calls are admitted
-	Chain    request.Level // of the downstream services, for the call's class
-	Unspent  int
-	Made     int
-	InFlight int           // calls running on the target or queued for it
-	Limit    int           // calls that may run on the target
-	Pushback time.Duration // 0: none
+	Outcome        request.Outcome
+	Code           status.Code
+	DownstreamCode status.Code   // why a downstream call failed, if the target itself answered with a failure
+	Level          request.Level // 0: all calls are admitted
+	ChainLevel     request.Level // of the downstream services, for the call's class
+	Unspent        int
+	AttemptsMade   int
+	InFlight       int           // calls running on the target or queued for it
+	Limit          int           // calls that may run on the target
+	Pushback       time.Duration // 0: none
 }
 
 // Positions of the fields of HeaderReply.
@@ -266,9 +266,9 @@
 	var buf [128]byte
 	b := append(buf[:0], a.Outcome.String()...)
 	b = appendEscaped(append(b, separator), string(a.Code))
-	b = appendEscaped(append(b, separator), string(a.Below))
+	b = appendEscaped(append(b, separator), string(a.DownstreamCode))
 	for _, n := range [...]int64{
-		int64(a.Level), int64(a.Chain), int64(a.Unspent), int64(a.Made),
+		int64(a.Level), int64(a.ChainLevel), int64(a.Unspent), int64(a.AttemptsMade),
 		int64(a.InFlight), int64(a.Limit), a.Pushback.Milliseconds(),
 	} {
 		b = append(b, separator)
@@ -288,16 +288,16 @@
 		f[i], b, _ = bytes.Cut(b, []byte{separator})
 	}
 	return Answer{
-		Outcome:  request.ParseOutcome(string(f[replyOutcome])),
-		Code:     status.Code(unescape(f[replyCode])),
-		Below:    status.Code(unescape(f[replyBelow])),
-		Level:    request.Level(parseNumber(f[replyLevel], uint64(request.MaxPriority))),
-		Chain:    request.Level(parseNumber(f[replyChain], uint64(request.MaxPriority))),
-		Unspent:  int(parseNumber(f[replyUnspent], 1<<10)),
-		Made:     int(parseNumber(f[replyMade], 1<<16)),
-		InFlight: int(parseNumber(f[replyInFlight], 1<<20)),
-		Limit:    int(parseNumber(f[replyLimit], 1<<20)),
-		Pushback: time.Duration(parseNumber(f[replyPushback], uint64(time.Hour/time.Millisecond))) * time.Millisecond,
+		Outcome:        request.ParseOutcome(string(f[replyOutcome])),
+		Code:           status.Code(unescape(f[replyCode])),
+		DownstreamCode: status.Code(unescape(f[replyBelow])),
+		Level:          request.Level(parseNumber(f[replyLevel], uint64(request.MaxPriority))),
+		ChainLevel:     request.Level(parseNumber(f[replyChain], uint64(request.MaxPriority))),
+		Unspent:        int(parseNumber(f[replyUnspent], 1<<10)),
+		AttemptsMade:   int(parseNumber(f[replyMade], 1<<16)),
+		InFlight:       int(parseNumber(f[replyInFlight], 1<<20)),
+		Limit:          int(parseNumber(f[replyLimit], 1<<20)),
+		Pushback:       time.Duration(parseNumber(f[replyPushback], uint64(time.Hour/time.Millisecond))) * time.Millisecond,
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -29,8 +29,8 @@
 func TestAnswerRoundTrip(t *testing.T) {
 	is := is.New(t)
 	in := Answer{
-		Outcome: request.Refused, Code: status.CodeOverloaded, Below: status.CodeNoTarget, Level: 7 << 16, Chain: 9 << 16,
-		Unspent: 1, Made: 4, InFlight: 20, Limit: 25, Pushback: 1200 * time.Millisecond,
+		Outcome: request.Refused, Code: status.CodeOverloaded, DownstreamCode: status.CodeNoTarget, Level: 7 << 16, ChainLevel: 9 << 16,
+		Unspent: 1, AttemptsMade: 4, InFlight: 20, Limit: 25, Pushback: 1200 * time.Millisecond,
 	}
 	var h protocol.ResponseHeader
 	SetAnswer(&h, &in)
