--- a/internal/adapter/hertzhttp/client.go
+++ b/internal/adapter/hertzhttp/client.go
@@ -37,10 +37,10 @@
 	// DialTimeout limits a dial (default 1 s). A lower value detects an unreachable
 	// peer sooner; if it is too low, dials to peers that are merely busy fail.
 	DialTimeout time.Duration
-	// SilenceTimeout is how long a call waits without traffic when it is unknown whether the
-	// peer is processing it (default 5 s with a Prober, else 30 s). A lower value
-	// frees callers of dead connections sooner; if it is too low, calls that merely
-	// take long fail.
+	// SilenceTimeout is how long a call waits without traffic when it is unknown whether
+	// the peer is processing it (default 5 s with a Prober, else 30 s). A lower value
+	// frees callers of dead connections sooner; if it is too low, calls that merely take
+	// long fail.
 	SilenceTimeout time.Duration
 	// Prober asks peers whether they are processing calls that have gone silent; nil
 	// if peers can't be asked.
@@ -49,9 +49,9 @@
 	// accepts all responses. It relies on what the peer sends, so it detects
 	// duplicate responses but doesn't replace giving each call its own connection.
 	MatchResponse func(req *protocol.RequestHeader, resp *protocol.ResponseHeader) Match
-	// CompressHeaders compresses request headers for peers whose servers decompress them. It
-	// saves traffic between zones, where each byte is charged; on one machine it
-	// only costs CPU time.
+	// CompressHeaders compresses request headers for peers whose servers decompress them.
+	// It saves traffic between zones, where each byte is charged; on one machine it only
+	// costs CPU time.
 	CompressHeaders bool
 	// AllowUnframed accepts responses that have no length and end when the connection
 	// closes. By default they are refused: one that the peer truncates looks
@@ -104,7 +104,7 @@
 	return &Client{cfg: cfg, connConfig: cc, epoch: time.Now(), pools: make(map[string]*pool)}
 }
 
-// giveUpWithoutProber is the default of ClientConfig.GiveUp without a Prober. A
+// giveUpWithoutProber is the default of ClientConfig.SilenceTimeout without a Prober. A
 // target sends nothing while it processes a call, so this must exceed the targets'
 // processing time.
 const giveUpWithoutProber = 30 * time.Second
@@ -222,8 +222,8 @@
 const (
 	// MatchesRequest is the response to the request.
 	MatchesRequest Match = iota
-	// MatchesEarlierRequest is a duplicate response to an earlier request; the response to this
-	// request may follow.
+	// MatchesEarlierRequest is a duplicate response to an earlier request; the response
+	// to this request may follow.
 	MatchesEarlierRequest
 	// MatchesNone did not come from the peer; nothing that follows on the connection can
 	// be trusted.
--- a/internal/adapter/hertzhttp/server.go
+++ b/internal/adapter/hertzhttp/server.go
@@ -36,8 +36,8 @@
 	MaxHeaderBytes int
 	// NoDate omits the Date header from responses; nodes don't use it.
 	NoDate bool
-	// CompressHeaders accepts compressed headers and compresses the headers of the responses
-	// to them.
+	// CompressHeaders accepts compressed headers and compresses the headers of the
+	// responses to them.
 	CompressHeaders bool
 	// Conns limits the open connections of all servers that share it; nil means no
 	// limit.
--- a/internal/apply/accept.go
+++ b/internal/apply/accept.go
@@ -14,7 +14,8 @@
 	"peardrift/internal/status"
 )
 
-// CodeSharesExceeded is the code of an apply after which the shares of all tenants would exceed 1.
+// CodeSharesExceeded is the code of an apply after which the shares of all tenants would
+// exceed 1.
 const CodeSharesExceeded status.Code = "shares-exceeded"
 
 // shareTolerance allows for rounding errors in the sum of shares.
@@ -66,8 +67,8 @@
 // Its errors:
 //
 //   - status.CodeInvalidSet: the set is invalid
-//   - *Conflict: the accepted version is not base
-//   - CodeShares: the shares of all tenants would exceed 1
+//   - *ConflictError: the accepted version is not base
+//   - CodeSharesExceeded: the shares of all tenants would exceed 1
 //   - status.CodePlatformDown: the platform is unreachable; nothing was accepted
 //   - status.CodeOutcomeUnknown: the set may have been accepted; applying the same
 //     set and base again resolves it
@@ -220,9 +221,9 @@
 }
 
 // resolve determines the outcome of a write that failed with cause, or of an earlier
-// ambiguous one. It returns nil if it was accepted, a *Conflict if another set was, else
-// cause, which leads to another attempt: the head is unchanged, and an earlier write may
-// still take effect.
+// ambiguous one. It returns nil if it was accepted, a *ConflictError if another set was,
+// else cause, which leads to another attempt: the head is unchanged, and an earlier write
+// may still take effect.
 func (a *attempt) resolve(ctx context.Context, cause error) error {
 	r, err := a.Version(ctx, a.set.Tenant, a.base+1)
 	switch {
@@ -240,9 +241,9 @@
 	return &ConflictError{Tenant: a.set.Tenant, Base: a.base, Current: current}
 }
 
-// isRejected reports whether an error proves that the set was not and will not be accepted,
-// even after an ambiguous write. CodeShares does: the ledger has changed since that write's
-// condition was read, so the write can't take effect.
+// isRejected reports whether an error proves that the set was not and will not be
+// accepted, even after an ambiguous write. CodeSharesExceeded does: the ledger has
+// changed since that write's condition was read, so the write can't take effect.
 func isRejected(err error) bool {
 	code := status.CodeOf(err)
 	return code == status.CodeConflict || code == CodeSharesExceeded
--- a/internal/apply/store.go
+++ b/internal/apply/store.go
@@ -23,7 +23,7 @@
 	Attempts int
 
 	// InitialDelay is the delay before the second attempt. It grows by a factor of 1.5 per
-	// attempt up to MaxPause, with a jitter of 50% either way. Default 50ms. Lower
+	// attempt up to MaxDelay, with a jitter of 50% either way. Default 50ms. Lower
 	// resolves sooner; higher puts less load on a failing platform.
 	InitialDelay time.Duration
 
--- a/internal/claims/config.go
+++ b/internal/claims/config.go
@@ -14,7 +14,7 @@
 	// Raising it lets a slow platform hold more admission slots; lowering it
 	// refuses bursts of at-most-once calls.
 	MaxClaims int
-	// MaxPending is the number of pending duties from which new claims are
+	// MaxPending is the number of pending follow-ups from which new claims are
 	// refused. Default 1024. Raising it costs memory (one outcome each); lowering
 	// it refuses sooner in an outage.
 	MaxPending int
@@ -26,7 +26,7 @@
 	// under its key. Default 100 ms. Raising it gives more callers a definite
 	// answer while the platform is slow; lowering it answers sooner.
 	ExplainTimeout time.Duration
-	// RetryMin and RetryMax bound the backoff between tries of a duty, which
+	// RetryMin and RetryMax bound the backoff between tries of a follow-up, which
 	// grows by half with each try and has a jitter of plus or minus half. Default
 	// 500 ms and 30 s. Raising them reduces load on a recovering platform;
 	// lowering them resolves keys sooner.
--- a/internal/claims/duty.go
+++ b/internal/claims/duty.go
@@ -10,18 +10,18 @@
 	"peardrift/internal/core/claim"
 )
 
-// retryTask is a duty that is retried in the background.
+// retryTask is a follow-up that is retried in the background.
 type retryTask struct {
 	place   Ref
 	duty    claim.FollowUp
 	backoff *backoff.ExponentialBackOff
 }
 
-// maxSteps bounds the operations of one try of a duty.
+// maxSteps bounds the operations of one try of a follow-up.
 const maxSteps = 8
 
-// handleDuty tries an urgent duty once before the answer, for at most RecordWait,
-// and leaves all other duties to the pool.
+// handleDuty tries an urgent follow-up once before the answer, for at most RecordTimeout,
+// and leaves all other follow-ups to the pool.
 func (r *Runner) handleDuty(ctx context.Context, p Ref, d claim.FollowUp) {
 	if !d.Pending() {
 		return
@@ -39,7 +39,7 @@
 	r.scheduleRetry(r.postpone(p, d))
 }
 
-// tryDuty makes one try of a duty within timeout and reports whether it is
+// tryDuty makes one try of a follow-up within timeout and reports whether it is
 // finished.
 func (r *Runner) tryDuty(ctx context.Context, p Ref, d *claim.FollowUp, timeout time.Duration) bool {
 	end := wallNow() + timeout
@@ -71,12 +71,12 @@
 	return r.breaker.Allow(wallNow())
 }
 
-// postpone registers a duty that is completed after the answer.
+// postpone registers a follow-up that is completed after the answer.
 func (r *Runner) postpone(p Ref, d claim.FollowUp) *retryTask {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval, policy.MaxInterval = r.cfg.RetryMin, r.cfg.RetryMax
 	policy.Reset()
-	r.work.Add(1) // the call that owns the duty is still counted, so Wait cannot have returned
+	r.work.Add(1) // the call that owns the follow-up is still counted, so Wait cannot have returned
 	r.mu.Lock()
 	r.pending++
 	r.stats.duties(r.pending)
@@ -114,7 +114,7 @@
 	}
 }
 
-// retry tries the task's duty.
+// retry tries the task's follow-up.
 func (r *Runner) retry(c *retryTask) {
 	if !r.breakerAllows() || !r.tryDuty(context.Background(), c.place, &c.duty, maxSteps*r.cfg.Claim.OpTimeout) {
 		r.scheduleRetry(c)
@@ -125,14 +125,14 @@
 	r.removeDuty()
 }
 
-// removeDuty removes a duty from the count. r.mu must be held.
+// removeDuty removes a follow-up from the count. r.mu must be held.
 func (r *Runner) removeDuty() {
 	r.pending--
 	r.stats.duties(r.pending)
 	r.work.Done()
 }
 
-// retryAll retries all scheduled duties immediately, because a closing node does
+// retryAll retries all scheduled follow-ups immediately, because a closing node does
 // not wait for their backoff.
 func (r *Runner) retryAll() {
 	for _, c := range r.stopTimers() {
@@ -151,8 +151,8 @@
 	return cs
 }
 
-// abandon drops the scheduled duties and prevents those in progress from being
-// rescheduled. It returns the number of pending duties.
+// abandon drops the scheduled follow-ups and prevents those in progress from being
+// rescheduled. It returns the number of pending follow-ups.
 func (r *Runner) abandon() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/claims/result.go
+++ b/internal/claims/result.go
@@ -19,7 +19,7 @@
 	// one's answer.
 	Body      claim.Digest
 	Deadline  time.Time     // when the caller stops waiting
-	Retention time.Duration // how long the outcome is kept; 0: claim.Config.Remember
+	Retention time.Duration // how long the outcome is kept; 0: claim.Config.Retention
 }
 
 // Result is the result of a call. If Err is nil, the call has a complete answer:
--- a/internal/claims/rows.go
+++ b/internal/claims/rows.go
@@ -18,11 +18,11 @@
 // Rows stores claims, each in a row of its own or several in a shared row.
 //
 // Methods may be called from any goroutine and return within wait, or shortly
-// after if a write is delayed for batching. A Place identifies the same claim on
+// after if a write is delayed for batching. A Ref identifies the same claim on
 // every node.
 type Rows interface {
 	// Put writes r if the claim is at r.Version-1. It returns claim.Written,
-	// ConditionFailed, NothingWritten, NoRoom or InDoubt.
+	// ConditionFailed, NotWritten, NoRoom or Ambiguous.
 	Put(ctx context.Context, p Ref, r claim.Row, wait time.Duration) claim.Event
 	// Get returns claim.RowRead, RowUnreadable or ReadFailed. The read is
 	// strongly consistent.
--- a/internal/claims/runner.go
+++ b/internal/claims/runner.go
@@ -13,7 +13,7 @@
 	"peardrift/internal/status"
 )
 
-// Pool runs the tries of duties; *ants.Pool implements it.
+// Pool runs the tries of follow-ups; *ants.Pool implements it.
 type Pool interface {
 	Submit(task func()) error
 }
@@ -27,7 +27,7 @@
 	stats stats
 	slots chan struct{} // one token per call in the claim phase
 
-	work sync.WaitGroup // calls and pending duties
+	work sync.WaitGroup // calls and pending follow-ups
 
 	mu        sync.Mutex
 	breaker   claim.Breaker
@@ -37,7 +37,7 @@
 	stopped   bool // also schedules no further tries
 }
 
-// New returns a Runner. pool should not serve traffic, because tries of duties
+// New returns a Runner. pool should not serve traffic, because tries of follow-ups
 // wait for the platform.
 func New(rows Rows, pool Pool, cfg Config, log *zap.Logger, scope tally.Scope) *Runner {
 	return &Runner{
@@ -179,7 +179,7 @@
 	return run(ctx)
 }
 
-// Close refuses new calls and waits for active runs and their duties until ctx
+// Close refuses new calls and waits for active runs and their follow-ups until ctx
 // ends. It then fails with status.CodeDeadlineExceeded: the keys of unfinished
 // duties stay claimed, and repeats are answered "unknown".
 func (r *Runner) Close(ctx context.Context) error {
--- a/internal/claims/sharedrows/batcher.go
+++ b/internal/claims/sharedrows/batcher.go
@@ -40,7 +40,7 @@
 	return b
 }
 
-// Submit queues an op and returns its result within op.Wait or when ctx ends.
+// Submit queues an op and returns its result within op.Timeout or when ctx ends.
 func (b *Batcher) Submit(ctx context.Context, op *Op) Answer {
 	if err := op.validate(b.cfg.Batch); err != nil {
 		return Answer{Code: err.Code}
--- a/internal/claims/sharedrows/config.go
+++ b/internal/claims/sharedrows/config.go
@@ -18,7 +18,7 @@
 	// sends callers to other nodes sooner.
 	MaxRows int
 	// MaxWait bounds how long a caller waits for an op in the Batcher. Default
-	// 1 s. It must exceed batch.Config.LazyWait.
+	// 1 s. It must exceed batch.Config.DeferDelay.
 	MaxWait time.Duration
 	// TableTimeout bounds one operation at the platform's table. Default 100 ms.
 	// Raising it tolerates slower writes, which delay the row's other ops;
@@ -37,9 +37,9 @@
 	// retries such a node less often; lowering it lets the node batch again
 	// sooner.
 	AvoidDuration time.Duration
-	// RefreshInterval is the age at which the layouts are reread. Default 10 min. It
-	// must stay below batch.Lead - batch.Margin - claim.Config.Ahead; lowering it
-	// costs the platform more reads from every node.
+	// RefreshInterval is the age at which the layouts are reread. Default 10 min. It must
+	// stay below batch.AnnounceLead - batch.ClockMargin - claim.Config.MaxKeyAhead;
+	// lowering it costs the platform more reads from every node.
 	RefreshInterval time.Duration
 }
 
--- a/internal/claims/sharedrows/doc.go
+++ b/internal/claims/sharedrows/doc.go
@@ -1,4 +1,4 @@
-// Package shared stores claims of dated keys in shared rows: it carries out the
+// Package sharedrows stores claims of dated keys in shared rows: it carries out the
 // decisions of internal/core/claim/batch between nodes and at the platform's
 // table.
 //
@@ -18,7 +18,7 @@
 //     is unreachable, slow, stopping or overloaded goes to the row's next node or
 //     the local Batcher within the same timeout; if both write it, the row's
 //     condition lets only one write succeed.
-//   - An op whose answer is lost is claim.InDoubt, unless that second try
+//   - An op whose answer is lost is claim.Ambiguous, unless that second try
 //     determines its result.
 //   - A Batcher refuses ops beyond its bounds with a typed code, and answers every
 //     op in bounded time.
--- a/internal/claims/sharedrows/layouts.go
+++ b/internal/claims/sharedrows/layouts.go
@@ -123,7 +123,7 @@
 	return list, item.Version, err
 }
 
-// Announce announces a layout of cfg for keys dated batch.Lead or more from now,
+// Announce announces a layout of cfg for keys dated batch.AnnounceLead or more from now,
 // and returns it. If the newest layout already equals cfg, Announce returns that
 // one. It fails with status.CodeConflict on a concurrent announcement, and with
 // status.CodeOutcomeUnknown if the write is ambiguous; repeat the call to resolve
--- a/internal/claims/sharedrows/op.go
+++ b/internal/claims/sharedrows/op.go
@@ -26,7 +26,7 @@
 type Answer struct {
 	Result batch.Result
 	Code   status.Code // reason of a refusal, with Result batch.Unavailable
-	// Version, Token and Value are the entry for a Look with Result batch.OK;
+	// Version, Token and Value are the entry for a ReadOnly op with Result batch.OK;
 	// Version is 0 if the entry is absent.
 	Version int64
 	Token   string
--- a/internal/claims/sharedrows/rows.go
+++ b/internal/claims/sharedrows/rows.go
@@ -120,7 +120,7 @@
 	return lookEvent(r.Submit(ctx, op, wait+r.cfg.Batch.MinWriteInterval))
 }
 
-// lookEvent converts the answer to a Look into an event.
+// lookEvent converts the answer to a ReadOnly op into an event.
 func lookEvent(ans Answer) claim.Event {
 	switch {
 	case ans.Result != batch.OK:
--- a/internal/claims/sharedrows/sender.go
+++ b/internal/claims/sharedrows/sender.go
@@ -200,7 +200,7 @@
 // reachable, and then the choice of node does not matter.
 const maxAvoided = 256
 
-// skip excludes a failed node for AvoidFor.
+// skip excludes a failed node for AvoidDuration.
 func (s *Sender) skip(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/claims/stats.go
+++ b/internal/claims/stats.go
@@ -32,7 +32,7 @@
 	s.scope.Tagged(map[string]string{"result": result}).Counter("calls").Inc(1)
 }
 
-// duties sets the gauge of pending duties.
+// duties sets the gauge of pending follow-ups.
 func (s stats) duties(n int) { s.scope.Gauge("duties_pending").Update(float64(n)) }
 
 // lost counts outcomes that are missing in the table although they were written.
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -109,7 +109,7 @@
 }
 
 // slotShortage returns how scarce slots are: 0 while utilization is at most
-// Config.SpareBelow, rising to 1 when the whole limit is in use.
+// Config.SpareUtilization, rising to 1 when the whole limit is in use.
 func (g *Gate) slotShortage() float64 {
 	used := float64(g.running) / float64(g.limiter.Limit())
 	return min(max((used-g.cfg.SpareUtilization)/(1-g.cfg.SpareUtilization), 0), 1)
@@ -329,7 +329,7 @@
 }
 
 // Level returns the admission level that applies to every tenant, i.e. the lowest. A
-// caller that knows the request's tenant uses LevelOf.
+// caller that knows the request's tenant uses TenantLevel.
 func (g *Gate) Level() request.Level {
 	low := request.MaxPriority
 	for _, t := range g.levels.tenants {
--- a/internal/core/claim/attempt.go
+++ b/internal/core/claim/attempt.go
@@ -83,7 +83,7 @@
 
 func (a *Attempt) start(now time.Duration) Action {
 	a.startedAt = now
-	// The platform may remove a row after Remember. A later repeat would find it
+	// The platform may remove a row after Retention. A later repeat would find it
 	// absent and run again; the time in a dated key rules that out.
 	if a.req.KeyTime > 0 && now > a.req.KeyTime+a.req.Retention-a.cfg.MaxClockSkew {
 		return a.finish(Answer{Outcome: Outcome{Code: status.CodeOutcomeUnknown}, NotRunByCall: true})
@@ -294,7 +294,7 @@
 	return d + d/parts*part
 }
 
-// recordDuty returns the duty that records an outcome.
+// recordDuty returns the follow-up that records an outcome.
 func (a *Attempt) recordDuty(now time.Duration, o Outcome) FollowUp {
 	return newRecordDuty(a.cfg, Row{
 		Version: a.baseVersion + 1, Token: a.req.Token, State: Done, Fingerprint: a.req.Fingerprint,
@@ -303,5 +303,5 @@
 	})
 }
 
-// releaseDuty returns the duty that releases the claim.
+// releaseDuty returns the follow-up that releases the claim.
 func (a *Attempt) releaseDuty() FollowUp { return newReleaseDuty(a.cfg, a.req.Token, a.baseVersion) }
--- a/internal/core/claim/batch/batcher.go
+++ b/internal/core/claim/batch/batcher.go
@@ -358,7 +358,7 @@
 
 // backOff delays the row's next batch exponentially with consecutive failures.
 // Without it a platform that was slow for a second stays slow: every row retries
-// its failed ops each Pace, which together exceeds the platform's capacity, so
+// its failed ops each MinWriteInterval, which together exceeds the platform's capacity, so
 // all of them fail again.
 func (b *Batcher) backOff(now time.Duration, r *row) {
 	pause := b.cfg.MinWriteInterval
--- a/internal/core/claim/batch/config.go
+++ b/internal/core/claim/batch/config.go
@@ -16,8 +16,8 @@
 	// Raising it batches more ops per write; lowering it answers claims sooner.
 	MinWriteInterval time.Duration
 	// MaxWriteInterval bounds the interval between two writes of a row while the platform
-	// does not answer; the interval doubles from Pace with each failure. Default
-	// 1 s. Raising it reduces load on a recovering platform; lowering it answers
+	// does not answer; the interval doubles from MinWriteInterval with each failure.
+	// Default 1 s. Raising it reduces load on a recovering platform; lowering it answers
 	// sooner after recovery.
 	MaxWriteInterval time.Duration
 	// DeferDelay bounds the delay of an op without a waiting caller. Default
--- a/internal/core/claim/batch/doc.go
+++ b/internal/core/claim/batch/doc.go
@@ -11,7 +11,7 @@
 // internal/core/claim apply unchanged.
 //
 // The callee's node sends its Op to the row's batching node, chosen by
-// rendezvous hashing over the members it knows (Pick). The batching node collects
+// rendezvous hashing over the members it knows (PickNode). The batching node collects
 // the ops of a row while its last write is in flight and for a short time after,
 // and writes them with one conditional write.
 //
@@ -33,7 +33,7 @@
 // # Usage
 //
 // Pass each Op to Submit, results of the table to Written, ConditionFailed,
-// InDoubt, NothingWritten, RowRead and ReadFailed, and call Tick at the time that
+// Ambiguous, NotWritten, RowRead and ReadFailed, and call Tick at the time that
 // Due returns. Each returns the actions to carry out: Write, Read and Reply.
 //
 // # Concurrency
--- a/internal/core/claim/batch/layout.go
+++ b/internal/core/claim/batch/layout.go
@@ -15,14 +15,14 @@
 // All nodes must map a dated key to the same row; otherwise two nodes claim it in
 // two rows and its request runs twice. The layouts are therefore stored in one
 // row of the table, and a node that has read it knows them for a limited time
-// ahead: a new layout applies only to keys dated Lead or more after its
+// ahead: a new layout applies only to keys dated AnnounceLead or more after its
 // announcement.
 const (
 	// LayoutKey is the table's row that holds the Layouts.
 	LayoutKey = "claims/layouts"
 	// AnnounceLead is how far ahead a layout is announced.
 	AnnounceLead = 2 * time.Hour
-	// ClockMargin is the part of Lead reserved for the clock difference between
+	// ClockMargin is the part of AnnounceLead reserved for the clock difference between
 	// announcer and reader and for the time that the announcement's write may be
 	// in flight.
 	ClockMargin = time.Hour
@@ -76,7 +76,7 @@
 	return l[len(l)-1], true
 }
 
-// Announce returns the list extended by the layout of cfg, for keys dated Lead or
+// Announce returns the list extended by the layout of cfg, for keys dated AnnounceLead or
 // more after now.
 func (l Layouts) Announce(now time.Duration, cfg Config) (Layouts, error) {
 	next := append(l[:len(l):len(l)], Layout{From: now + AnnounceLead, Slot: cfg.Slot, Shards: cfg.Shards})
--- a/internal/core/claim/batch/slot.go
+++ b/internal/core/claim/batch/slot.go
@@ -27,7 +27,7 @@
 
 // PickNode returns the index of the node that batches a row, by rendezvous hashing
 // over the nodes' ids: when a node joins or leaves, only its own rows move. Nodes
-// for which skip returns true are excluded; a nil skip excludes none. Pick returns
+// for which skip returns true are excluded; a nil skip excludes none. PickNode returns
 // -1 if no node is left.
 func PickNode(row string, ids []uint64, skip func(i int) bool) int {
 	best, weight := -1, uint64(0)
--- a/internal/core/claim/breaker.go
+++ b/internal/core/claim/breaker.go
@@ -24,7 +24,7 @@
 
 // Breaker is a circuit breaker for operations at the platform. While the
 // platform is down, every claim would hold its admission slot for the whole of
-// ClaimWait and crowd out requests that need no claim. An open breaker refuses
+// ClaimTimeout and crowd out requests that need no claim. An open breaker refuses
 // claims immediately, except for one call per pause that serves as the probe.
 type Breaker struct {
 	cfg       BreakerConfig
@@ -77,7 +77,7 @@
 	default:
 		// Not a probe: the operation was in flight when the breaker opened. If
 		// each of these doubled the pause, a short fault under load would refuse
-		// all at-most-once calls for ProbeMax.
+		// all at-most-once calls for MaxProbeInterval.
 		return
 	}
 	b.nextProbe, b.probing = now+b.pause, false
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -81,7 +81,7 @@
 }
 
 // Guards against a second run when a caller repeats a key after its row was
-// removed at the end of Remember: the absent row looks like an unused key.
+// removed at the end of Retention: the absent row looks like an unused key.
 func TestDatedKeyPastRetentionIsNotRun(t *testing.T) {
 	is := is.New(t)
 	req := testRequest("me")
@@ -114,7 +114,7 @@
 
 // Guards against treating a full shared row like an unavailable platform: the
 // caller would repeat the key without end or be answered "unknown" although
-// nothing ran, and the node would keep a duty forever.
+// nothing ran, and the node would keep a follow-up forever.
 func TestFullRowIsRefused(t *testing.T) {
 	is := is.New(t)
 	ans := startedAttempt("me").Step(t0, NoRoom{}).(Answer)
--- a/internal/core/claim/config.go
+++ b/internal/core/claim/config.go
@@ -36,7 +36,7 @@
 	MaxClockSkew time.Duration
 	// MaxKeyAhead is how far a dated key may be ahead of the node's clock at most.
 	// Default 30 min. Raising it accepts keys of callers with larger clock
-	// errors; it must stay below batch.Lead - batch.Margin by at least the
+	// errors; it must stay below batch.AnnounceLead - batch.ClockMargin by at least the
 	// interval at which nodes reread the layouts.
 	MaxKeyAhead time.Duration
 	// MaxStoredBody is the largest answer body stored in a row, in bytes. Default
--- a/internal/core/claim/doc.go
+++ b/internal/core/claim/doc.go
@@ -23,7 +23,7 @@
 //
 //   - Run is returned at most once by an Attempt, and only when the attempt's
 //     own claim is known to be in the table.
-//   - A lost answer to a write (InDoubt) is resolved by reading the token back.
+//   - A lost answer to a write (Ambiguous) is resolved by reading the token back.
 //     An absent row proves nothing, because the write may still arrive: the
 //     attempt then writes again under the same condition, so that at most one of
 //     the two writes takes effect.
@@ -31,7 +31,7 @@
 //     call's arrival and its answer, nothing had run under the key. The evidence
 //     is a row read as absent or Free, or a claim of this attempt. Without it
 //     (the platform is down) an earlier call under the key may have run: the kind
-//     is request.Unknown, and Answer.NotRunHere says only that this call ran
+//     is request.Unknown, and Answer.NotRunByCall says only that this call ran
 //     nothing.
 //   - A repeat gets the recorded outcome, or a typed "in progress" or "unknown".
 //   - A key reused for a different request fails with status.CodeKeyReused.
@@ -39,11 +39,11 @@
 // # Usage
 //
 // internal/claims holds one Attempt per call. It passes the events Begin,
-// Written, ConditionFailed, InDoubt, NothingWritten, RowRead, ReadFailed,
-// TargetDone, TargetNotRun and CallerGone to Step and carries out the returned
+// Written, ConditionFailed, Ambiguous, NotWritten, RowRead, ReadFailed,
+// TargetDone, TargetNotRun and CallerCanceled to Step and carries out the returned
 // Action: Write, Read, Run, or Answer, which is the last. Events are results of
 // the last action; the caller drops a result that arrives after the next action
-// was returned. An Answer may carry a Duty (an outcome to record, a claim to
+// was returned. An Answer may carry a FollowUp (an outcome to record, a claim to
 // release, an ambiguous write to fence): a separate state machine that may
 // continue after the caller has its answer.
 //
@@ -53,5 +53,5 @@
 //
 // # Concurrency
 //
-// Attempt, Duty and Breaker are plain values, not safe for concurrent use.
+// Attempt, FollowUp and Breaker are plain values, not safe for concurrent use.
 package claim
--- a/internal/core/claim/duty.go
+++ b/internal/core/claim/duty.go
@@ -14,7 +14,7 @@
 // FollowUp is the state machine for the work that an attempt leaves at the table. It
 // may be retried without limit after the caller has its answer; each try starts
 // with Begin. Until it is Finished the key stays as the attempt left it, and
-// repeats are answered "in progress" or "unknown". A Duty lost with its node
+// repeats are answered "in progress" or "unknown". A FollowUp lost with its node
 // makes that key unusable but never causes a second run.
 type FollowUp struct {
 	cfg         *Config
@@ -33,7 +33,7 @@
 // released.
 func (d *FollowUp) BeforeAnswer() bool { return d.task == taskRecord || d.task == taskRelease }
 
-// RecordsOutcome reports whether the duty records an outcome.
+// RecordsOutcome reports whether the follow-up records an outcome.
 func (d *FollowUp) RecordsOutcome() bool { return d.task == taskRecord }
 
 func newRecordDuty(cfg *Config, row Row) FollowUp {
@@ -44,15 +44,15 @@
 	return FollowUp{cfg: cfg, task: taskRelease, token: token, baseVersion: held}
 }
 
-// newFenceDuty returns the duty that undoes a claim write whose result is
+// newFenceDuty returns the follow-up that undoes a claim write whose result is
 // unknown. The write may have taken effect or may still do so, so reading the row
-// as absent is not enough. The duty writes a Free row under the same condition,
+// as absent is not enough. The follow-up writes a Free row under the same condition,
 // so that one of the two writes fails.
 func newFenceDuty(cfg *Config, token string, base int64) FollowUp {
 	return FollowUp{cfg: cfg, task: taskFence, token: token, baseVersion: base}
 }
 
-// Step handles an event and returns Write, Read, Later or Finished.
+// Step handles an event and returns Write, Read, RetryLater or Finished.
 func (d *FollowUp) Step(now time.Duration, e Event) Action {
 	if _, ok := e.(Begin); ok {
 		return d.start(now)
--- a/internal/core/claim/event.go
+++ b/internal/core/claim/event.go
@@ -7,12 +7,12 @@
 	"peardrift/internal/status"
 )
 
-// Event is an input to an Attempt or a Duty.
+// Event is an input to an Attempt or a FollowUp.
 type Event interface{ event() }
 
 // Events. Unless stated otherwise each is the result of the last action.
 type (
-	// Begin starts an attempt, or the next try of a duty.
+	// Begin starts an attempt, or the next try of a follow-up.
 	Begin struct{}
 	// Written: the write is durable.
 	Written struct{}
@@ -55,7 +55,7 @@
 func (TargetNotRun) event()    {}
 func (CallerCanceled) event()  {}
 
-// Action is the next step for the caller of an Attempt or a Duty. Nil means that
+// Action is the next step for the caller of an Attempt or a FollowUp. Nil means that
 // the last action is still in flight.
 type Action interface{ action() }
 
@@ -81,7 +81,7 @@
 	}
 	// RetryLater requests Begin after a pause, because the platform does not answer.
 	RetryLater struct{}
-	// Finished ends a duty. Lost means that the table does not hold the outcome
+	// Finished ends a follow-up. Lost means that the table does not hold the outcome
 	// to be recorded, which only an outside change to the table can cause.
 	Finished struct{ Lost bool }
 )
@@ -111,7 +111,7 @@
 	Fingerprint Digest        // Fingerprint of the request
 	Deadline    time.Duration // when the caller stops waiting
 	KeyTime     time.Duration // 0 for an undated key
-	Retention   time.Duration // how long the outcome is kept; 0: Config.Remember
+	Retention   time.Duration // how long the outcome is kept; 0: Config.Retention
 }
 
 // refusedOrUnknown returns Refused if it is known that nothing ran, else Unknown.
--- a/internal/core/claim/model_test.go
+++ b/internal/core/claim/model_test.go
@@ -18,7 +18,7 @@
 
 const maxCalls = 3
 
-// call is one attempt with its duty in the model.
+// call is one attempt with its follow-up in the model.
 type call struct {
 	attempt         Attempt
 	duty            FollowUp
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// deliver passes an event to the attempt or its duty.
+// deliver passes an event to the attempt or its follow-up.
 func (m *enumerator) deliver(name string, w modelState, i int, e Event) {
 	c := &w.calls[i]
 	c.ev = nil
--- a/internal/core/claim/row.go
+++ b/internal/core/claim/row.go
@@ -45,7 +45,7 @@
 	Code        status.Code // failure code; empty for a complete answer
 	Status      int         // HTTP status of the target's answer; 0: none
 	ContentType string
-	Body        string // the answer's bytes, if Kept
+	Body        string // the answer's bytes, if BodyStored
 	Size        int64  // of the complete answer, in bytes
 	Sum         Digest // of the complete answer
 	BodyStored  bool   // whether Body is the complete answer
--- a/internal/core/configset/doc.go
+++ b/internal/core/configset/doc.go
@@ -1,4 +1,4 @@
-// Package confset models a tenant's configuration set: what its operators
+// Package configset models a tenant's configuration set: what its operators
 // declare about their services, request classes and share.
 //
 // A Set is validated as a whole (Validate reports all problems at once), stored
--- a/internal/core/configset/route.go
+++ b/internal/core/configset/route.go
@@ -66,7 +66,7 @@
 	Prefix      string
 	Class       Class // the route's declarations for its requests
 	Services    []WeightedService
-	TotalWeight int // sum of the weights of Parts
+	TotalWeight int // sum of the weights of Services
 }
 
 // WeightedService is one of the services that share a route's requests.
--- a/internal/core/configsync/config.go
+++ b/internal/core/configsync/config.go
@@ -56,7 +56,7 @@
 	// spare a failing platform.
 	RetryMin, RetryMax time.Duration
 
-	// WholeSetRate (bytes per second) and ServeBurst (bytes) limit the whole sets
+	// WholeSetRate (bytes per second) and WholeSetBurst (bytes) limit the whole sets
 	// that a node sends to peers. Defaults 1 KB/s and 256 KB. Lower values
 	// limit a node's control traffic when many nodes start at once, and send
 	// some of them to the object store. Deltas are not limited.
--- a/internal/core/configsync/doc.go
+++ b/internal/core/configsync/doc.go
@@ -1,4 +1,4 @@
-// Package inforce distributes configuration: it decides which version of each
+// Package configsync distributes configuration: it decides which version of each
 // tenant's set is in force on a node, and how the node gets the newest one.
 //
 // # Distribution
@@ -6,7 +6,7 @@
 // The platform's head rows name the accepted versions. A few nodes poll them
 // (poll.go), chosen by a hash over the members. If membership views differ,
 // more nodes may poll, which costs only reads. New versions spread as gossiped
-// facts (Spread, Learn). An operator's tool may hint at a new version (Hint);
+// facts (GossipHead, Learn). An operator's tool may hint at a new version (Hint);
 // the node then reads the head row to confirm it.
 //
 // A node that learns of a version asks its parent for the changes since the
--- a/internal/core/configsync/fetch.go
+++ b/internal/core/configsync/fetch.go
@@ -99,7 +99,7 @@
 
 // verifyReply decodes and verifies a reply. It returns nil without an error if
 // the reply has nothing newer. A delta whose result does not match the digest
-// of its head is rejected, see confset.
+// of its head is rejected, see configset.
 //
 // A peer that was paused or partitioned replies with what it has, which helps a
 // node that is further behind. A starting node must not accept such a set: the
--- a/internal/core/configsync/message.go
+++ b/internal/core/configsync/message.go
@@ -32,7 +32,7 @@
 	// Head is the version that Delta or Whole produces.
 	Head configset.Head `msgpack:"h"`
 
-	// Delta is an encoded confset.Delta from the version that the requester
+	// Delta is an encoded configset.Delta from the version that the requester
 	// holds.
 	Delta []byte `msgpack:"d,omitempty"`
 
@@ -95,8 +95,8 @@
 type Source string
 
 const (
-	ByWatch     Source = "watch"     // read from the platform by this node, see Offer
-	ByParent    Source = "parent"    // pushed by the parent in the watch, see Give
+	ByWatch     Source = "watch"     // read from the platform by this node, see HandlePlatformSet
+	ByParent    Source = "parent"    // pushed by the parent in the watch, see HandlePush
 	ByHeartbeat Source = "heartbeat" // a delta piggybacked on a peer's heartbeat
 	ByPeer      Source = "peer"      // fetched from a peer over a separate connection
 	ByObject    Source = "object"    // read from the object store
--- a/internal/core/configsync/piggyback.go
+++ b/internal/core/configsync/piggyback.go
@@ -50,7 +50,7 @@
 func (s *State) SetBudget(b *budget.Bucket) { s.budget = b }
 
 // waitsForHeartbeat reports whether to wait for piggybacked deltas instead of
-// fetching the tenant's set. A tenant that stays behind longer than RideFor is
+// fetching the tenant's set. A tenant that stays behind longer than PiggybackTimeout is
 // fetched anyway: its peers may all be behind, or hold too little history for a
 // delta.
 func (s *State) waitsForHeartbeat(now time.Duration, x *tenant) bool {
--- a/internal/core/configsync/startup.go
+++ b/internal/core/configsync/startup.go
@@ -100,7 +100,7 @@
 
 // readPlatformIfDue reads the platform if no peer could help: at once if there
 // is no peer, else after a random delay that spreads the nodes in the same
-// situation over time, at ColdReads per second. The first of them inform the
+// situation over time, at PlatformStartRate per second. The first of them inform the
 // others meanwhile.
 func (s *State) readPlatformIfDue(now time.Duration) {
 	if s.startup.platformReadAt == 0 {
--- a/internal/core/configwatch/config.go
+++ b/internal/core/configwatch/config.go
@@ -12,23 +12,23 @@
 
 	// Fanout is the mean number of children of each node of a level. Default
 	// 32. A higher value makes the tree flatter and loads its inner nodes more:
-	// each child costs one call per Wait.
+	// each child costs one call per PollWait.
 	Fanout int
 
 	// PollWait is how long a poll waits at the platform for a change. A lower value
 	// keeps watermarks more recent and costs calls.
 	PollWait time.Duration
 
-	// PollTimeout is the timeout of a poll to the platform. It must exceed Wait by
+	// PollTimeout is the timeout of a poll to the platform. It must exceed PollWait by
 	// the response time of a slow platform.
 	PollTimeout time.Duration
 
 	// StaleAfter is the age of the watermark above which a node polls the platform
-	// itself. It must exceed Wait by the time that replies take to propagate
+	// itself. It must exceed PollWait by the time that replies take to propagate
 	// down the tree.
 	StaleAfter time.Duration
 
-	// PeerWait is how long a node holds a child's poll without news; PeerLimit
+	// PeerWait is how long a node holds a child's poll without news; PeerTimeout
 	// is the timeout of the child's poll. Higher values tolerate slower parents
 	// and detect dead ones later; the bound does not depend on them.
 	PeerWait, PeerTimeout time.Duration
@@ -46,8 +46,8 @@
 	MaxRetryRate int
 
 	// RootDelay is the time after its start during which a node does not become a
-	// root, as it may not know the other nodes yet. It must be less than Stale
-	// by more than Wait, or all nodes that start together poll a second time.
+	// root, as it may not know the other nodes yet. It must be less than StaleAfter
+	// by more than PollWait, or all nodes that start together poll a second time.
 	RootDelay time.Duration
 
 	// MinPollInterval is the minimum time between the starts of two polls to the
@@ -58,12 +58,12 @@
 	MaxWaiters int
 }
 
-// minSlack is the minimum time in addition to Wait that the platform has to
+// minSlack is the minimum time in addition to PollWait that the platform has to
 // respond.
 const minSlack = 500 * time.Millisecond
 
 // ConfigFor returns the parameters with which a version is in force on every
-// node within bound of its acceptance. Stale leaves enough of the bound for a
+// node within bound of its acceptance. StaleAfter leaves enough of the bound for a
 // poll to the platform and a late tick of the control goroutine.
 func ConfigFor(bound time.Duration) Config {
 	wait := bound / 3
--- a/internal/core/configwatch/doc.go
+++ b/internal/core/configwatch/doc.go
@@ -1,4 +1,4 @@
-// Package watch decides which nodes poll the platform for new versions of the
+// Package configwatch decides which nodes poll the platform for new versions of the
 // configuration, and how the other nodes verify that their version is the
 // newest.
 //
@@ -11,11 +11,11 @@
 // proof that there is none. So the number of calls to the platform does not
 // grow with the number of nodes.
 //
-// The proof is a freshness watermark (Mark): a time as of which no version
+// The proof is a freshness watermark (State.Watermark): a time as of which no version
 // newer than the current one was accepted. Only replies of the platform create
 // watermarks; they propagate down the tree with each reply. A delayed message
 // or process never makes a watermark later than what the platform confirmed. A
-// node whose watermark is older than Config.Stale polls the platform itself,
+// node whose watermark is older than Config.StaleAfter polls the platform itself,
 // whatever its parent replies, and switches to another parent. The watermarks,
 // not the choice of roots, guarantee the bound: the choice of roots only
 // affects cost, and nodes with different views of the membership do no harm.
--- a/internal/core/configwatch/message.go
+++ b/internal/core/configwatch/message.go
@@ -17,7 +17,7 @@
 	Version int64 `msgpack:"h"` // the child's version, 0 for none
 }
 
-// PollReply is the reply to an Ask.
+// PollReply is the reply to a PollRequest.
 type PollReply struct {
 	// Version is the parent's version, 0 for none.
 	Version int64 `msgpack:"v"`
@@ -32,7 +32,7 @@
 type Action interface{ action() }
 
 // PollPlatform polls the platform for a version above After, waiting there up to
-// Wait. The caller reports the outcome with HandlePlatform or HandleFailure
+// Wait. The caller reports the outcome with HandlePlatformReply or HandleFailure
 // within Limit.
 type PollPlatform struct {
 	ID          uint64
@@ -40,7 +40,7 @@
 	Wait, Limit time.Duration
 }
 
-// PollPeer sends Ask to a peer. The caller reports the outcome with HandleReply
+// PollPeer sends Request to a peer. The caller reports the outcome with HandleReply
 // or HandleFailure within Limit.
 type PollPeer struct {
 	ID      uint64
@@ -50,7 +50,7 @@
 }
 
 // SendReply sends Reply, with the set if Version is above Have, to the child whose
-// Ask was passed to HandleAsk with this ID.
+// PollRequest was passed to HandlePoll with this ID.
 type SendReply struct {
 	ID    uint64
 	Have  int64
--- a/internal/core/configwatch/state.go
+++ b/internal/core/configwatch/state.go
@@ -143,9 +143,9 @@
 
 func (p poll) expired(now time.Duration) bool { return p.id != 0 && now >= p.deadline }
 
-// HandlePlatformReply reports that the platform replied to AskPlatform. version is
+// HandlePlatformReply reports that the platform replied to PollPlatform. version is
 // that of the returned set, 0 for none; if it is in force, call SetVersion
-// first. unchanged means that the poll waited for all of Wait without a change.
+// first. unchanged means that the poll waited for all of PollWait without a change.
 func (s *State) HandlePlatformReply(now time.Duration, id uint64, version int64, unchanged bool) []Action {
 	p := s.platformPoll
 	if id == 0 || id != p.id {
@@ -163,7 +163,7 @@
 	return s.takeActions()
 }
 
-// HandleReply reports the reply to AskPeer. If it came with a set, call
+// HandleReply reports the reply to PollPeer. If it came with a set, call
 // SetVersion first.
 func (s *State) HandleReply(now time.Duration, id uint64, r PollReply) []Action {
 	p := s.peerPoll
@@ -231,7 +231,7 @@
 	return true
 }
 
-// HandlePoll handles a child's poll; Answer returns the caller's id.
+// HandlePoll handles a child's poll; SendReply returns the caller's id.
 func (s *State) HandlePoll(now time.Duration, id uint64, a PollRequest) []Action {
 	w := waiter{id: id, have: a.Version, arrivedAt: now, deadline: now + s.cfg.PeerWait}
 	if s.hasNews(w) || len(s.waiters) >= s.cfg.MaxWaiters {
--- a/internal/core/conn/doc.go
+++ b/internal/core/conn/doc.go
@@ -2,7 +2,7 @@
 // the next call, and which are dead without having been closed.
 //
 // A connection changes from idle to in use with Take, and back only after a
-// complete response (End with Whole). After a timeout, a cancellation, a
+// complete response (End with Complete). After a timeout, a cancellation, a
 // partially read response or an error it is closed: bytes that still arrive on
 // it belong to an earlier call and would be taken for the next response.
 //
@@ -19,16 +19,16 @@
 //
 // A call whose connection was dead when it began waits on it for at most
 // SilentMax + 2 ProbeTimeout + Grace; one whose response is lost, for at most
-// Recheck + 2 ProbeTimeout + Grace after the peer finished it; each plus the
+// MaxRecheckInterval + 2 ProbeTimeout + Grace after the peer finished it; each plus the
 // time between two calls of Tick, provided that probes reach the peer and at
-// most MaxAsked calls are silent. If the peer is unreachable or cannot tell,
+// most MaxProbeCalls calls are silent. If the peer is unreachable or cannot tell,
 // the bound is GiveUp after the last byte or the peer's last confirmation that
 // it is executing the call.
 //
 // The node calls Take before a call, and Opened or DialFailed if Take returned
-// Dial; Heard for each transfer of bytes in either direction; End when the
-// call ended; Tick by Next or regularly; and after a Probe action Told for each
-// of its connections and then Probed.
+// Dial; RecordActivity for each transfer of bytes in either direction; End when the
+// call ended; Tick by Next or regularly; and after a Probe action RecordStatus for each
+// of its connections and then ProbeDone.
 //
 // A Peer is not safe for concurrent use: the node holds one mutex per peer.
 package conn
--- a/internal/core/conn/peer.go
+++ b/internal/core/conn/peer.go
@@ -121,8 +121,8 @@
 	p.scheduleCheck(c, now+p.silenceTimeout())
 }
 
-// RecordActivity records activity: the network accepted bytes of the request or, if answer is
-// set, bytes of the response arrived.
+// RecordActivity records activity: the network accepted bytes of the request or, if
+// answer is set, bytes of the response arrived.
 func (p *Peer) RecordActivity(now time.Duration, id ID, answer bool) {
 	c := p.conns[id]
 	if c == nil || !c.inUse {
--- a/internal/core/conn/silence.go
+++ b/internal/core/conn/silence.go
@@ -10,7 +10,7 @@
 
 const (
 	// Probe: ask the peer over a new connection which of the calls on Conns it is
-	// executing; then call Told for each and Probed.
+	// executing; then call RecordStatus for each and ProbeDone.
 	Probe Kind = iota
 	// Close: close the idle connections Conns.
 	Close
--- a/internal/core/earlyrefusal/chain.go
+++ b/internal/core/earlyrefusal/chain.go
@@ -78,7 +78,7 @@
 }
 
 // Level returns the level at which services further down the chain refuse requests
-// of a class: the highest among the callees that at least MinUse of its requests
+// of a class: the highest among the callees that at least MinUseFraction of its requests
 // call. Callees needed by fewer requests are ignored; they refuse those requests
 // themselves.
 func (c *Chain) Level(now time.Duration, w WorkKey) request.Level {
--- a/internal/core/earlyrefusal/config.go
+++ b/internal/core/earlyrefusal/config.go
@@ -45,12 +45,11 @@
 	// RetryJitter is the range of the uniform jitter added to the retry delay. Default
 	// 1s. With 0 all refused callers return at once.
 	RetryJitter time.Duration
-	// MinUseFraction is the fraction of a class's requests, 0 to 1, that must call a service
-	// for its level to be reported upstream. Default 0.5. Lower values refuse
-	// requests at the entry also for services that most requests of the class don't
-	// need.
+	// MinUseFraction is the fraction of a class's requests, 0 to 1, that must call a
+	// service for its level to be reported upstream. Default 0.5. Lower values refuse
+	// requests at the entry also for services that most requests of the class don't need.
 	MinUseFraction float64
-	// UseWindow is the time constant over which MinUse is measured. Default 10s.
+	// UseWindow is the time constant over which MinUseFraction is measured. Default 10s.
 	UseWindow time.Duration
 	// MaxTargets is the maximum number of targets recorded per service and class;
 	// the one with the oldest report is evicted first. Default 32; must be at least
--- a/internal/core/earlyrefusal/doc.go
+++ b/internal/core/earlyrefusal/doc.go
@@ -1,4 +1,4 @@
-// Package early lets a caller refuse requests that the callee, or a service
+// Package earlyrefusal lets a caller refuse requests that the callee, or a service
 // further down the call chain, would refuse, before any work is done for them.
 //
 // Each response of a callee's node carries two admission levels: the target's
@@ -22,8 +22,8 @@
 //
 // The caller's node calls Check before it sends a call (at the entry: before
 // the request's first call) and Learn with each response. The node of a target
-// calls Chain.Served for each request that the target starts to serve,
-// Chain.Used for each call that the target makes, and Chain.Level when it
+// calls Chain.RecordRequest for each request that the target starts to serve,
+// Chain.RecordCall for each call that the target makes, and Chain.Level when it
 // responds; the response carries the target's own level and the chain's.
 //
 // The types are not safe for concurrent use: one mutex guards a Table and its
--- a/internal/core/earlyrefusal/table.go
+++ b/internal/core/earlyrefusal/table.go
@@ -308,7 +308,7 @@
 }
 
 // ageLevel returns the value of a level after age without reports. The level falls
-// linearly to the lower bound of its importance, and drops to 0 at Config.Age. If it
+// linearly to the lower bound of its importance, and drops to 0 at Config.LevelTTL. If it
 // fell in proportion to its whole value, a level within one importance would soon be
 // below that importance and admit all of it.
 func (t *Table) ageLevel(level request.Level, age time.Duration) request.Level {
--- a/internal/core/limit/cut_on_delay.go
+++ b/internal/core/limit/cut_on_delay.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// delayDuration is how long Delay must detect queueing inside the target, and
+// delayDuration is how long QueueDetector must detect queueing inside the target, and
 // delayCompletions how many requests must have completed in that time.
 const (
 	delayDuration    = 200 * time.Millisecond
 	delayCompletions = 30
 )
 
-// maxCutRatio is the largest ratio by which one cut because of Delay lowers the
+// maxCutRatio is the largest ratio by which one cut because of QueueDetector lowers the
 // limit: if the detection is wrong, the limit must still admit enough to show that.
 const maxCutRatio = 8
 
-// raisePause is the pause before a limit that was cut because of Delay is raised on
-// trial. It does not grow: Delay detects a returning queue at once, and a growing
+// raisePause is the pause before a limit that was cut because of QueueDetector is raised on
+// trial. It does not grow: QueueDetector detects a returning queue at once, and a growing
 // pause would keep a target that has all its slots again from using them for long.
 const raisePause = 2 * time.Second
 
-// cutOnDelay checks whether Delay detects queueing inside the target, and once that
+// cutOnDelay checks whether QueueDetector detects queueing inside the target, and once that
 // is certain cuts the limit to what requests need without it. It reports whether it
 // did. A trial would take several times as long as a request spends in the target,
 // while its callers' slots stay occupied.
@@ -47,8 +47,9 @@
 	return true
 }
 
-// afterVerifyingCut keeps a limit that was cut because of Delay if requests now take
-// less time. Otherwise the detection was wrong, and Delay is ignored for a while.
+// afterVerifyingCut keeps a limit that was cut because of QueueDetector if requests now
+// take less time. Otherwise the detection was wrong, and QueueDetector is ignored for a
+// while.
 func (p *Probe) afterVerifyingCut(r reading) {
 	p.phase = steady
 	if queuesInside(r, p.beforeTrial) {
--- a/internal/core/limit/delay.go
+++ b/internal/core/limit/delay.go
@@ -22,8 +22,8 @@
 	delaySamples       = 64   // samples that a kind needs before it counts
 )
 
-// QueueDetector detects requests that queue inside the target from the distribution of their
-// times.
+// QueueDetector detects requests that queue inside the target from the distribution of
+// their times.
 //
 // A slow target stretches all times by the same factor, so the variance of their
 // logarithm stays the same. A target that queues adds a similar wait to each, so the
@@ -67,7 +67,7 @@
 	return d * d / 2
 }
 
-// NewQueueDetector returns a Delay for n kinds of request.
+// NewQueueDetector returns a QueueDetector for n kinds of request.
 func NewQueueDetector(n int) *QueueDetector { return &QueueDetector{kinds: make([]requestKind, n)} }
 
 // CountCompletion counts a completion of a kind.
--- a/internal/core/limit/delay_test.go
+++ b/internal/core/limit/delay_test.go
@@ -108,7 +108,7 @@
 }
 
 // runWithDelaySignal drives p against a target with real slots that queues
-// internally, and supplies the signal that Delay would give.
+// internally, and supplies the signal that QueueDetector would give.
 func runWithDelaySignal(p *Probe, rng *rand.Rand, real int, length time.Duration) {
 	const service = 20 * time.Millisecond
 	for now := time.Duration(0); now < length; now += window {
--- a/internal/core/limit/limit.go
+++ b/internal/core/limit/limit.go
@@ -10,7 +10,7 @@
 	Completed  int           // requests that left the target with any result but a shed
 	Overloaded int           // requests that the target shed
 	Saturated  time.Duration // part of Length in which there was more work than the limit admitted
-	Needed     time.Duration // part of Busy that completed requests needed without queueing, from Delay; 0 if none queued inside the target
+	Needed     time.Duration // part of Busy that completed requests needed without queueing, from QueueDetector; 0 if none queued inside the target
 }
 
 // Algorithm adapts a concurrency limit.
--- a/internal/core/limit/probe.go
+++ b/internal/core/limit/probe.go
@@ -14,7 +14,7 @@
 	tryingLower               // trying a lower limit
 	confirming                // back at the previous limit, to rule out a change of the target
 	tryingHigher              // trying a higher limit
-	verifyingCut              // checking a limit that was cut because Delay detected queueing
+	verifyingCut              // checking a limit that was cut because QueueDetector detected queueing
 )
 
 // trialRatio is the fraction of the limit that a trial goes down to. Lower values
@@ -48,9 +48,9 @@
 	inflatedFor    time.Duration // how long the time in the target has been inflated
 	trialPause     time.Duration // remaining time until the next trial
 	nextBackoff    time.Duration // next trialPause
-	delayWindow    Window        // measured since Delay detected queueing inside the target
-	ignoreDelayFor time.Duration // remaining time during which Delay is ignored
-	cutByDelay     bool          // the limit was last cut because of Delay
+	delayWindow    Window        // measured since QueueDetector detected queueing inside the target
+	ignoreDelayFor time.Duration // remaining time during which QueueDetector is ignored
+	cutByDelay     bool          // the limit was last cut because of QueueDetector
 	sheds          shedRun
 }
 
@@ -381,7 +381,7 @@
 }
 
 // backOff pauses the trials: exponentially longer each time, or for raisePause after
-// a cut because of Delay.
+// a cut because of QueueDetector.
 func (p *Probe) backOff() {
 	if p.cutByDelay {
 		p.trialPause = raisePause
--- a/internal/core/member/config.go
+++ b/internal/core/member/config.go
@@ -20,7 +20,7 @@
 	// value spreads urgent changes faster and costs bytes while there are many.
 	UrgentInterval time.Duration
 	// TickInterval is the interval at which the caller intends to call Tick.
-	// Default 200 ms. A gap of more than PauseAfter between two ticks counts as
+	// Default 200 ms. A gap of more than PauseThreshold between two ticks counts as
 	// a pause of this process.
 	TickInterval time.Duration
 	// PauseThreshold is the gap between ticks above which the node distrusts its
@@ -71,7 +71,7 @@
 	// survive.
 	UnreachableRetention time.Duration
 	// TombstoneRetention is how long the tombstone of a dead member is kept. Default 12
-	// h; it must exceed KeepUnreachable.
+	// h; it must exceed UnreachableRetention.
 	TombstoneRetention time.Duration
 	// MaxTombstones bounds the number of tombstones. Default 8192.
 	MaxTombstones int
--- a/internal/core/member/doc.go
+++ b/internal/core/member/doc.go
@@ -25,7 +25,7 @@
 //
 // State is deterministic: it does no I/O, starts no goroutine, reads no clock
 // and uses only the random source that it was given. The node's control
-// goroutine calls Tick about every Config.TickEvery, executes the actions that
+// goroutine calls Tick about every Config.TickInterval, executes the actions that
 // it returns, and reports the outcome of each Exchange with HandleReply or
 // HandleFailure; requests of other nodes go to HandleRequest. The transport
 // reports the size of each message in bytes to Spend. Snapshot returns an
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -47,13 +47,13 @@
 
 func (j *joinState) endFetch() { j.fetching, j.refreshing = false, false }
 
-// maxJoinFactor is the factor by which the reply to Join may exceed MaxItems.
+// maxJoinFactor is the factor by which the reply to Join may exceed MaxItemBytes.
 const maxJoinFactor = 4
 
 // Join starts joining through any of the seeds and retries until it succeeds.
 // The records of the given services are fetched before others. Without seeds
 // the member is the first one. It also becomes the first one if no seed
-// responds for Config.AloneAfter; it then continues to probe the seeds. Further
+// responds for Config.BootstrapTimeout; it then continues to probe the seeds. Further
 // calls add seeds.
 func (s *State) Join(seeds []Peer, services []request.Service) {
 	j := &s.join
@@ -80,7 +80,7 @@
 }
 
 // tickSeeds probes seeds that are not known members: soon after they were
-// added, then with a delay that doubles up to Config.ReprobeEvery.
+// added, then with a delay that doubles up to Config.ProbeInterval.
 //
 // Members that start together, or during a partition, can form separate groups
 // that have joined but do not know of each other, and each group takes itself
@@ -335,7 +335,7 @@
 	s.queue.put(memberKey(s.self.ID), classJoin, s.allLinks(), 0)
 }
 
-// recentlyStarted reports whether the member started less than CatchUp ago.
+// recentlyStarted reports whether the member started less than CatchUpPeriod ago.
 func (s *State) recentlyStarted(now time.Duration) bool { return now < s.started+s.cfg.CatchUpPeriod }
 
 const (
--- a/internal/core/member/message.go
+++ b/internal/core/member/message.go
@@ -29,7 +29,7 @@
 	From           request.TargetID
 	Incarnation    uint32
 	Status         Status // of the sender
-	BodyDigest     uint32 // Change.Body of the sender
+	BodyDigest     uint32 // Change.BodyDigest of the sender
 	Seq            uint32 // numbers the requests on a link
 	AckedSeq       uint32 // the last Seq whose reply was received; acknowledges its items
 	StateDigest    uint64 // digest of the sender's whole state
@@ -50,7 +50,7 @@
 	Next           request.TargetID  // reply to Pull: where to continue
 	Services       []request.Service // Join, Pull: records to send first
 	Packed         []byte            // reply to Pull: records, see pack
-	Piggyback      []byte            // Heartbeat: piggybacked payload, see Rider
+	Piggyback      []byte            // Heartbeat: piggybacked payload, see PiggybackHandler
 }
 
 // SilenceReport reports how long an observer has heard nothing from a subject.
--- a/internal/core/member/piggyback.go
+++ b/internal/core/member/piggyback.go
@@ -18,11 +18,11 @@
 }
 
 // minPiggyback is the piggyback space in bytes even when the node has overspent
-// its budget. With less, the rider would open its own connections, which cost
+// its budget. With less, the handler would open its own connections, which cost
 // several times as much.
 const minPiggyback = 1100
 
-// SetPiggybackHandler sets the rider whose questions and answers are piggybacked.
+// SetPiggybackHandler sets the handler whose questions and answers are piggybacked.
 func (s *State) SetPiggybackHandler(r PiggybackHandler) { s.rider = r }
 
 func (s *State) piggybackRequest() func(room int) []byte {
--- a/internal/core/member/record.go
+++ b/internal/core/member/record.go
@@ -17,7 +17,7 @@
 	// Alive members accept calls.
 	Alive Status = iota
 	// Unreachable members were silent to their observers. They are kept and
-	// probed for Config.KeepUnreachable.
+	// probed for Config.UnreachableRetention.
 	Unreachable
 	// Leaving members drain: they accept no new calls.
 	Leaving
@@ -83,7 +83,7 @@
 	ID          request.TargetID
 	Incarnation uint32
 	Status      Status
-	// BodyDigest is a digest of the record's contents (Record.Body), by which a
+	// BodyDigest is a digest of the record's contents (Record.Digest), by which a
 	// receiver checks whether its record is current. A member that restarts
 	// unchanged need not send its record again.
 	BodyDigest uint32
--- a/internal/core/member/remote.go
+++ b/internal/core/member/remote.go
@@ -89,7 +89,7 @@
 func (s *State) remoteTimeout() time.Duration { return s.cfg.RemotePeriod + s.cfg.SuspectAfter }
 
 // closeSilentRemote closes a remote link whose peer does not respond. After
-// Config.RegionTries such peers in a row the group counts as unreachable.
+// Config.RegionFailureThreshold such peers in a row the group counts as unreachable.
 func (s *State) closeSilentRemote(l *link, group string) {
 	t := s.overlay.groups[group]
 	if t != nil && !slices.Contains(t.excluded, l.peer) {
--- a/internal/core/member/shortform.go
+++ b/internal/core/member/shortform.go
@@ -25,10 +25,10 @@
 type Recovery struct {
 	ID          uint32 // upper half of the ID
 	Incarnation uint32
-	BodyDigest  uint16 // lower 16 bits of Change.Body
+	BodyDigest  uint16 // lower 16 bits of Change.BodyDigest
 }
 
-// Deaths and Backs are the lists in a Message.
+// Deaths and Recoveries are the lists in a Message.
 type (
 	Deaths     []Death
 	Recoveries []Recovery
@@ -94,7 +94,7 @@
 	return b, nil
 }
 
-// shortBodyMask selects the part of a body's digest that a Back carries. The
+// shortBodyMask selects the part of a record's digest that a Recovery carries. The
 // rest is taken from the receiver's entry: it is wrong only for a member whose
 // contents changed while the receiver missed it, and then in one of 65,536
 // cases.
--- a/internal/core/member/table.go
+++ b/internal/core/member/table.go
@@ -14,7 +14,7 @@
 	rec         *Record
 	inc         uint32
 	processInc  uint32  // the incarnation that the current process started with
-	body        [3]byte // Change.Body
+	body        [3]byte // Change.BodyDigest
 	status      Status
 	recordStale bool // rec does not match the digest in body
 }
--- a/internal/core/member/watch.go
+++ b/internal/core/member/watch.go
@@ -200,7 +200,7 @@
 }
 
 // probeUnreachable checks whether unreachable members have recovered. Each of
-// them is probed by about Rings members per ReprobeEvery, whatever the size of
+// them is probed by about Rings members per ProbeInterval, whatever the size of
 // the fleet.
 func (s *State) probeUnreachable(now time.Duration) {
 	if now < s.nextProbe {
--- a/internal/core/ratelimit/lease.go
+++ b/internal/core/ratelimit/lease.go
@@ -12,9 +12,9 @@
 
 	Holder      request.TargetID
 	Incarnation uint64 // incarnation of the holder
-	Count       uint64 // increases with each write of one Life
+	Count       uint64 // increases with each write of one Incarnation
 	Released    bool   // the holder has stopped granting
-	// Parts are the grants that nodes may hold; Whole is false if there may be others.
+	// Parts are the grants that nodes may hold; Complete is false if there may be others.
 	Organisations []request.Organisation
 	Parts         []RowPart
 	Complete      bool
@@ -246,8 +246,8 @@
 	return r, l.version, true
 }
 
-// TableRestored records that the table was restored from an older copy, so that the time for
-// which the row was seen unchanged is no longer meaningful.
+// TableRestored records that the table was restored from an older copy, so that the time
+// for which the row was seen unchanged is no longer meaningful.
 func (l *Lease) TableRestored(now time.Duration) {
 	l.known, l.changedAt, l.first, l.rewound = false, now, false, true
 	l.nextCallAt = min(l.nextCallAt, now)
--- a/internal/core/ratelimit/messages.go
+++ b/internal/core/ratelimit/messages.go
@@ -14,7 +14,7 @@
 	Shards      int // number of shards in the asking node's configuration
 	Node        request.TargetID
 	Incarnation uint64 // changes with each start of the node
-	Seq         uint64 // increases with each question of one Life
+	Seq         uint64 // increases with each question of one Incarnation
 	// Starting: the node has just started, so an earlier process of it has ended.
 	Starting bool
 	// Leaving: the node returns everything it holds.
@@ -22,7 +22,8 @@
 	Needs   []Need
 }
 
-// Need is the entry of one organisation in an Ask: the demand and what the node holds.
+// Need is the entry of one organisation in a GrantRequest: the demand and what the node
+// holds.
 type Need struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
@@ -43,7 +44,7 @@
 	Tokens   float32 // current tokens in the bucket
 }
 
-// GrantReply answers an Ask.
+// GrantReply answers a GrantRequest.
 type GrantReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
--- a/internal/core/retry/allowance.go
+++ b/internal/core/retry/allowance.go
@@ -25,8 +25,8 @@
 // Left returns the remaining extra attempts.
 func (p *RequestAllowance) Left() int { return p.left }
 
-// AttemptsMade returns the attempts made for the request by this node and below it, as far as
-// answers reported them. The node reports it upstream with its answer.
+// AttemptsMade returns the attempts made for the request by this node and below it, as
+// far as answers reported them. The node reports it upstream with its answer.
 func (p *RequestAllowance) AttemptsMade() int { return p.made }
 
 // Repeat reports whether this execution repeats one that may have run.
@@ -70,14 +70,14 @@
 	// AttemptsMade is the number of attempts that the callee reports below it.
 	AttemptsMade int
 	// Free is set if the attempt was refused before it reached a target and such
-	// attempts cost nothing (Config.RefusedFree).
+	// attempts cost nothing (Config.FreeRefusals).
 	Free bool
 }
 
 // Start charges the next attempt of c and returns what it carries. It returns false,
 // and changes nothing, if the attempt costs an extra attempt and none is left, or if
 // the allowance is closed; the call is then refused with status.CodeRetriesExhausted.
-// below is the expected number of calls that the callee makes (Cost.Below); a callee
+// below is the expected number of calls that the callee makes (CallCount.Below); a callee
 // that makes none gets no allowance.
 func (p *RequestAllowance) Start(c *Call, below int) (Grant, bool) {
 	if p.closed {
@@ -160,7 +160,7 @@
 	observed bool
 }
 
-// Observe records Answer.Made of a completed attempt.
+// Observe records Answer.AttemptsMade of a completed attempt.
 func (c *CallCount) Observe(cfg *Config, made int) {
 	if !c.observed {
 		c.mean, c.observed = float64(made), true
--- a/internal/core/retry/decide.go
+++ b/internal/core/retry/decide.go
@@ -60,17 +60,17 @@
 	// ExpectedLatency is the callee's expected latency; 0 if unknown.
 	ExpectedLatency time.Duration
 	// Priority is the request's, Level the last known admission level of the callee's
-	// service as a whole (early.Table.Level).
+	// service as a whole (earlyrefusal.Table.Level).
 	Priority request.Priority
 	Level    request.Level
 
 	// Attempts of this call so far (Call.Attempts).
 	Attempts int
-	// AllowanceLeft is the remaining allowance (RequestAllowance.Left), Below the expected
-	// number of calls below the callee (Cost.Below).
+	// AllowanceLeft is the remaining allowance (RequestAllowance.Left), CallsBelow the
+	// expected number of calls below the callee (CallCount.Below).
 	AllowanceLeft int
 	CallsBelow    int
-	// Runs is the number of attempts that weren't refused (Call.Runs) and MaxRuns its
+	// Runs is the number of attempts that weren't refused (Call.NotRefused) and MaxRuns its
 	// limit; 0 means that only the allowance limits it.
 	Runs, MaxRuns int
 	// MayHaveRun reports that an attempt of the call wasn't refused (Call.MayHaveRun),
@@ -84,7 +84,7 @@
 	Idempotent bool
 }
 
-// Decision is the result of Decide. If Reason isn't Again, the attempt's result is
+// Decision is the result of Decide. If Reason isn't Allowed, the attempt's result is
 // returned upstream unchanged, including its Retry-After.
 type Decision struct {
 	Reason Reason
--- a/internal/core/retry/doc.go
+++ b/internal/core/retry/doc.go
@@ -20,9 +20,9 @@
 //     successes. Over all nodes, the retries of a service stay below Ratio times its
 //     successes plus MinRate for each calling node.
 //
-//   - Repeats: the bound on callers that resend a request through other nodes, which
-//     gives it a new allowance each time. It is kept by the nodes of the called service,
-//     where all submissions arrive.
+//   - ResubmissionLimiter: the bound on callers that resend a request through other
+//     nodes, which gives it a new allowance each time. It is kept by the nodes of the
+//     called service, where all submissions arrive.
 //
 //   - Decider: whether a result may be retried at all.
 //
@@ -35,5 +35,5 @@
 // ServiceBudget.Observe gets the result of each attempt.
 //
 // Nothing here is safe for concurrent use: guard a RequestAllowance and its Calls by a
-// mutex per request, and ServiceBudget, Cost and Decider by one per callee service.
+// mutex per request, and ServiceBudget, CallCount and Decider by one per callee service.
 package retry
--- a/internal/core/retry/repeats.go
+++ b/internal/core/retry/repeats.go
@@ -11,8 +11,8 @@
 // request; 0 if it gives none.
 type CallerKey uint64
 
-// ResubmissionLimiter bounds how often a request that its caller resends is run, at the node of the
-// called service.
+// ResubmissionLimiter bounds how often a request that its caller resends is run, at the
+// node of the called service.
 //
 // A caller may resend a failing request through a different entry node each time. Each
 // entry node takes it for a new request with a new allowance, and each run repeats the
@@ -39,7 +39,7 @@
 	ran      bool
 }
 
-// NewResubmissionLimiter returns an empty Repeats with a budget of one.
+// NewResubmissionLimiter returns an empty ResubmissionLimiter with a budget of one.
 func NewResubmissionLimiter(cfg *Config, now time.Duration) ResubmissionLimiter {
 	return ResubmissionLimiter{cfg: cfg, budget: NewServiceBudget(cfg, now), current: map[CallerKey]*submission{}, rotatedAt: now}
 }
--- a/internal/core/route/config.go
+++ b/internal/core/route/config.go
@@ -26,7 +26,7 @@
 	// region. Default 3ms, the round trip.
 	ZoneCost time.Duration
 	// ZoneFactor multiplies the cost of a target in another zone while the caller's
-	// zone is loaded at Floor; the multiplier falls to 1 at full load. Default 4.
+	// zone is loaded at MinHotLoad; the multiplier falls to 1 at full load. Default 4.
 	// Higher keeps more calls in a zone that is more loaded than the others.
 	ZoneFactor float64
 	// ZoneGap, if above 0, replaces ZoneFactor where traffic between zones is
--- a/internal/core/route/doc.go
+++ b/internal/core/route/doc.go
@@ -3,8 +3,8 @@
 // A Table holds one callee service as seen by one caller: a bounded subset of the
 // service's targets, the caller's measurements of each, and the load each one reported.
 // Pick compares two random targets of the caller's zone and takes the cheaper one. It
-// considers other zones only if that one is loaded above Floor, and chooses them if they
-// are cheaper by more than ZoneFactor or less loaded by ZoneGap.
+// considers other zones only if that one is loaded above MinHotLoad, and chooses them if
+// they are cheaper by more than ZoneFactor or less loaded by ZoneGap.
 //
 // A choice depends on, in order of precedence:
 //
--- a/internal/core/route/measure.go
+++ b/internal/core/route/measure.go
@@ -196,13 +196,13 @@
 // NextProbe returns a target that was avoided for connection failures, whose backoff
 // has ended and that has no call in flight. The node should try to connect to it
 // without sending a request, so that no call is at risk, and report the result to
-// Probed. Probing is optional; without it Pick sends one call at a time.
+// ProbeDone. Probing is optional; without it Pick sends one call at a time.
 func (t *Table) NextProbe(now time.Duration) (idx int, ok bool) {
 	for _, i := range t.all {
 		e := &t.entries[i]
 		if e.avoid == avoidBroken && !e.probing && now >= e.avoidUntil && !e.Leaving {
 			e.probing = true
-			e.inFlight++ // keeps the index until Probed
+			e.inFlight++ // keeps the index until ProbeDone
 			return int(i), true
 		}
 	}
--- a/internal/core/route/pick.go
+++ b/internal/core/route/pick.go
@@ -93,7 +93,7 @@
 }
 
 // withZoneCost scales the cost of a remote candidate by ZoneFactor while the local one
-// is loaded at Floor, falling to 1 at full load. Otherwise each zone would settle at
+// is loaded at MinHotLoad, falling to 1 at full load. Otherwise each zone would settle at
 // its own admission level, and one zone would refuse requests while others have free
 // slots.
 func (t *Table) withZoneCost(near, far candidate) candidate {
--- a/internal/core/route/refresh.go
+++ b/internal/core/route/refresh.go
@@ -59,8 +59,8 @@
 }
 
 // updateLoads computes the load of each target and returns the mean. A target without
-// measurements counts as the mean of the others, but at most as Floor, so that a zone
-// loaded above Floor sends calls to unknown targets and measures them.
+// measurements counts as the mean of the others, but at most as MinHotLoad, so that a zone
+// loaded above MinHotLoad sends calls to unknown targets and measures them.
 func (t *Table) updateLoads(now time.Duration) float64 {
 	sum, known := 0.0, 0
 	for _, i := range t.all {
--- a/internal/core/share/ledger.go
+++ b/internal/core/share/ledger.go
@@ -1,7 +1,7 @@
 package share
 
 // Ledger counts the slots that tenants hold and the requests that they have waiting.
-// Tenants are small indices chosen by the caller. The cost of Next and Most is linear
+// Tenants are small indices chosen by the caller. The cost of Next and MostLoaded is linear
 // in the highest index.
 type Ledger struct {
 	tenants []tenantState
--- a/internal/core/suspect/doc.go
+++ b/internal/core/suspect/doc.go
@@ -24,7 +24,7 @@
 // flight at each crash, those that run a copy when one is tried in isolation: at most
 // 3 + 2 x targets, if targets restart more slowly than reports travel. A caller that
 // resends only after it saw the failure, and after D, crashes three targets over all
-// nodes. The bound holds as long as the fingerprint is seen again within Remember.
+// nodes. The bound holds as long as the fingerprint is seen again within RefusedTTL.
 //
 // Reports are idempotent and commutative: a crash counts once for a fingerprint for any
 // number and order of reports, also if several nodes each saw a part of what was in
@@ -33,7 +33,7 @@
 // The target's node calls Check before it runs a request, then Started and, when it
 // ended, Ended. It calls Crashed on an unplanned crash of its target (never for a planned
 // stop) and sends the report to the others, Up when the target accepts connections again,
-// Merge for reports of other nodes, and Known to inform a node that joins.
+// Merge for reports of other nodes, and Reports to inform a node that joins.
 //
 // Not safe for concurrent use.
 package suspect
--- a/internal/core/suspect/tracker_test.go
+++ b/internal/core/suspect/tracker_test.go
@@ -42,7 +42,7 @@
 	is.Equal(known, 1) // the other one's crashes are explained
 	is.Equal(refused, 1)
 	is.Equal(tr.Check(59*time.Minute, culprit), Refuse)
-	is.Equal(tr.Check(118*time.Minute, culprit), Refuse) // seen again within Remember
+	is.Equal(tr.Check(118*time.Minute, culprit), Refuse) // seen again within RefusedTTL
 	is.Equal(tr.Check(178*time.Minute, culprit), Run)
 }
 
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -87,7 +87,7 @@
 	UploadTimeout time.Duration
 	// AbandonAfter is how long a call from another node that waits for its own
 	// connection continues without being probed by that node (default 5 s). It must
-	// exceed the time between two probes: conn.Config's Recheck plus two
+	// exceed the time between two probes: conn.Config's MaxRecheckInterval plus two
 	// ProbeTimeouts. A lower value frees slots sooner; one that is too low breaks
 	// uploads that pause.
 	AbandonAfter time.Duration
@@ -186,8 +186,8 @@
 	return e
 }
 
-// SetCrossZoneTransport sets the transport for calls to nodes of other zones, if it differs. Call it
-// before traffic begins.
+// SetCrossZoneTransport sets the transport for calls to nodes of other zones, if it
+// differs. Call it before traffic begins.
 func (e *Engine) SetCrossZoneTransport(t Transport) { e.crossZone = t }
 
 // transportTo returns the transport for calls to nodes of a zone.
@@ -223,10 +223,10 @@
 // is set, an unknown API key gets a retryable refusal instead of a final one.
 func (e *Engine) SetConfigStale(behind bool) { e.configStale.Store(behind) }
 
-// RefuseCallers makes the node refuse new requests of callers and close their connections, so
-// that they use other nodes. The gate refuses calls of other nodes once the view says
-// that the target is leaving; running requests continue, with all the calls that they
-// make.
+// RefuseCallers makes the node refuse new requests of callers and close their
+// connections, so that they use other nodes. The gate refuses calls of other nodes once
+// the view says that the target is leaving; running requests continue, with all the calls
+// that they make.
 func (e *Engine) RefuseCallers() { e.refusing.Store(true) }
 
 // Close stops the engine's timers; all calls must have ended.
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -1,9 +1,9 @@
-// Package link is a TCP proxy for one address that injects faults: it breaks a
+// Package faultproxy is a TCP proxy for one address that injects faults: it breaks a
 // connection at a given byte of a request or an answer, breaks all connections
 // at once, or silences the open connections while new ones work.
 //
 // It simulates network faults between two processes, and the death of a process
-// as its peer sees it. It is for tests of the product and of bench. A Link is
+// as its peer sees it. It is for tests of the product and of bench. A Proxy is
 // safe for concurrent use.
 package faultproxy
 
@@ -37,10 +37,10 @@
 	CloseGracefully
 	// Blackhole drops all further bytes and ends of stream in both directions.
 	Blackhole
-	// Stall is like Silence but also stops reading, so writers block once their
+	// Stall is like Blackhole but also stops reading, so writers block once their
 	// buffers are full.
 	Stall
-	// Kill resets all connections and refuses new ones until Up.
+	// Kill resets all connections and refuses new ones until Resume.
 	Kill
 )
 
@@ -271,14 +271,14 @@
 	defer l.mu.Unlock()
 	p.clientClosed = p.clientClosed || w == Request
 	if p.silenced {
-		return // the end of stream is dropped too; only Release and Close close the other side
+		return // the end of stream is dropped too; only CloseSilenced and Close close the other side
 	}
 	delete(l.conns, p)
 	p.shutDown(CloseGracefully)
 }
 
 // proxiedConn is one connection through a link. Its fields are guarded by
-// Link.mu.
+// Proxy.mu.
 type proxiedConn struct {
 	client, upstream net.Conn
 	silenced         bool
@@ -322,7 +322,7 @@
 	}
 }
 
-// closeSilenced closes a connection that Silence or Stall kept open.
+// closeSilenced closes a connection that Blackhole or Stall kept open.
 func (p *proxiedConn) closeSilenced() {
 	close(p.released)
 	_ = p.client.Close()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,7 +19,7 @@
 	"peardrift/internal/status"
 )
 
-// configManager executes the actions of the inforce core: it queries peers, reads the
+// configManager executes the actions of the configsync core: it queries peers, reads the
 // platform, and gossips heads. Its fields belong to the control goroutine.
 type configManager struct {
 	log       *zap.Logger
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -197,7 +197,7 @@
 	limitHeadroom = 0.06
 )
 
-// inforceConfig returns the configuration of the inforce core. Where the platform can be
+// inforceConfig returns the configuration of the configsync core. Where the platform can be
 // watched for new sets, polling is off.
 func (n *Node) inforceConfig() configsync.Config {
 	cfg := configsync.DefaultConfig()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -16,7 +16,8 @@
 	"peardrift/internal/port"
 )
 
-// defaultInForceIn is the value of Outside.InForceIn where the platform sets none.
+// defaultInForceIn is the value of Integration.PropagationBound where the platform sets
+// none.
 const defaultInForceIn = 3 * time.Second
 
 // WatchArgs is a child's request for the next version.
@@ -25,7 +26,7 @@
 	Base int64 // base version of a delta; 0 for the whole set
 }
 
-// WatchReply is the reply to NextArgs.
+// WatchReply is the reply to WatchArgs.
 type WatchReply struct {
 	Reply configwatch.PollReply
 	Set   *configsync.Reply // nil if there is no newer set
--- a/internal/port/porttest/objects.go
+++ b/internal/port/porttest/objects.go
@@ -20,7 +20,7 @@
 // NewObjects returns an empty object store.
 func NewObjects() *Objects { return &Objects{bodies: make(map[string][]byte)} }
 
-// SetScript replaces the script; nil ends all faults. Late acts as LostAnswer here.
+// SetScript replaces the script; nil ends all faults. Delayed acts as LostResponse here.
 func (o *Objects) SetScript(s Script) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/timeralign/cadence.go
+++ b/internal/timeralign/cadence.go
@@ -1,4 +1,4 @@
-// Package cadence aligns periodic work of different parts of a process to common
+// Package timeralign aligns periodic work of different parts of a process to common
 // instants. Waking an idle process costs more than most of the work it wakes for, so
 // work that can wait a few milliseconds shares a wake-up.
 package timeralign
--- a/internal/wire/dialect.go
+++ b/internal/wire/dialect.go
@@ -13,8 +13,8 @@
 	// Request names the caller's request; each attempt of a caller has another name.
 	// It is passed on to the target, which echoes it.
 	Request string
-	// ChainSeparator separates, in the name of a target's call, the name of the request that
-	// the target runs from the rest. Empty: targets pass on traceparent instead.
+	// ChainSeparator separates, in the name of a target's call, the name of the request
+	// that the target runs from the rest. Empty: targets pass on traceparent instead.
 	ChainSeparator string
 	// Timeout carries how many milliseconds the sender waits. Empty:
 	// HeaderTargetDeadline.
@@ -22,7 +22,7 @@
 	// Origin tells the target the service beside which the request began.
 	Origin string
 	// Instance tells the target which of its instances is meant. Another instance
-	// answers with StatusMisdirected and names itself in InstanceIs.
+	// answers with StatusMisdirected and names itself in ActualInstance.
 	Instance       string
 	ActualInstance string
 	// NotExecuted marks the answers of a target that has not run the request.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,7 +47,7 @@
 	// requests.
 	HeaderRequest = Prefix + "Request"
 	// HeaderProbe asks a node which of these attempts, given by span, it is still
-	// processing; HeaderInHand lists those in the answer.
+	// processing; HeaderProbeReply lists those in the answer.
 	HeaderProbe      = Prefix + "Probe"
 	HeaderProbeReply = Prefix + "In-Hand"
 )
