--- a/internal/adapter/hertzhttp/pool.go
+++ b/internal/adapter/hertzhttp/pool.go
@@ -40,8 +40,8 @@
 // was sent.
 func (p *pool) get(tag string, timeout time.Duration) (*clientConn, error) {
 	for {
-		c, offer := p.acquire(tag)
-		switch offer {
+		c, result := p.acquire(tag)
+		switch result {
 		case conn.Full:
 			return nil, status.New(status.CodeConnectFailed, "all %d connections to %s are in use", p.client.connConfig.MaxConns, p.addr)
 		case conn.Dial:
@@ -57,15 +57,15 @@
 func (p *pool) acquire(tag string) (*clientConn, conn.TakeResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	id, offer := p.core.Take(p.client.now())
+	id, result := p.core.Take(p.client.now())
 	p.armTimer()
-	if offer != conn.Reuse {
-		return nil, offer
+	if result != conn.Reuse {
+		return nil, result
 	}
 	c := p.conns[id]
 	c.idle, c.tag = false, tag
 	c.waitingLocally.Store(false)
-	return c, offer
+	return c, result
 }
 
 func (p *pool) dial(tag string, timeout time.Duration) (*clientConn, error) {
--- a/internal/adapter/hertzhttp/probe.go
+++ b/internal/adapter/hertzhttp/probe.go
@@ -33,17 +33,17 @@
 	now := p.client.now()
 	for id, c := range p.conns {
 		if w, ok := results[id]; ok && c.tag == tags[id] { // otherwise the connection carries another call by now
-			p.core.RecordStatus(now, id, c.adjustWord(w))
+			p.core.RecordStatus(now, id, c.adjustStatus(w))
 		}
 	}
 	p.core.ProbeDone(now, reached)
 	p.armTimer()
 }
 
-// adjustWord overrides the peer's result for a call that waits for local I/O: for
+// adjustStatus overrides the peer's result for a call that waits for local I/O: for
 // more of the request body or for the reader of the response. Its silence doesn't
 // indicate a dead connection.
-func (c *clientConn) adjustWord(w conn.CallStatus) conn.CallStatus {
+func (c *clientConn) adjustStatus(w conn.CallStatus) conn.CallStatus {
 	if c.waitingLocally.Load() {
 		return conn.Executing
 	}
--- a/internal/adapter/hertzhttp/probe_test.go
+++ b/internal/adapter/hertzhttp/probe_test.go
@@ -12,12 +12,12 @@
 	"peardrift/internal/core/conn"
 )
 
-// nothingInHand is a prober whose peers process none of the calls.
-type nothingInHand struct{}
+// nothingExecuting is a prober whose peers process none of the calls.
+type nothingExecuting struct{}
 
-func (nothingInHand) Tag(*protocol.RequestHeader) string           { return "" }
-func (nothingInHand) WriteProbe(req *protocol.Request, _ []string) { newGet("/").CopyTo(req) }
-func (nothingInHand) ParseReply(*protocol.Response) ([]string, bool) {
+func (nothingExecuting) Tag(*protocol.RequestHeader) string           { return "" }
+func (nothingExecuting) WriteProbe(req *protocol.Request, _ []string) { newGet("/").CopyTo(req) }
+func (nothingExecuting) ParseReply(*protocol.Response) ([]string, bool) {
 	return nil, true
 }
 
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	addr := startPeer(t, func(_ int, c net.Conn, _ *http.Request) { writeString(c, okResponse) })
 	cfg := DefaultClientConfig()
-	cfg.Prober = nothingInHand{}
+	cfg.Prober = nothingExecuting{}
 	cl := NewClient(cfg)
 	defer cl.Close()
 	p := cl.pool(addr)
--- a/internal/adapter/hertzhttp/unexpected_bytes_test.go
+++ b/internal/adapter/hertzhttp/unexpected_bytes_test.go
@@ -62,8 +62,8 @@
 	for !isWatched(p) { // the sweep runs asynchronously
 		time.Sleep(time.Millisecond)
 	}
-	c, offer := p.acquire("")
-	is.Equal(offer, conn.Reuse)
+	c, result := p.acquire("")
+	is.Equal(result, conn.Reuse)
 	close(stray)
 	for len(c.watchResult) == 0 { // until the watch has detected the bytes
 		time.Sleep(time.Millisecond)
--- a/internal/claims/duty.go
+++ b/internal/claims/followup.go
@@ -12,36 +12,36 @@
 
 // retryTask is a follow-up that is retried in the background.
 type retryTask struct {
-	place   Ref
-	duty    claim.FollowUp
-	backoff *backoff.ExponentialBackOff
+	ref      Ref
+	followUp claim.FollowUp
+	backoff  *backoff.ExponentialBackOff
 }
 
 // maxSteps bounds the operations of one try of a follow-up.
 const maxSteps = 8
 
-// handleDuty tries an urgent follow-up once before the answer, for at most RecordTimeout,
-// and leaves all other follow-ups to the pool.
-func (r *Runner) handleDuty(ctx context.Context, p Ref, d claim.FollowUp) {
+// handleFollowUp tries an urgent follow-up once before the answer, for at most
+// RecordTimeout, and leaves all other follow-ups to the pool.
+func (r *Runner) handleFollowUp(ctx context.Context, ref Ref, d claim.FollowUp) {
 	if !d.Pending() {
 		return
 	}
-	if d.RecordsOutcome() && r.rows.Deferred(p) {
-		c := r.postpone(p, d)
+	if d.RecordsOutcome() && r.rows.Deferred(ref) {
+		c := r.postpone(ref, d)
 		if err := r.pool.Submit(func() { r.retry(c) }); err != nil {
 			r.scheduleRetry(c)
 		}
 		return
 	}
-	if d.BeforeAnswer() && r.breakerAllows() && r.tryDuty(ctx, p, &d, r.cfg.RecordTimeout) {
+	if d.BeforeAnswer() && r.breakerAllows() && r.tryFollowUp(ctx, ref, &d, r.cfg.RecordTimeout) {
 		return
 	}
-	r.scheduleRetry(r.postpone(p, d))
+	r.scheduleRetry(r.postpone(ref, d))
 }
 
-// tryDuty makes one try of a follow-up within timeout and reports whether it is
+// tryFollowUp makes one try of a follow-up within timeout and reports whether it is
 // finished.
-func (r *Runner) tryDuty(ctx context.Context, p Ref, d *claim.FollowUp, timeout time.Duration) bool {
+func (r *Runner) tryFollowUp(ctx context.Context, ref Ref, d *claim.FollowUp, timeout time.Duration) bool {
 	end := wallNow() + timeout
 	var ev claim.Event = claim.Begin{}
 	for range maxSteps {
@@ -50,7 +50,7 @@
 		case claim.Finished:
 			if act.Lost {
 				r.stats.lost()
-				r.log.Error("outcome not in the table", zap.String("row", p.Row))
+				r.log.Error("outcome not in the table", zap.String("row", ref.Row))
 			}
 			return true
 		case claim.RetryLater:
@@ -60,7 +60,7 @@
 		if left <= 0 {
 			return false
 		}
-		ev = r.execute(ctx, p, act, left)
+		ev = r.execute(ctx, ref, act, left)
 	}
 	return false
 }
@@ -72,16 +72,16 @@
 }
 
 // postpone registers a follow-up that is completed after the answer.
-func (r *Runner) postpone(p Ref, d claim.FollowUp) *retryTask {
+func (r *Runner) postpone(ref Ref, d claim.FollowUp) *retryTask {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval, policy.MaxInterval = r.cfg.RetryMin, r.cfg.RetryMax
 	policy.Reset()
 	r.work.Add(1) // the call that owns the follow-up is still counted, so Wait cannot have returned
 	r.mu.Lock()
 	r.pending++
-	r.stats.duties(r.pending)
+	r.stats.followUps(r.pending)
 	r.mu.Unlock()
-	return &retryTask{place: p, duty: d, backoff: policy}
+	return &retryTask{ref: ref, followUp: d, backoff: policy}
 }
 
 // scheduleRetry retries the task after its backoff, but not before the breaker
@@ -90,7 +90,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopped {
-		r.removeDuty()
+		r.removeFollowUp()
 		return
 	}
 	pause := max(c.backoff.NextBackOff(), r.breaker.Wait(wallNow()))
@@ -116,19 +116,19 @@
 
 // retry tries the task's follow-up.
 func (r *Runner) retry(c *retryTask) {
-	if !r.breakerAllows() || !r.tryDuty(context.Background(), c.place, &c.duty, maxSteps*r.cfg.Claim.OpTimeout) {
+	if !r.breakerAllows() || !r.tryFollowUp(context.Background(), c.ref, &c.followUp, maxSteps*r.cfg.Claim.OpTimeout) {
 		r.scheduleRetry(c)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.removeDuty()
+	r.removeFollowUp()
 }
 
-// removeDuty removes a follow-up from the count. r.mu must be held.
-func (r *Runner) removeDuty() {
+// removeFollowUp removes a follow-up from the count. r.mu must be held.
+func (r *Runner) removeFollowUp() {
 	r.pending--
-	r.stats.duties(r.pending)
+	r.stats.followUps(r.pending)
 	r.work.Done()
 }
 
@@ -161,7 +161,7 @@
 	for c, t := range r.scheduled {
 		t.Stop()
 		delete(r.scheduled, c)
-		r.removeDuty()
+		r.removeFollowUp()
 	}
 	return left
 }
--- a/internal/claims/rows.go
+++ b/internal/claims/rows.go
@@ -23,13 +23,13 @@
 type Rows interface {
 	// Put writes r if the claim is at r.Version-1. It returns claim.Written,
 	// ConditionFailed, NotWritten, NoRoom or Ambiguous.
-	Put(ctx context.Context, p Ref, r claim.Row, wait time.Duration) claim.Event
+	Put(ctx context.Context, ref Ref, r claim.Row, wait time.Duration) claim.Event
 	// Get returns claim.RowRead, RowUnreadable or ReadFailed. The read is
 	// strongly consistent.
-	Get(ctx context.Context, p Ref, wait time.Duration) claim.Event
-	// Deferred reports whether outcomes at p are written later in a batch, too
+	Get(ctx context.Context, ref Ref, wait time.Duration) claim.Event
+	// Deferred reports whether outcomes at ref are written later in a batch, too
 	// late for their answers to wait.
-	Deferred(p Ref) bool
+	Deferred(ref Ref) bool
 }
 
 // SingleRows stores each claim in a row of its own.
@@ -41,18 +41,18 @@
 func (SingleRows) Deferred(Ref) bool { return false }
 
 // Put implements Rows.
-func (o SingleRows) Put(ctx context.Context, p Ref, r claim.Row, wait time.Duration) claim.Event {
+func (s SingleRows) Put(ctx context.Context, ref Ref, r claim.Row, wait time.Duration) claim.Event {
 	value, err := r.Encode()
 	if err != nil {
 		return claim.NotWritten{}
 	}
-	item := port.Item{Key: p.Row, Version: r.Version, Value: value, Token: r.Token}
+	item := port.Item{Key: ref.Row, Version: r.Version, Value: value, Token: r.Token}
 	if r.Expires > 0 {
 		item.Expires = time.Unix(0, int64(r.Expires))
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	err = o.Table.Put(ctx, port.Put{Item: item, IfVersion: r.Version - 1})
+	err = s.Table.Put(ctx, port.Put{Item: item, IfVersion: r.Version - 1})
 	switch {
 	case err == nil:
 		return claim.Written{}
@@ -67,10 +67,10 @@
 }
 
 // Get implements Rows.
-func (o SingleRows) Get(ctx context.Context, p Ref, wait time.Duration) claim.Event {
+func (s SingleRows) Get(ctx context.Context, ref Ref, wait time.Duration) claim.Event {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	item, err := o.Table.Get(ctx, p.Row)
+	item, err := s.Table.Get(ctx, ref.Row)
 	switch {
 	case errors.Is(err, port.ErrNotFound):
 		return claim.RowRead{}
--- a/internal/claims/runner.go
+++ b/internal/claims/runner.go
@@ -65,7 +65,7 @@
 		return resultOf(claim.Answer{Outcome: claim.Outcome{Code: err.Code}, RetryAfter: err.RetryAfter, NotRunByCall: true})
 	}
 	defer r.work.Done()
-	c := &call{runner: r, place: placeOf(req), slot: true}
+	c := &call{runner: r, ref: refOf(req), slot: true}
 	defer c.freeSlot()
 	attempt := claim.New(r.cfg.Claim, requestOf(req))
 	return c.drive(ctx, &attempt, run)
@@ -80,7 +80,7 @@
 		return resultOf(unknown)
 	}
 	defer r.work.Done()
-	c := &call{runner: r, place: placeOf(req), slot: true}
+	c := &call{runner: r, ref: refOf(req), slot: true}
 	defer c.freeSlot()
 	req.Deadline = time.Now().Add(r.cfg.ExplainTimeout)
 	attempt := claim.NewReadOnly(r.cfg.Claim, requestOf(req), refusal)
@@ -112,7 +112,7 @@
 // call is a Do or Explain in progress.
 type call struct {
 	runner *Runner
-	place  Ref
+	ref    Ref
 	slot   bool
 }
 
@@ -138,19 +138,19 @@
 			ev = ran.event()
 		case claim.Answer:
 			c.freeSlot()
-			c.runner.handleDuty(ctx, c.place, act.FollowUp)
+			c.runner.handleFollowUp(ctx, c.ref, act.FollowUp)
 			if act.Origin != claim.FromRun {
 				return resultOf(act)
 			}
 			ran.Origin, ran.NotRunByCall = act.Origin, act.NotRunByCall
 			return ran
 		default:
-			ev = c.runner.execute(ctx, c.place, act, c.runner.cfg.Claim.OpTimeout)
+			ev = c.runner.execute(ctx, c.ref, act, c.runner.cfg.Claim.OpTimeout)
 		}
 	}
 }
 
-func placeOf(req Request) Ref {
+func refOf(req Request) Ref {
 	return Ref{Row: claim.RowKey(req.Scope, req.Key), Key: req.Key}
 }
 
@@ -181,7 +181,7 @@
 
 // Close refuses new calls and waits for active runs and their follow-ups until ctx
 // ends. It then fails with status.CodeDeadlineExceeded: the keys of unfinished
-// duties stay claimed, and repeats are answered "unknown".
+// follow-ups stay claimed, and repeats are answered "unknown".
 func (r *Runner) Close(ctx context.Context) error {
 	r.mu.Lock()
 	r.closed = true
--- a/internal/claims/sharedrows/rows.go
+++ b/internal/claims/sharedrows/rows.go
@@ -16,9 +16,9 @@
 // Rows stores claims of dated keys in shared rows, from the date set by the
 // layouts, and all other claims in rows of their own.
 type Rows struct {
-	cfg     Config
-	ownRows claims.SingleRows
-	layouts *layouts
+	cfg        Config
+	singleRows claims.SingleRows
+	layouts    *layouts
 	*Sender
 }
 
@@ -28,7 +28,7 @@
 func New(table port.Table, peers Peers, self uint64, pool Pool, cfg Config, scope tally.Scope) *Rows {
 	st := stats{scope.SubScope("claims")}
 	return &Rows{
-		cfg: cfg, ownRows: claims.SingleRows{Table: table},
+		cfg: cfg, singleRows: claims.SingleRows{Table: table},
 		layouts: newLayouts(table, pool, cfg.RefreshInterval),
 		Sender: &Sender{
 			cfg: cfg, self: self, batcher: newBatcher(table, pool, cfg, st), peers: peers, stats: st,
@@ -39,8 +39,8 @@
 
 // slot returns the shared row of a claim; ok is false if the claim has a row of
 // its own.
-func (r *Rows) slot(ctx context.Context, p claims.Ref) (s batch.Slot, ok bool, err error) {
-	t, dated := claim.KeyTime(p.Key)
+func (r *Rows) slot(ctx context.Context, ref claims.Ref) (s batch.Slot, ok bool, err error) {
+	t, dated := claim.KeyTime(ref.Key)
 	if !dated {
 		return batch.Slot{}, false, nil
 	}
@@ -48,40 +48,40 @@
 	if err != nil {
 		return batch.Slot{}, false, err
 	}
-	s, ok = list.SlotOf(p.Row, p.Key)
+	s, ok = list.SlotOf(ref.Row, ref.Key)
 	return s, ok, nil
 }
 
 // Deferred implements claims.Rows.
-func (r *Rows) Deferred(p claims.Ref) bool {
-	t, dated := claim.KeyTime(p.Key)
+func (r *Rows) Deferred(ref claims.Ref) bool {
+	t, dated := claim.KeyTime(ref.Key)
 	if !dated {
 		return false
 	}
 	list, _ := r.layouts.known(t)
-	_, ok := list.SlotOf(p.Row, p.Key)
+	_, ok := list.SlotOf(ref.Row, ref.Key)
 	return ok
 }
 
 // Put implements claims.Rows.
-func (r *Rows) Put(ctx context.Context, p claims.Ref, row claim.Row, wait time.Duration) claim.Event {
+func (r *Rows) Put(ctx context.Context, ref claims.Ref, row claim.Row, wait time.Duration) claim.Event {
 	end := time.Now().Add(wait)
 	lookupCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	slot, ok, err := r.slot(lookupCtx, p)
+	slot, ok, err := r.slot(lookupCtx, ref)
 	if err != nil {
 		return claim.NotWritten{}
 	}
 	wait = time.Until(end)
 	if !ok {
-		return r.ownRows.Put(ctx, p, row, wait)
+		return r.singleRows.Put(ctx, ref, row, wait)
 	}
 	value, err := withoutBody(row).Encode()
 	if err != nil {
 		return claim.NotWritten{}
 	}
 	op := Op{
-		Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(p.Row), IfVersion: row.Version - 1,
+		Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(ref.Row), IfVersion: row.Version - 1,
 		Token: packToken(row.Token), Value: value, Expires: row.Expires, Deferrable: row.State == claim.Done,
 	}
 	wait += r.cfg.Batch.MinWriteInterval // the row may just have been written
@@ -104,24 +104,24 @@
 
 // Get implements claims.Rows. The row's node serves concurrent callers with one
 // read, so that calls which failed together do not each cost the platform a read.
-func (r *Rows) Get(ctx context.Context, p claims.Ref, wait time.Duration) claim.Event {
+func (r *Rows) Get(ctx context.Context, ref claims.Ref, wait time.Duration) claim.Event {
 	end := time.Now().Add(wait)
 	lookupCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	slot, ok, err := r.slot(lookupCtx, p)
+	slot, ok, err := r.slot(lookupCtx, ref)
 	if err != nil {
 		return claim.ReadFailed{}
 	}
 	wait = time.Until(end)
 	if !ok {
-		return r.ownRows.Get(ctx, p, wait)
+		return r.singleRows.Get(ctx, ref, wait)
 	}
-	op := Op{Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(p.Row), ReadOnly: true}
-	return lookEvent(r.Submit(ctx, op, wait+r.cfg.Batch.MinWriteInterval))
+	op := Op{Row: slot.Row, Start: slot.Start, Key: batch.EntryKey(ref.Row), ReadOnly: true}
+	return readOnlyEvent(r.Submit(ctx, op, wait+r.cfg.Batch.MinWriteInterval))
 }
 
-// lookEvent converts the answer to a ReadOnly op into an event.
-func lookEvent(ans Answer) claim.Event {
+// readOnlyEvent converts the answer to a ReadOnly op into an event.
+func readOnlyEvent(ans Answer) claim.Event {
 	switch {
 	case ans.Result != batch.OK:
 		return claim.ReadFailed{}
--- a/internal/claims/sharedrows/shared_test.go
+++ b/internal/claims/sharedrows/sharedrows_test.go
@@ -198,22 +198,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, DefaultConfig())
-		lazy := func(row string) *Op {
+		deferrable := func(row string) *Op {
 			return &Op{Row: row, Key: "0123456789abcdef", Token: "t", Deferrable: true, Timeout: time.Second}
 		}
 		got := make(chan Answer, 2)
 		r, idle := f.rows[0], newBatcher(slowTable{f.table, nil, nil}, f.rows[0].layouts.pool, DefaultConfig(), f.rows[0].stats)
-		go func() { got <- r.Serve(t.Context(), lazy("a")) }()
+		go func() { got <- r.Serve(t.Context(), deferrable("a")) }()
 		synctest.Wait()
 		start := time.Now()
 		is.NoErr(r.Close(t.Context()))
 		is.Equal(<-got, Answer{Result: batch.OK})
 		is.Equal(time.Since(start), 4*latency) // a read, because the row is old, and the write
-		is.Equal(r.Serve(t.Context(), lazy("a")), Answer{Code: status.CodeDraining})
+		is.Equal(r.Serve(t.Context(), deferrable("a")), Answer{Code: status.CodeDraining})
 
 		stuck, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
-		go func() { got <- idle.Submit(t.Context(), lazy("b")) }()
+		go func() { got <- idle.Submit(t.Context(), deferrable("b")) }()
 		synctest.Wait()
 		is.Equal(status.CodeOf(idle.Close(stuck)), status.CodeDeadlineExceeded)
 		is.Equal(<-got, Answer{Result: batch.Ambiguous})
--- a/internal/claims/stats.go
+++ b/internal/claims/stats.go
@@ -32,8 +32,8 @@
 	s.scope.Tagged(map[string]string{"result": result}).Counter("calls").Inc(1)
 }
 
-// duties sets the gauge of pending follow-ups.
-func (s stats) duties(n int) { s.scope.Gauge("duties_pending").Update(float64(n)) }
+// followUps sets the gauge of pending follow-ups.
+func (s stats) followUps(n int) { s.scope.Gauge("duties_pending").Update(float64(n)) }
 
 // lost counts outcomes that are missing in the table although they were written.
 func (s stats) lost() { s.scope.Counter("outcomes_lost").Inc(1) }
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -14,13 +14,13 @@
 
 // execute carries out a Write or Read and returns its event. The operation is not
 // cancelled with the caller, because an interrupted write would be ambiguous.
-func (r *Runner) execute(ctx context.Context, p Ref, act claim.Action, timeout time.Duration) claim.Event {
+func (r *Runner) execute(ctx context.Context, ref Ref, act claim.Action, timeout time.Duration) claim.Event {
 	ctx = context.WithoutCancel(ctx)
 	switch act := act.(type) {
 	case claim.Write:
-		return r.report("put", r.rows.Put(ctx, p, act.Row, min(act.Wait, timeout)))
+		return r.report("put", r.rows.Put(ctx, ref, act.Row, min(act.Wait, timeout)))
 	case claim.Read:
-		return r.report("get", r.rows.Get(ctx, p, min(act.Wait, timeout)))
+		return r.report("get", r.rows.Get(ctx, ref, min(act.Wait, timeout)))
 	default:
 		return nil
 	}
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -13,17 +13,17 @@
 
 // Gate decides which requests one target runs. See the package comment.
 type Gate struct {
-	cfg        Config
-	rng        *rand.Rand
-	limiter    limit.Algorithm
-	ledger     share.Ledger
-	pool       pool
-	queue      *queue
-	service    serviceTimes
-	levels     *levels
-	window     window
-	delay      *limit.QueueDetector
-	limitCutAt time.Duration // when the limit was last cut because requests queued inside the target
+	cfg           Config
+	rng           *rand.Rand
+	limiter       limit.Algorithm
+	ledger        share.Ledger
+	pool          pool
+	queue         *queue
+	service       serviceTimes
+	levels        *levels
+	window        window
+	queueDetector *limit.QueueDetector
+	limitCutAt    time.Duration // when the limit was last cut because requests queued inside the target
 
 	running   int
 	seq       uint64
@@ -37,13 +37,13 @@
 // another goroutine.
 func New(cfg Config, rng *rand.Rand) *Gate {
 	g := &Gate{
-		cfg:      cfg,
-		rng:      rng,
-		limiter:  limit.NewProbe(cfg.Limit, cfg.Slots),
-		pool:     pool{byID: make(map[Ticket]int)},
-		levels:   newLevels(),
-		delay:    limit.NewQueueDetector(importances),
-		maxQueue: cfg.queueLimit(cfg.Slots),
+		cfg:           cfg,
+		rng:           rng,
+		limiter:       limit.NewProbe(cfg.Limit, cfg.Slots),
+		pool:          pool{byID: make(map[Ticket]int)},
+		levels:        newLevels(),
+		queueDetector: limit.NewQueueDetector(importances),
+		maxQueue:      cfg.queueLimit(cfg.Slots),
 	}
 	g.queue = newQueue(&g.pool, &g.ledger)
 	return g
@@ -230,9 +230,9 @@
 // recordLatency feeds the detection of requests that queue inside the target.
 func (g *Gate) recordLatency(now time.Duration, e *entry, downstream time.Duration) {
 	imp, took := e.importance(), now-e.started
-	g.delay.CountCompletion(imp)
+	g.queueDetector.CountCompletion(imp)
 	if e.started >= g.limitCutAt {
-		g.delay.RecordTime(imp, took, took-downstream)
+		g.queueDetector.RecordTime(imp, took, took-downstream)
 	}
 }
 
--- a/internal/core/admission/window.go
+++ b/internal/core/admission/window.go
@@ -63,7 +63,7 @@
 		standingQueue: now-w.delayLowAt >= g.cfg.StandingDelay,
 		service:       g.service.mean * g.service.slowdown(now),
 	}, &g.ledger, g.cfg.IdleUtilization)
-	needed := g.delay.EndWindow()
+	needed := g.queueDetector.EndWindow()
 	g.limiter.Observe(limit.Window{
 		Length:     length,
 		Busy:       w.busy,
--- a/internal/core/claim/attempt.go
+++ b/internal/core/claim/attempt.go
@@ -187,7 +187,7 @@
 	if code, abandoned := a.abandoned(now); abandoned {
 		return a.finish(Answer{
 			Outcome: Outcome{Kind: request.Refused, Code: code}, NotRunByCall: true,
-			FollowUp: a.releaseDuty(),
+			FollowUp: a.releaseFollowUp(),
 		})
 	}
 	a.phase = running
@@ -201,14 +201,14 @@
 		return a.finish(Answer{
 			Outcome:      Outcome{Kind: request.Refused, Code: e.Code},
 			Origin:       FromRun,
-			NotRunByCall: true, RetryAfter: e.RetryAfter, FollowUp: a.releaseDuty(),
+			NotRunByCall: true, RetryAfter: e.RetryAfter, FollowUp: a.releaseFollowUp(),
 		})
 	case TargetDone:
 		o := e.Outcome
 		if o.Kind == request.Refused {
 			o.Kind = request.Unknown // TargetNotRun is the event for "not run"
 		}
-		return a.finish(Answer{Outcome: o, Origin: FromRun, FollowUp: a.recordDuty(now, o)})
+		return a.finish(Answer{Outcome: o, Origin: FromRun, FollowUp: a.recordFollowUp(now, o)})
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 		ans.RetryAfter = a.refusal.RetryAfter
 	}
 	if a.maybeWritten {
-		ans.FollowUp = newFenceDuty(a.cfg, a.req.Token, a.baseVersion)
+		ans.FollowUp = newFenceFollowUp(a.cfg, a.req.Token, a.baseVersion)
 	}
 	return a.finish(ans)
 }
@@ -294,14 +294,16 @@
 	return d + d/parts*part
 }
 
-// recordDuty returns the follow-up that records an outcome.
-func (a *Attempt) recordDuty(now time.Duration, o Outcome) FollowUp {
-	return newRecordDuty(a.cfg, Row{
+// recordFollowUp returns the follow-up that records an outcome.
+func (a *Attempt) recordFollowUp(now time.Duration, o Outcome) FollowUp {
+	return newRecordFollowUp(a.cfg, Row{
 		Version: a.baseVersion + 1, Token: a.req.Token, State: Done, Fingerprint: a.req.Fingerprint,
 		Since: a.startedAt, Until: a.runDeadline(), Outcome: o.Trim(a.cfg.MaxStoredBody),
 		Expires: max(now, a.req.KeyTime) + a.req.Retention,
 	})
 }
 
-// releaseDuty returns the follow-up that releases the claim.
-func (a *Attempt) releaseDuty() FollowUp { return newReleaseDuty(a.cfg, a.req.Token, a.baseVersion) }
+// releaseFollowUp returns the follow-up that releases the claim.
+func (a *Attempt) releaseFollowUp() FollowUp {
+	return newReleaseFollowUp(a.cfg, a.req.Token, a.baseVersion)
+}
--- a/internal/core/claim/batch/bench_test.go
+++ b/internal/core/claim/batch/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // The benchmark drives the batcher with a virtual clock: callers generate dated
-// keys, and each call is a claim op followed, after its run, by a lazy outcome op.
+// keys, and each call is a claim op followed, after its run, by a deferrable outcome op.
 // One Batcher represents all batching nodes, because rows are independent.
 const (
 	oneWayLatency      = 1500 * time.Microsecond // one-way latency between zones
@@ -266,8 +266,8 @@
 // BenchmarkLayouts compares layouts at the design load of 3,100 claims per second.
 func BenchmarkLayouts(b *testing.B) {
 	for _, c := range []struct {
-		shards     int
-		slot, lazy time.Duration
+		shards           int
+		slot, deferDelay time.Duration
 	}{
 		{8, 500 * time.Millisecond, 250 * time.Millisecond},
 		{4, 250 * time.Millisecond, 250 * time.Millisecond},
@@ -277,9 +277,9 @@
 		{4, 125 * time.Millisecond, time.Second},
 		{2, 64 * time.Millisecond, time.Second},
 	} {
-		b.Run(fmt.Sprintf("shards=%d,slot=%v,lazy=%v", c.shards, c.slot, c.lazy), func(b *testing.B) {
+		b.Run(fmt.Sprintf("shards=%d,slot=%v,lazy=%v", c.shards, c.slot, c.deferDelay), func(b *testing.B) {
 			cfg := DefaultConfig()
-			cfg.Shards, cfg.Slot, cfg.DeferDelay = c.shards, c.slot, c.lazy
+			cfg.Shards, cfg.Slot, cfg.DeferDelay = c.shards, c.slot, c.deferDelay
 			measure(b, cfg, 3100, 0)
 		})
 	}
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -122,7 +122,7 @@
 	is.True(!ans.FollowUp.Pending())
 
 	cfg := DefaultConfig()
-	d := newFenceDuty(&cfg, "me", 0)
+	d := newFenceFollowUp(&cfg, "me", 0)
 	d.Step(t0, Begin{})
 	d.Step(t0, RowRead{})
 	is.Equal(d.Step(t0, NoRoom{}), Finished{})
--- a/internal/core/claim/duty.go
+++ b/internal/core/claim/followup.go
@@ -26,70 +26,70 @@
 }
 
 // Pending reports whether any work is left.
-func (d *FollowUp) Pending() bool { return d.task != taskNone }
+func (f *FollowUp) Pending() bool { return f.task != taskNone }
 
 // BeforeAnswer reports whether the first try should precede the answer, because a
 // caller that repeats immediately then finds the outcome recorded or the claim
 // released.
-func (d *FollowUp) BeforeAnswer() bool { return d.task == taskRecord || d.task == taskRelease }
+func (f *FollowUp) BeforeAnswer() bool { return f.task == taskRecord || f.task == taskRelease }
 
 // RecordsOutcome reports whether the follow-up records an outcome.
-func (d *FollowUp) RecordsOutcome() bool { return d.task == taskRecord }
+func (f *FollowUp) RecordsOutcome() bool { return f.task == taskRecord }
 
-func newRecordDuty(cfg *Config, row Row) FollowUp {
+func newRecordFollowUp(cfg *Config, row Row) FollowUp {
 	return FollowUp{cfg: cfg, task: taskRecord, token: row.Token, row: row}
 }
 
-func newReleaseDuty(cfg *Config, token string, held int64) FollowUp {
+func newReleaseFollowUp(cfg *Config, token string, held int64) FollowUp {
 	return FollowUp{cfg: cfg, task: taskRelease, token: token, baseVersion: held}
 }
 
-// newFenceDuty returns the follow-up that undoes a claim write whose result is
+// newFenceFollowUp returns the follow-up that undoes a claim write whose result is
 // unknown. The write may have taken effect or may still do so, so reading the row
 // as absent is not enough. The follow-up writes a Free row under the same condition,
 // so that one of the two writes fails.
-func newFenceDuty(cfg *Config, token string, base int64) FollowUp {
+func newFenceFollowUp(cfg *Config, token string, base int64) FollowUp {
 	return FollowUp{cfg: cfg, task: taskFence, token: token, baseVersion: base}
 }
 
 // Step handles an event and returns Write, Read, RetryLater or Finished.
-func (d *FollowUp) Step(now time.Duration, e Event) Action {
+func (f *FollowUp) Step(now time.Duration, e Event) Action {
 	if _, ok := e.(Begin); ok {
-		return d.start(now)
+		return f.start(now)
 	}
-	switch d.phase {
+	switch f.phase {
 	case writing:
-		return d.onWriteResult(e)
+		return f.onWriteResult(e)
 	case reading:
-		return d.onReadResult(now, e)
+		return f.onReadResult(now, e)
 	default:
 		return nil
 	}
 }
 
-func (d *FollowUp) start(now time.Duration) Action {
-	switch d.task {
+func (f *FollowUp) start(now time.Duration) Action {
+	switch f.task {
 	case taskRecord:
-		return d.write(d.row)
+		return f.write(f.row)
 	case taskRelease:
-		return d.writeFree(now, d.baseVersion)
+		return f.writeFree(now, f.baseVersion)
 	case taskFence:
-		return d.readRow()
+		return f.readRow()
 	default:
-		return d.finish(false)
+		return f.finish(false)
 	}
 }
 
-func (d *FollowUp) onWriteResult(e Event) Action {
+func (f *FollowUp) onWriteResult(e Event) Action {
 	switch e.(type) {
 	case Written:
-		return d.finish(false)
+		return f.finish(false)
 	case NoRoom:
 		// Only a fence writes an entry that does not exist yet. A row without room
 		// for the fence has none for the fenced claim either: rows never shrink.
-		return d.finish(false)
+		return f.finish(false)
 	case ConditionFailed:
-		return d.onConditionFailed()
+		return f.onConditionFailed()
 	default:
 		return RetryLater{}
 	}
@@ -97,49 +97,49 @@
 
 // onConditionFailed handles a failed condition. Only the holder moves a row on
 // from its claim, so a release that fails was already done by an earlier try.
-func (d *FollowUp) onConditionFailed() Action {
-	if d.task == taskRelease {
-		return d.finish(false)
+func (f *FollowUp) onConditionFailed() Action {
+	if f.task == taskRelease {
+		return f.finish(false)
 	}
-	return d.readRow()
+	return f.readRow()
 }
 
-func (d *FollowUp) onReadResult(now time.Duration, e Event) Action {
+func (f *FollowUp) onReadResult(now time.Duration, e Event) Action {
 	r, ok := e.(RowRead)
 	if !ok {
 		return RetryLater{}
 	}
-	if d.task == taskRecord {
-		return d.finish(r.Row.State != Done || r.Row.Token != d.token)
+	if f.task == taskRecord {
+		return f.finish(r.Row.State != Done || r.Row.Token != f.token)
 	}
 	switch {
-	case r.Row.State == Held && r.Row.Token == d.token:
-		return d.writeFree(now, r.Row.Version)
-	case r.Row.Version > d.baseVersion:
-		return d.finish(false)
+	case r.Row.State == Held && r.Row.Token == f.token:
+		return f.writeFree(now, r.Row.Version)
+	case r.Row.Version > f.baseVersion:
+		return f.finish(false)
 	default:
-		return d.writeFree(now, r.Row.Version)
+		return f.writeFree(now, r.Row.Version)
 	}
 }
 
 // writeFree replaces the row at version with a Free row.
-func (d *FollowUp) writeFree(now time.Duration, version int64) Action {
-	return d.write(Row{
-		Version: version + 1, Token: d.token, State: Free, Expires: now + d.cfg.FreeRetention,
+func (f *FollowUp) writeFree(now time.Duration, version int64) Action {
+	return f.write(Row{
+		Version: version + 1, Token: f.token, State: Free, Expires: now + f.cfg.FreeRetention,
 	})
 }
 
-func (d *FollowUp) write(r Row) Action {
-	d.phase = writing
-	return Write{Row: r, Wait: d.cfg.OpTimeout}
+func (f *FollowUp) write(r Row) Action {
+	f.phase = writing
+	return Write{Row: r, Wait: f.cfg.OpTimeout}
 }
 
-func (d *FollowUp) readRow() Action {
-	d.phase = reading
-	return Read{Wait: d.cfg.OpTimeout}
+func (f *FollowUp) readRow() Action {
+	f.phase = reading
+	return Read{Wait: f.cfg.OpTimeout}
 }
 
-func (d *FollowUp) finish(lost bool) Action {
-	d.phase, d.task = ended, taskNone
+func (f *FollowUp) finish(lost bool) Action {
+	f.phase, f.task = ended, taskNone
 	return Finished{Lost: lost}
 }
--- a/internal/core/claim/model_test.go
+++ b/internal/core/claim/model_test.go
@@ -21,7 +21,7 @@
 // call is one attempt with its follow-up in the model.
 type call struct {
 	attempt         Attempt
-	duty            FollowUp
+	followUp        FollowUp
 	act             Action // to be carried out; nil when done or when ev is pending
 	ev              Event  // result to be delivered
 	started         bool
@@ -240,16 +240,16 @@
 	c := &w.calls[i]
 	c.ev = nil
 	var err error
-	if c.duty.Pending() {
-		c.act = c.duty.Step(modelTimes[w.timeIndex], e)
+	if c.followUp.Pending() {
+		c.act = c.followUp.Step(modelTimes[w.timeIndex], e)
 	} else {
 		c.act = m.step(&c.attempt, modelTimes[w.timeIndex], e)
 	}
 	if ans, ok := c.act.(Answer); ok {
 		err = w.check(i, ans)
-		c.duty, c.act = ans.FollowUp, nil
-		if c.duty.Pending() {
-			c.act = c.duty.Step(modelTimes[w.timeIndex], Begin{})
+		c.followUp, c.act = ans.FollowUp, nil
+		if c.followUp.Pending() {
+			c.act = c.followUp.Step(modelTimes[w.timeIndex], Begin{})
 		}
 	}
 	if f, ok := c.act.(Finished); ok {
--- a/internal/core/configset/packed_organisation.go
+++ b/internal/core/configset/encodedorganisation.go
@@ -10,20 +10,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// packedOrganisation is one organisation in encoded form. As with services,
+// encodedOrganisation is one organisation in encoded form. As with services,
 // lastChanged determines what a delta contains, so a key that is added or
 // removed is sent as the one organisation that holds it.
-type packedOrganisation struct {
+type encodedOrganisation struct {
 	organisation Organisation
 	body         []byte
 	digest       Digest
 	lastChanged  int64
 }
 
-func (p *packedOrganisation) name() string { return string(p.organisation.Name) }
+func (p *encodedOrganisation) name() string { return string(p.organisation.Name) }
 
-func packOrganisations(list []Organisation, version int64) ([]*packedOrganisation, int, error) {
-	out := make([]*packedOrganisation, 0, len(list))
+func packOrganisations(list []Organisation, version int64) ([]*encodedOrganisation, int, error) {
+	out := make([]*encodedOrganisation, 0, len(list))
 	size := 0
 	for _, o := range list {
 		body, err := marshal(o)
@@ -31,15 +31,15 @@
 			return nil, 0, err
 		}
 		size += len(body)
-		out = append(out, &packedOrganisation{organisation: o, body: body, digest: sha256.Sum256(body), lastChanged: version})
+		out = append(out, &encodedOrganisation{organisation: o, body: body, digest: sha256.Sum256(body), lastChanged: version})
 	}
 	return out, size, nil
 }
 
-func unpackOrganisations(raws []msgpack.RawMessage, version int64) ([]*packedOrganisation, error) {
-	out := make([]*packedOrganisation, 0, len(raws))
+func unpackOrganisations(raws []msgpack.RawMessage, version int64) ([]*encodedOrganisation, error) {
+	out := make([]*encodedOrganisation, 0, len(raws))
 	for _, raw := range raws {
-		p := &packedOrganisation{body: slices.Clone(raw), digest: sha256.Sum256(raw), lastChanged: version}
+		p := &encodedOrganisation{body: slices.Clone(raw), digest: sha256.Sum256(raw), lastChanged: version}
 		if err := unmarshal(raw, &p.organisation); err != nil {
 			return nil, err
 		}
@@ -50,7 +50,7 @@
 
 // hashOrganisations adds the organisations to a set's digest. A set without
 // organisations keeps the digest that it had before organisations existed.
-func hashOrganisations(h hash.Hash, list []*packedOrganisation) {
+func hashOrganisations(h hash.Hash, list []*encodedOrganisation) {
 	if len(list) == 0 {
 		return
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func bodiesOf(list []*packedOrganisation) []msgpack.RawMessage {
+func bodiesOf(list []*encodedOrganisation) []msgpack.RawMessage {
 	out := make([]msgpack.RawMessage, 0, len(list))
 	for _, p := range list {
 		out = append(out, p.body)
@@ -87,12 +87,12 @@
 
 // mergeOrganisations builds the organisations from an older set's and the
 // changed and removed ones.
-func (p *EncodedSet) mergeOrganisations(old *EncodedSet, changed []*packedOrganisation, gone map[string]bool) {
-	next := make(map[string]*packedOrganisation, len(changed))
+func (p *EncodedSet) mergeOrganisations(old *EncodedSet, changed []*encodedOrganisation, gone map[string]bool) {
+	next := make(map[string]*encodedOrganisation, len(changed))
 	for _, o := range changed {
 		next[o.name()] = o
 	}
-	p.organisations = make([]*packedOrganisation, 0, len(old.organisations)+len(changed))
+	p.organisations = make([]*encodedOrganisation, 0, len(old.organisations)+len(changed))
 	for _, have := range old.organisations {
 		o, ok := next[have.name()]
 		switch {
@@ -106,12 +106,12 @@
 	for _, o := range next {
 		p.organisations = append(p.organisations, o)
 	}
-	slices.SortFunc(p.organisations, func(a, b *packedOrganisation) int { return cmp.Compare(a.name(), b.name()) })
+	slices.SortFunc(p.organisations, func(a, b *encodedOrganisation) int { return cmp.Compare(a.name(), b.name()) })
 	p.removedOrganisations = mergeRemovals(old.removedOrganisations, gone, p.head.Version, p.hasOrganisation)
 }
 
 func (p *EncodedSet) hasOrganisation(name string) bool {
-	_, ok := slices.BinarySearchFunc(p.organisations, name, func(o *packedOrganisation, name string) int {
+	_, ok := slices.BinarySearchFunc(p.organisations, name, func(o *encodedOrganisation, name string) int {
 		return cmp.Compare(o.name(), name)
 	})
 	return ok
--- a/internal/core/configset/packed.go
+++ b/internal/core/configset/encodedset.go
@@ -20,17 +20,17 @@
 type EncodedSet struct {
 	head            Head
 	share           float64
-	services        []*packedService // sorted by name
-	removedServices []removal        // sorted by name
+	services        []*encodedService // sorted by name
+	removedServices []removal         // sorted by name
 
-	organisations        []*packedOrganisation // sorted by name
-	removedOrganisations []removal             // sorted by name
+	organisations        []*encodedOrganisation // sorted by name
+	removedOrganisations []removal              // sorted by name
 
 	historyStart int64 // changes up to this version are unknown
 }
 
-// packedService is one service of a set in encoded form.
-type packedService struct {
+// encodedService is one service of a set in encoded form.
+type encodedService struct {
 	service Service
 	body    []byte
 	digest  Digest
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		size += len(body)
-		p.services = append(p.services, &packedService{service: svc, body: body, digest: sha256.Sum256(body), lastChanged: s.Version})
+		p.services = append(p.services, &encodedService{service: svc, body: body, digest: sha256.Sum256(body), lastChanged: s.Version})
 	}
 	var more int
 	var err error
@@ -92,11 +92,11 @@
 	}
 	p := &EncodedSet{head: want, share: encoded.Share, historyStart: want.Version}
 	for _, raw := range encoded.Services {
-		packed, err := newPackedService(raw, want.Version)
+		svc, err := newEncodedService(raw, want.Version)
 		if err != nil {
 			return nil, err
 		}
-		p.services = append(p.services, packed)
+		p.services = append(p.services, svc)
 	}
 	var err error
 	if p.organisations, err = unpackOrganisations(encoded.Organisations, want.Version); err != nil {
@@ -105,8 +105,8 @@
 	return p, p.verify()
 }
 
-func newPackedService(raw msgpack.RawMessage, version int64) (*packedService, error) {
-	p := &packedService{body: slices.Clone(raw), digest: sha256.Sum256(raw), lastChanged: version}
+func newEncodedService(raw msgpack.RawMessage, version int64) (*encodedService, error) {
+	p := &encodedService{body: slices.Clone(raw), digest: sha256.Sum256(raw), lastChanged: version}
 	return p, unmarshal(raw, &p.service)
 }
 
@@ -132,8 +132,8 @@
 		h.Write(number[:])
 	}
 	h.Write([]byte(p.head.Tenant))
-	for _, packed := range p.services {
-		h.Write(packed.digest[:])
+	for _, svc := range p.services {
+		h.Write(svc.digest[:])
 	}
 	hashOrganisations(h, p.organisations)
 	var d Digest
@@ -147,8 +147,8 @@
 // Set returns the set as a value; its services must not be modified.
 func (p *EncodedSet) Set() Set {
 	s := Set{Tenant: p.head.Tenant, Version: p.head.Version, Share: p.share, Services: make([]Service, len(p.services))}
-	for i, packed := range p.services {
-		s.Services[i] = packed.service
+	for i, svc := range p.services {
+		s.Services[i] = svc.service
 	}
 	for _, o := range p.organisations {
 		s.Organisations = append(s.Organisations, o.organisation)
@@ -162,8 +162,8 @@
 		Format: formatVersion, Tenant: p.head.Tenant, Share: p.share,
 		Services: make([]msgpack.RawMessage, len(p.services)), Organisations: bodiesOf(p.organisations),
 	}
-	for i, packed := range p.services {
-		encoded.Services[i] = packed.body
+	for i, svc := range p.services {
+		encoded.Services[i] = svc.body
 	}
 	return marshal(encoded)
 }
@@ -190,14 +190,14 @@
 		return Delta{}, false
 	}
 	d = Delta{Tenant: p.head.Tenant, Since: version, Version: p.head.Version, Share: p.share}
-	for _, packed := range p.services {
-		if packed.lastChanged <= version {
+	for _, svc := range p.services {
+		if svc.lastChanged <= version {
 			continue
 		}
-		if patch, ok := packed.patchFrom(version); ok {
+		if patch, ok := svc.patchFrom(version); ok {
 			d.Patches = append(d.Patches, patch)
 		} else {
-			d.Services = append(d.Services, packed.body)
+			d.Services = append(d.Services, svc.body)
 		}
 	}
 	for _, r := range p.removedServices {
@@ -226,20 +226,20 @@
 			d.Tenant, d.Since, d.Version, p.head.Version, p.head.Tenant, want.Version, want.Tenant)
 	}
 	next := &EncodedSet{head: want, share: d.Share, historyStart: p.historyStart}
-	changed := make(map[string]*packedService, len(d.Services))
+	changed := make(map[string]*encodedService, len(d.Services))
 	for _, raw := range d.Services {
-		packed, err := newPackedService(raw, d.Version)
+		svc, err := newEncodedService(raw, d.Version)
 		if err != nil {
 			return nil, err
 		}
-		changed[packed.service.Name] = packed
+		changed[svc.service.Name] = svc
 	}
 	for i := range d.Patches {
-		packed, err := p.applyPatch(&d.Patches[i], d.Version)
+		svc, err := p.applyPatch(&d.Patches[i], d.Version)
 		if err != nil {
 			return nil, err
 		}
-		changed[packed.service.Name] = packed
+		changed[svc.service.Name] = svc
 	}
 	organisations, err := unpackOrganisations(d.Organisations, d.Version)
 	if err != nil {
@@ -255,10 +255,10 @@
 // Without it, a node that read a whole set could not send deltas to it.
 func (p *EncodedSet) WithHistoryOf(old *EncodedSet) *EncodedSet {
 	next := &EncodedSet{head: p.head, share: p.share, historyStart: old.historyStart}
-	changed := make(map[string]*packedService, len(p.services))
+	changed := make(map[string]*encodedService, len(p.services))
 	for _, have := range p.services {
-		packed := *have
-		changed[packed.service.Name] = &packed
+		svc := *have
+		changed[svc.service.Name] = &svc
 	}
 	gone := make(map[string]bool)
 	for _, have := range old.services {
@@ -273,8 +273,8 @@
 
 // mergeServices builds the services from an older set's and the changed and
 // removed ones.
-func (p *EncodedSet) mergeServices(old *EncodedSet, changed map[string]*packedService, gone map[string]bool) {
-	p.services = make([]*packedService, 0, len(old.services)+len(changed))
+func (p *EncodedSet) mergeServices(old *EncodedSet, changed map[string]*encodedService, gone map[string]bool) {
+	p.services = make([]*encodedService, 0, len(old.services)+len(changed))
 	for _, have := range old.services {
 		name := have.service.Name
 		if next, ok := changed[name]; ok {
@@ -292,7 +292,7 @@
 	for _, next := range changed {
 		p.services = append(p.services, next)
 	}
-	slices.SortFunc(p.services, func(a, b *packedService) int { return cmp.Compare(a.service.Name, b.service.Name) })
+	slices.SortFunc(p.services, func(a, b *encodedService) int { return cmp.Compare(a.service.Name, b.service.Name) })
 	p.recordRemoved(old, gone)
 }
 
@@ -303,7 +303,7 @@
 }
 
 func (p *EncodedSet) hasService(name string) bool {
-	_, ok := slices.BinarySearchFunc(p.services, name, func(q *packedService, name string) int {
+	_, ok := slices.BinarySearchFunc(p.services, name, func(q *encodedService, name string) int {
 		return cmp.Compare(q.service.Name, name)
 	})
 	return ok
--- a/internal/core/configset/packed_test.go
+++ b/internal/core/configset/encodedset_test.go
@@ -164,7 +164,7 @@
 		is.True(err != nil)
 	}
 	_, ok := to.DeltaSince(3)
-	is.True(!ok) // packed as version 4 without the earlier history
+	is.True(!ok) // encoded as version 4 without the earlier history
 	d, ok = got.DeltaSince(3)
 	is.True(ok)
 	is.Equal(len(d.Services), 0)
--- a/internal/core/configset/patch.go
+++ b/internal/core/configset/patch.go
@@ -48,7 +48,7 @@
 
 // recordPrevious records the service's previous encodings. Their version bounds
 // may be too high, which only costs a patch.
-func (p *packedService) recordPrevious(before *packedService) {
+func (p *encodedService) recordPrevious(before *encodedService) {
 	p.history = append(p.history[:0:0], previousBody{before.body, before.lastChanged})
 	p.history = append(p.history, before.history[:min(len(before.history), maxHistory-1)]...)
 }
@@ -57,7 +57,7 @@
 // version holds. If versions were skipped here, the peer may have held that
 // service earlier, or have the new one already. ok is false if that service is
 // unknown or the patch is no smaller than the whole service.
-func (p *packedService) patchFrom(version int64) (patch Patch, ok bool) {
+func (p *encodedService) patchFrom(version int64) (patch Patch, ok bool) {
 	for _, old := range p.history {
 		if version < old.since {
 			continue
@@ -85,8 +85,8 @@
 
 // applyPatch applies a patch to the service in p. The version is the one that
 // the delta leads to.
-func (p *EncodedSet) applyPatch(d *Patch, version int64) (*packedService, error) {
-	i, ok := slices.BinarySearchFunc(p.services, d.Name, func(q *packedService, name string) int {
+func (p *EncodedSet) applyPatch(d *Patch, version int64) (*encodedService, error) {
+	i, ok := slices.BinarySearchFunc(p.services, d.Name, func(q *encodedService, name string) int {
 		return cmp.Compare(q.service.Name, name)
 	})
 	if !ok {
@@ -99,5 +99,5 @@
 	if d.PrefixLen < 0 || d.SuffixLen < 0 || d.PrefixLen > len(old) || d.SuffixLen > len(old)-d.PrefixLen {
 		return nil, status.New(status.CodeProtocol, "patch for service %q exceeds its %d bytes", d.Name, len(old))
 	}
-	return newPackedService(slices.Concat(old[:d.PrefixLen], d.Middle, old[len(old)-d.SuffixLen:]), max(min(d.Changed, version), p.head.Version+1))
+	return newEncodedService(slices.Concat(old[:d.PrefixLen], d.Middle, old[len(old)-d.SuffixLen:]), max(min(d.Changed, version), p.head.Version+1))
 }
--- a/internal/core/configset/validate.go
+++ b/internal/core/configset/validate.go
@@ -167,11 +167,11 @@
 	checkRange(v, field.withKey("deadline"), c.Deadline, MinDeadline, MaxDeadline)
 	checkRange(v, field.withKey("attempts"), c.Attempts, 0, MaxAttempts)
 	checkRange(v, field.withKey("maxBody"), c.MaxBody, 0, MaxBodyLimit)
-	v.checkRemember(field, c)
+	v.checkKeyRetention(field, c)
 }
 
-// checkRemember validates the fields that concern only at-most-once classes.
-func (v *validator) checkRemember(field fieldPath, c Class) {
+// checkKeyRetention validates the fields that concern only at-most-once classes.
+func (v *validator) checkKeyRetention(field fieldPath, c Class) {
 	switch {
 	case !c.AtMostOnce && c.KeyRetention != 0:
 		v.report(field.withKey("remember"), "is only for atMostOnce classes")
--- a/internal/core/configwatch/state.go
+++ b/internal/core/configwatch/state.go
@@ -232,8 +232,8 @@
 }
 
 // HandlePoll handles a child's poll; SendReply returns the caller's id.
-func (s *State) HandlePoll(now time.Duration, id uint64, a PollRequest) []Action {
-	w := waiter{id: id, have: a.Version, arrivedAt: now, deadline: now + s.cfg.PeerWait}
+func (s *State) HandlePoll(now time.Duration, id uint64, req PollRequest) []Action {
+	w := waiter{id: id, have: req.Version, arrivedAt: now, deadline: now + s.cfg.PeerWait}
 	if s.hasNews(w) || len(s.waiters) >= s.cfg.MaxWaiters {
 		s.reply(w)
 	} else {
--- a/internal/core/conn/peer_test.go
+++ b/internal/core/conn/peer_test.go
@@ -137,13 +137,13 @@
 		return
 	}
 	for _, id := range n.probed {
-		word := NotExecuting
+		callStatus := NotExecuting
 		for _, c := range n.calls {
 			if c.id == id && now < c.answeredAt && !n.dead(c.began, id) {
-				word = Executing
+				callStatus = Executing
 			}
 		}
-		n.p.RecordStatus(now, id, word)
+		n.p.RecordStatus(now, id, callStatus)
 	}
 	n.probed = nil
 	n.p.ProbeDone(now, true)
--- a/internal/core/conn/silence.go
+++ b/internal/core/conn/silence.go
@@ -151,14 +151,14 @@
 }
 
 // RecordStatus records the peer's statement about one call of a probe.
-func (p *Peer) RecordStatus(now time.Duration, id ID, word CallStatus) {
+func (p *Peer) RecordStatus(now time.Duration, id ID, callStatus CallStatus) {
 	c := p.conns[id]
 	if c == nil || !c.inUse || !c.silence.inProbe {
 		return // ended or active since
 	}
 	w := &c.silence
 	w.inProbe = false
-	switch word {
+	switch callStatus {
 	case Executing:
 		// Slow, not dead. Probe again later, since the response may still be lost.
 		w.confirmedAt = now
--- a/internal/core/limit/cut_on_delay.go
+++ b/internal/core/limit/cut_on_queueing.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// delayDuration is how long QueueDetector must detect queueing inside the target, and
-// delayCompletions how many requests must have completed in that time.
+// queueingDuration is how long QueueDetector must detect queueing inside the target, and
+// queueingCompletions how many requests must have completed in that time.
 const (
-	delayDuration    = 200 * time.Millisecond
-	delayCompletions = 30
+	queueingDuration    = 200 * time.Millisecond
+	queueingCompletions = 30
 )
 
 // maxCutRatio is the largest ratio by which one cut because of QueueDetector lowers the
@@ -21,23 +21,23 @@
 // pause would keep a target that has all its slots again from using them for long.
 const raisePause = 2 * time.Second
 
-// cutOnDelay checks whether QueueDetector detects queueing inside the target, and once that
-// is certain cuts the limit to what requests need without it. It reports whether it
-// did. A trial would take several times as long as a request spends in the target,
-// while its callers' slots stay occupied.
-func (p *Probe) cutOnDelay(w Window) bool {
+// cutOnQueueing checks whether QueueDetector detects queueing inside the target, and once
+// that is certain cuts the limit to what requests need without it. It reports whether it
+// did. A trial would take several times as long as a request spends in the target, while
+// its callers' slots stay occupied.
+func (p *Probe) cutOnQueueing(w Window) bool {
 	if w.Needed == 0 || p.phase == verifyingCut {
-		p.delayWindow = Window{}
+		p.queueingWindow = Window{}
 		return false
 	}
-	p.delayWindow.add(w)
-	s := p.delayWindow
-	if s.Length < delayDuration || s.Completed < delayCompletions {
+	p.queueingWindow.add(w)
+	s := p.queueingWindow
+	if s.Length < queueingDuration || s.Completed < queueingCompletions {
 		return false
 	}
-	p.delayWindow = Window{}
+	p.queueingWindow = Window{}
 	useful := max(p.limit/maxCutRatio, int(math.Ceil(cutHeadroom*s.Needed.Seconds()/s.Length.Seconds())))
-	if p.ignoreDelayFor > 0 || useful >= p.limit {
+	if p.ignoreQueueingFor > 0 || useful >= p.limit {
 		return false
 	}
 	p.phase = verifyingCut
@@ -53,10 +53,10 @@
 func (p *Probe) afterVerifyingCut(r reading) {
 	p.phase = steady
 	if queuesInside(r, p.beforeTrial) {
-		p.cutByDelay = true
+		p.cutByQueueing = true
 		p.backOff()
 		return
 	}
-	p.ignoreDelayFor = p.cfg.MaxBackoff
+	p.ignoreQueueingFor = p.cfg.MaxBackoff
 	p.setAndSettle(p.beforeTrial.limit, r)
 }
--- a/internal/core/limit/probe.go
+++ b/internal/core/limit/probe.go
@@ -37,21 +37,21 @@
 	max   int
 	limit int
 
-	phase          phase
-	settling       time.Duration // remaining time until the last change shows in completions
-	measurement    Window        // measurement in progress
-	beforeTrial    reading       // reading before the trial
-	atLower        reading       // reading at the lower limit of the trial
-	lastReading    reading       // previous reading, in any phase
-	bestTime       time.Duration // shortest time in the target, rising slowly
-	repeatCut      bool          // the last trial cut the limit; the next follows at once
-	inflatedFor    time.Duration // how long the time in the target has been inflated
-	trialPause     time.Duration // remaining time until the next trial
-	nextBackoff    time.Duration // next trialPause
-	delayWindow    Window        // measured since QueueDetector detected queueing inside the target
-	ignoreDelayFor time.Duration // remaining time during which QueueDetector is ignored
-	cutByDelay     bool          // the limit was last cut because of QueueDetector
-	sheds          shedRun
+	phase             phase
+	settling          time.Duration // remaining time until the last change shows in completions
+	measurement       Window        // measurement in progress
+	beforeTrial       reading       // reading before the trial
+	atLower           reading       // reading at the lower limit of the trial
+	lastReading       reading       // previous reading, in any phase
+	bestTime          time.Duration // shortest time in the target, rising slowly
+	repeatCut         bool          // the last trial cut the limit; the next follows at once
+	inflatedFor       time.Duration // how long the time in the target has been inflated
+	trialPause        time.Duration // remaining time until the next trial
+	nextBackoff       time.Duration // next trialPause
+	queueingWindow    Window        // measured since QueueDetector detected queueing inside the target
+	ignoreQueueingFor time.Duration // remaining time during which QueueDetector is ignored
+	cutByQueueing     bool          // the limit was last cut because of QueueDetector
+	sheds             shedRun
 }
 
 // shedRun is the state of a series of windows in which the target sheds.
@@ -152,7 +152,7 @@
 // Observe implements Algorithm.
 func (p *Probe) Observe(w Window) {
 	p.trialPause = max(0, p.trialPause-w.Length)
-	p.ignoreDelayFor = max(0, p.ignoreDelayFor-w.Length)
+	p.ignoreQueueingFor = max(0, p.ignoreQueueingFor-w.Length)
 	p.sheds.advance(w.Length)
 	if p.sheds.ignoreFor == 0 && p.shedding(w) {
 		if !p.cutIsFutile(w) {
@@ -160,7 +160,7 @@
 		}
 		return
 	}
-	if p.cutOnDelay(w) {
+	if p.cutOnQueueing(w) {
 		return
 	}
 	if p.settling > 0 {
@@ -182,7 +182,7 @@
 	case ramping:
 		samples = rampSamples
 	case verifyingCut:
-		samples = delayCompletions
+		samples = queueingCompletions
 	}
 	if p.measurement.Length >= p.cfg.MaxMeasure {
 		return p.measurement.Completed > 0
@@ -314,7 +314,7 @@
 		p.endWithoutQueueing(r)
 		return
 	}
-	p.phase, p.repeatCut, p.cutByDelay = steady, true, false
+	p.phase, p.repeatCut, p.cutByQueueing = steady, true, false
 	p.nextBackoff = p.cfg.Backoff
 	limit := int(math.Ceil(cutHeadroom * usefulInFlight(p.atLower, r)))
 	p.beforeTrial, p.lastReading = reading{}, reading{}
@@ -347,7 +347,7 @@
 	p.phase = steady
 	if !queuesInside(p.beforeTrial, r) {
 		p.nextBackoff = p.cfg.Backoff
-		if p.cutByDelay {
+		if p.cutByQueueing {
 			p.phase = ramping
 		}
 		return
@@ -383,7 +383,7 @@
 // backOff pauses the trials: exponentially longer each time, or for raisePause after
 // a cut because of QueueDetector.
 func (p *Probe) backOff() {
-	if p.cutByDelay {
+	if p.cutByQueueing {
 		p.trialPause = raisePause
 		return
 	}
--- a/internal/core/limit/delay.go
+++ b/internal/core/limit/queuedetector.go
@@ -15,11 +15,11 @@
 
 // Thresholds for detecting requests that queue inside the target.
 const (
-	delayInflation     = 2    // the recent mean exceeds this multiple of the baseline,
-	delayVarianceRatio = 0.35 // and the recent variance is below this fraction of the baseline
-	delayMajority      = 0.5  // in kinds that make up this fraction of the completions
-	baselineInflation  = 1.5  // up to this multiple a recent mean counts as baseline
-	delaySamples       = 64   // samples that a kind needs before it counts
+	queueingInflation     = 2    // the recent mean exceeds this multiple of the baseline,
+	queueingVarianceRatio = 0.35 // and the recent variance is below this fraction of the baseline
+	queueingMajority      = 0.5  // in kinds that make up this fraction of the completions
+	baselineInflation     = 1.5  // up to this multiple a recent mean counts as baseline
+	queueingSamples       = 64   // samples that a kind needs before it counts
 )
 
 // QueueDetector detects requests that queue inside the target from the distribution of
@@ -97,7 +97,7 @@
 // baselineWeight returns the weight of a sample in the baseline.
 func (k *requestKind) baselineWeight() float64 {
 	switch {
-	case k.samples <= delaySamples:
+	case k.samples <= queueingSamples:
 		return 1 / float64(k.samples)
 	case k.queueing():
 		return 0
@@ -108,7 +108,7 @@
 }
 
 func (k *requestKind) queueing() bool {
-	return k.recent.mean > delayInflation*k.baseline.mean && k.recent.variance < delayVarianceRatio*k.baseline.variance
+	return k.recent.mean > queueingInflation*k.baseline.mean && k.recent.variance < queueingVarianceRatio*k.baseline.variance
 }
 
 // EndWindow closes a window. If requests queue inside the target, it returns the time
@@ -120,7 +120,7 @@
 		k := &d.kinds[i]
 		n := float64(k.completed)
 		k.completed = 0
-		if k.samples <= delaySamples || k.baseline.variance == 0 {
+		if k.samples <= queueingSamples || k.baseline.variance == 0 {
 			continue
 		}
 		all += n
@@ -130,7 +130,7 @@
 		narrow += n * k.recent.variance / k.baseline.variance
 	}
 	d.completedKinds = d.completedKinds[:0]
-	if wait < (delayInflation-1)*usual || narrow > delayVarianceRatio*all || all == 0 {
+	if wait < (queueingInflation-1)*usual || narrow > queueingVarianceRatio*all || all == 0 {
 		return 0
 	}
 	return time.Duration(needed * float64(time.Second))
--- a/internal/core/limit/delay_test.go
+++ b/internal/core/limit/queuedetector_test.go
@@ -11,10 +11,10 @@
 // baselineTimes are the times in a healthy target of two kinds of request.
 var baselineTimes = []time.Duration{20 * time.Millisecond, 200 * time.Millisecond}
 
-// feedDelay feeds completions, half of each kind: a time drawn with a coefficient of
+// feedDetector feeds completions, half of each kind: a time drawn with a coefficient of
 // variation of one half, stretched, plus a wait. It returns the needed time of the
 // last window.
-func feedDelay(d *QueueDetector, rng *rand.Rand, n int, stretch float64, wait func(i int) time.Duration) time.Duration {
+func feedDetector(d *QueueDetector, rng *rand.Rand, n int, stretch float64, wait func(i int) time.Duration) time.Duration {
 	for i := range n {
 		own := time.Duration(0)
 		for range 4 {
@@ -49,8 +49,8 @@
 			is := is.New(t)
 			for seed := range uint64(20) {
 				d, rng := NewQueueDetector(len(baselineTimes)), rand.New(rand.NewPCG(seed, 4))
-				is.Equal(feedDelay(d, rng, n, 1, noWait), time.Duration(0))
-				needed := feedDelay(d, rng, n, tt.stretch, tt.wait)
+				is.Equal(feedDetector(d, rng, n, 1, noWait), time.Duration(0))
+				needed := feedDetector(d, rng, n, tt.stretch, tt.wait)
 				is.Equal(needed > 0, tt.queues)
 				if tt.queues {
 					each := needed.Seconds() / n // 0.11 s of work, 1 s downstream
@@ -82,10 +82,10 @@
 		}
 		p.Observe(w)
 	}
-	is.True(least < 130)          // the limit was cut
-	is.Equal(p.Limit(), 130)      // the cut was reverted
-	is.True(p.ignoreDelayFor > 0) // the signal is ignored for a while
-	is.True(!p.cutByDelay)        // the cut does not count as successful
+	is.True(least < 130)             // the limit was cut
+	is.Equal(p.Limit(), 130)         // the cut was reverted
+	is.True(p.ignoreQueueingFor > 0) // the signal is ignored for a while
+	is.True(!p.cutByQueueing)        // the cut does not count as successful
 }
 
 const window = 50 * time.Millisecond
@@ -97,19 +97,19 @@
 func TestRecoveredSlotsAreUsedSoon(t *testing.T) {
 	is := is.New(t)
 	p, rng := NewProbe(DefaultConfig(), 130), rand.New(rand.NewPCG(1, 5))
-	runWithDelaySignal(p, rng, 130, 5*time.Second)
+	runWithQueueingSignal(p, rng, 130, 5*time.Second)
 	is.Equal(p.Limit(), 130)
-	runWithDelaySignal(p, rng, 20, time.Second)
+	runWithQueueingSignal(p, rng, 20, time.Second)
 	is.True(p.Limit() <= 26) // within a second
-	runWithDelaySignal(p, rng, 20, 30*time.Second)
+	runWithQueueingSignal(p, rng, 20, 30*time.Second)
 	is.True(p.Limit() <= 44) // a trial may be in progress
-	runWithDelaySignal(p, rng, 130, 5*time.Second)
+	runWithQueueingSignal(p, rng, 130, 5*time.Second)
 	is.Equal(p.Limit(), 130)
 }
 
-// runWithDelaySignal drives p against a target with real slots that queues
+// runWithQueueingSignal drives p against a target with real slots that queues
 // internally, and supplies the signal that QueueDetector would give.
-func runWithDelaySignal(p *Probe, rng *rand.Rand, real int, length time.Duration) {
+func runWithQueueingSignal(p *Probe, rng *rand.Rand, real int, length time.Duration) {
 	const service = 20 * time.Millisecond
 	for now := time.Duration(0); now < length; now += window {
 		n := p.Limit()
--- a/internal/core/member/exchange.go
+++ b/internal/core/member/exchange.go
@@ -16,7 +16,7 @@
 func (s *State) tickLinks(now time.Duration) {
 	ample := s.hasAmpleBudget()
 	s.queue.ampleBudget = ample
-	s.queue.piggybacking = s.rider != nil && !s.budget.Allows(budget.SeparateConn)
+	s.queue.piggybacking = s.piggybackHandler != nil && !s.budget.Allows(budget.SeparateConn)
 	var urgent uint32
 	switch {
 	case ample:
@@ -134,7 +134,7 @@
 	case Pull:
 		s.answerPull(m, r)
 	case QueryObserver:
-		s.answerAsk(now, m, r)
+		s.answerQuery(now, m, r)
 	case Probe:
 		if len(m.Records) > 0 {
 			r.Records = append(r.Records, s.selfRecord())
--- a/internal/core/member/piggyback.go
+++ b/internal/core/member/piggyback.go
@@ -23,29 +23,29 @@
 const minPiggyback = 1100
 
 // SetPiggybackHandler sets the handler whose questions and answers are piggybacked.
-func (s *State) SetPiggybackHandler(r PiggybackHandler) { s.rider = r }
+func (s *State) SetPiggybackHandler(r PiggybackHandler) { s.piggybackHandler = r }
 
 func (s *State) piggybackRequest() func(room int) []byte {
 	return func(room int) []byte {
-		if s.rider == nil || room <= 0 {
+		if s.piggybackHandler == nil || room <= 0 {
 			return nil
 		}
-		return s.rider.Request(room)
+		return s.piggybackHandler.Request(room)
 	}
 }
 
 func (s *State) piggybackReply(question []byte) func(room int) []byte {
 	return func(room int) []byte {
-		if s.rider == nil || room <= 0 || len(question) == 0 {
+		if s.piggybackHandler == nil || room <= 0 || len(question) == 0 {
 			return nil
 		}
-		return s.rider.Reply(question, room)
+		return s.piggybackHandler.Reply(question, room)
 	}
 }
 
 func (s *State) handlePiggybackReply(now time.Duration, answer []byte) {
-	if s.rider != nil && len(answer) > 0 {
-		s.rider.HandleReply(now, answer)
+	if s.piggybackHandler != nil && len(answer) > 0 {
+		s.piggybackHandler.HandleReply(now, answer)
 	}
 }
 
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -42,7 +42,7 @@
 	}
 	for _, b := range m.Recoveries {
 		s.stats.ItemsReceived++
-		s.applyBack(now, b, from)
+		s.applyRecovery(now, b, from)
 	}
 	for _, f := range m.Facts {
 		s.stats.ItemsReceived++
@@ -119,9 +119,9 @@
 	}
 }
 
-// applyBack merges a return in short form. One that does not match is left to
+// applyRecovery merges a return in short form. One that does not match is left to
 // anti-entropy.
-func (s *State) applyBack(now time.Duration, b Recovery, from uint32) {
+func (s *State) applyRecovery(now time.Duration, b Recovery, from uint32) {
 	e := s.tab.getByShortID(b.ID)
 	if e == nil || e.rec == nil || e.recordStale || uint16(e.bodyDigest()&shortBodyMask) != b.BodyDigest {
 		return
--- a/internal/core/member/state.go
+++ b/internal/core/member/state.go
@@ -17,21 +17,21 @@
 	body   uint32 // digest of self
 	status Status // Alive, Leaving or Dead
 
-	tab           table
-	queue         queue
-	links         map[request.TargetID]*link
-	linkOrder     []*link // links in opening order, for determinism
-	slots         [maxLinks]bool
-	missing       missingList
-	notLiveSince  map[request.TargetID]time.Duration // time at which members stopped being live
-	overlay       overlay
-	join          joinState
-	suppressRelay bool             // what is received was requested, and is not relayed
-	sender        request.TargetID // the link's peer whose message is being processed
-	budget        *budget.Bucket
-	rider         PiggybackHandler // nil if nothing is piggybacked
-	actions       []Action
-	view          viewCache
+	tab              table
+	queue            queue
+	links            map[request.TargetID]*link
+	linkOrder        []*link // links in opening order, for determinism
+	slots            [maxLinks]bool
+	missing          missingList
+	notLiveSince     map[request.TargetID]time.Duration // time at which members stopped being live
+	overlay          overlay
+	join             joinState
+	suppressRelay    bool             // what is received was requested, and is not relayed
+	sender           request.TargetID // the link's peer whose message is being processed
+	budget           *budget.Bucket
+	piggybackHandler PiggybackHandler // nil if nothing is piggybacked
+	actions          []Action
+	view             viewCache
 
 	lastTick   time.Duration
 	started    time.Duration // time of the first tick
--- a/internal/core/member/watch.go
+++ b/internal/core/member/watch.go
@@ -25,9 +25,9 @@
 		if !silent {
 			continue
 		}
-		if now-l.lastHeard >= s.cfg.DeadAfter-s.askWindow() && now-l.lastAsked >= s.cfg.RetryInterval {
+		if now-l.lastHeard >= s.cfg.DeadAfter-s.queryWindow() && now-l.lastAsked >= s.cfg.RetryInterval {
 			l.lastAsked = now
-			s.askObserver(now, l)
+			s.queryObserver(now, l)
 		}
 		if now-l.lastHeard >= timeout && s.hasDeathQuorum(now, l) {
 			s.declareUnreachable(now, l)
@@ -65,14 +65,14 @@
 	return s.cfg.DeadAfter
 }
 
-// askWindow is how long before a verdict the other observers are queried, one
+// queryWindow is how long before a verdict the other observers are queried, one
 // after another: long enough to query each once.
-func (s *State) askWindow() time.Duration {
+func (s *State) queryWindow() time.Duration {
 	return s.cfg.RetryInterval * time.Duration(s.cfg.Rings-1)
 }
 
-// askObserver queries the next of the other observers of a silent subject.
-func (s *State) askObserver(now time.Duration, l *link) {
+// queryObserver queries the next of the other observers of a silent subject.
+func (s *State) queryObserver(now time.Duration, l *link) {
 	e := s.tab.get(l.peer)
 	if e == nil || e.rec == nil {
 		return
@@ -83,7 +83,7 @@
 	for range l.observers {
 		l.observerIndex++
 		id := l.observers[l.observerIndex%len(l.observers)]
-		if v, ok := l.votes[id]; id == s.self.ID || ok && now-v.at < s.askWindow() {
+		if v, ok := l.votes[id]; id == s.self.ID || ok && now-v.at < s.queryWindow() {
 			continue // an observer that sent a query has thereby answered
 		}
 		m := s.newMessage(QueryObserver)
@@ -100,10 +100,10 @@
 	}
 }
 
-// answerAsk reports what this node knows about the queried subjects. It starts
+// answerQuery reports what this node knows about the queried subjects. It starts
 // to observe those that it does not observe yet, so that the observer expected
 // by the sender exists.
-func (s *State) answerAsk(now time.Duration, m, r *Message) {
+func (s *State) answerQuery(now time.Duration, m, r *Message) {
 	cutOff := s.deathTimeout(now) > s.cfg.DeadAfter
 	for _, d := range m.SilenceReports {
 		e := s.tab.get(d.Subject)
@@ -113,7 +113,7 @@
 		if e.change().supersedes(d.Incarnation, Alive) {
 			r.Changes = append(r.Changes, e.change())
 		}
-		if !e.status.isLive() || len(r.SilenceReports) >= maxDoubts {
+		if !e.status.isLive() || len(r.SilenceReports) >= maxSilenceReports {
 			continue
 		}
 		l := s.links[d.Subject]
@@ -127,7 +127,7 @@
 	}
 }
 
-const maxDoubts = 32
+const maxSilenceReports = 32
 
 func (s *State) observeExtra(now time.Duration, id request.TargetID) {
 	n := 0
@@ -174,7 +174,7 @@
 		others++
 		v, ok := l.votes[id]
 		switch {
-		case !ok || now-v.at > s.askWindow()+s.cfg.RetryInterval:
+		case !ok || now-v.at > s.queryWindow()+s.cfg.RetryInterval:
 		case v.silence < s.cfg.SuspectAfter:
 			return false
 		case now-v.at+v.silence >= s.cfg.DeadAfter:
--- a/internal/core/ratelimit/lease.go
+++ b/internal/core/ratelimit/lease.go
@@ -37,13 +37,13 @@
 // Lease is one node's view of the lease on a shard. Its holder divides the shard's
 // limits.
 type Lease struct {
-	cfg   Config
-	self  request.TargetID
-	life  uint64
-	first bool // first start of the whole fleet
-	// rewound: the table was restored from an older copy, so the row may not name all
+	cfg         Config
+	self        request.TargetID
+	incarnation uint64
+	first       bool // first start of the whole fleet
+	// tableRestored: the table was restored from an older copy, so the row may not name all
 	// nodes.
-	rewound bool
+	tableRestored bool
 
 	row         Row
 	version     int64 // of the row; 0 if there is none
@@ -65,8 +65,8 @@
 }
 
 // NewLease returns a lease that isn't held.
-func NewLease(cfg Config, self request.TargetID, life uint64, first bool) *Lease {
-	return &Lease{cfg: cfg, self: self, life: life, first: first, askedAt: -time.Hour}
+func NewLease(cfg Config, self request.TargetID, incarnation uint64, first bool) *Lease {
+	return &Lease{cfg: cfg, self: self, incarnation: incarnation, first: first, askedAt: -time.Hour}
 }
 
 // Step is the next call to the platform.
@@ -136,7 +136,7 @@
 }
 
 func (l *Lease) buildRow(now time.Duration) Row {
-	r := Row{Holder: l.self, Incarnation: l.life, Count: l.count}
+	r := Row{Holder: l.self, Incarnation: l.incarnation, Count: l.count}
 	switch {
 	case l.ledger != nil:
 		l.ledger.record(now, &r)
@@ -145,7 +145,7 @@
 	default:
 		r.Organisations, r.Parts, r.Complete = l.row.Organisations, l.row.Parts, l.row.Complete
 	}
-	r.Complete = r.Complete && !l.rewound
+	r.Complete = r.Complete && !l.tableRestored
 	return r
 }
 
@@ -174,7 +174,7 @@
 		l.changedAt, l.holderEnded = now, false
 	}
 	l.row, l.version, l.known = row, version, true
-	mine := version != 0 && row.Holder == l.self && row.Incarnation == l.life
+	mine := version != 0 && row.Holder == l.self && row.Incarnation == l.incarnation
 	if mine && l.writeSentAt != 0 && row.Count == l.count {
 		l.acquire(now)
 		return
@@ -208,17 +208,17 @@
 	default:
 		l.ledger = NewLedger(l.cfg, now, &l.writtenRow)
 	}
-	l.rewound = false
+	l.tableRestored = false
 	l.ledger.RowWritten(&l.writtenRow)
 }
 
 // Ask answers a node's question if this node holds the lease.
-func (l *Lease) Ask(now time.Duration, a *GrantRequest, limits func(request.Organisation) (Limit, bool)) GrantReply {
+func (l *Lease) Ask(now time.Duration, req *GrantRequest, limits func(request.Organisation) (Limit, bool)) GrantReply {
 	l.RecordRequest(now)
 	if !l.Held(now) {
 		return GrantReply{Holder: l.Holder(now)}
 	}
-	grants := l.ledger.Ask(now, a, limits)
+	grants := l.ledger.Ask(now, req, limits)
 	if l.ledger.dirty {
 		l.ledger.dirty = false
 		l.nextCallAt = min(l.nextCallAt, max(now, l.renewedAt+minWriteInterval))
@@ -249,6 +249,6 @@
 // TableRestored records that the table was restored from an older copy, so that the time
 // for which the row was seen unchanged is no longer meaningful.
 func (l *Lease) TableRestored(now time.Duration) {
-	l.known, l.changedAt, l.first, l.rewound = false, now, false, true
+	l.known, l.changedAt, l.first, l.tableRestored = false, now, false, true
 	l.nextCallAt = min(l.nextCallAt, now)
 }
--- a/internal/core/ratelimit/ledger.go
+++ b/internal/core/ratelimit/ledger.go
@@ -26,8 +26,8 @@
 
 // asker identifies the last question of a node.
 type asker struct {
-	life uint64
-	seq  uint64
+	incarnation uint64
+	seq         uint64
 }
 
 // NewLedger returns a ledger that starts from the parts recorded in a predecessor's
@@ -116,33 +116,33 @@
 
 // Ask answers a node's question. limits returns the limit of an organisation, false if
 // it has none. The answer is nil for a question that arrives out of order.
-func (l *Ledger) Ask(now time.Duration, a *GrantRequest, limits func(request.Organisation) (Limit, bool)) []Grant {
-	h := l.nodes[a.Node]
+func (l *Ledger) Ask(now time.Duration, req *GrantRequest, limits func(request.Organisation) (Limit, bool)) []Grant {
+	h := l.nodes[req.Node]
 	switch {
-	case h == nil || h.life != a.Incarnation:
-		if h != nil || a.Starting {
-			l.forget(a.Node) // the earlier process and its buckets are gone
+	case h == nil || h.incarnation != req.Incarnation:
+		if h != nil || req.Starting {
+			l.forget(req.Node) // the earlier process and its buckets are gone
 		}
-		h = &asker{life: a.Incarnation}
-		l.nodes[a.Node] = h
-	case a.Seq <= h.seq:
+		h = &asker{incarnation: req.Incarnation}
+		l.nodes[req.Node] = h
+	case req.Seq <= h.seq:
 		return nil
 	}
-	h.seq = a.Seq
-	if a.Leaving {
-		l.forget(a.Node)
+	h.seq = req.Seq
+	if req.Leaving {
+		l.forget(req.Node)
 		return nil
 	}
 	settled := l.Settled(now)
 	var out []Grant
-	for i := range a.Needs {
-		n := &a.Needs[i]
+	for i := range req.Needs {
+		n := &req.Needs[i]
 		limit, ok := limits(n.Organisation)
 		if !ok {
 			continue
 		}
 		acc := l.account(now, n.Organisation, limit)
-		g, ok := acc.grant(l, now, a.Node, n, settled)
+		g, ok := acc.grant(l, now, req.Node, n, settled)
 		if !ok {
 			continue
 		}
--- a/internal/core/ratelimit/simulation_test.go
+++ b/internal/core/ratelimit/simulation_test.go
@@ -34,7 +34,7 @@
 type simNode struct {
 	w           *simulation
 	id          request.TargetID
-	life        uint64
+	incarnation uint64
 	up          bool
 	partitioned bool
 	tableDown   bool          // can't reach the table
@@ -81,19 +81,19 @@
 }
 
 func (n *simNode) start(first bool) {
-	n.life = n.w.rng.Uint64()
+	n.incarnation = n.w.rng.Uint64()
 	n.up, n.busy, n.reportAll, n.target = true, false, true, 0
 	n.base = time.Duration(n.w.rng.Int64N(int64(time.Hour)))
-	n.lease = NewLease(n.w.cfg, n.id, n.life, first)
+	n.lease = NewLease(n.w.cfg, n.id, n.incarnation, first)
 	n.local = NewLocal(n.w.cfg)
 	n.avoid = make(map[request.TargetID]time.Duration)
-	life := n.life
-	n.tick(life)
-	n.arrive(life)
+	incarnation := n.incarnation
+	n.tick(incarnation)
+	n.arrive(incarnation)
 }
 
 func (n *simNode) kill(down time.Duration) {
-	n.up, n.life = false, 0
+	n.up, n.incarnation = false, 0
 	if down > 0 {
 		n.w.After(down, func() {
 			if !n.up {
@@ -105,33 +105,33 @@
 
 // whenAwake runs f if the node still has the same incarnation, after its freeze if
 // frozen.
-func (n *simNode) whenAwake(life uint64, f func()) {
-	if !n.up || n.life != life {
+func (n *simNode) whenAwake(incarnation uint64, f func()) {
+	if !n.up || n.incarnation != incarnation {
 		return
 	}
 	if n.w.Now < n.frozenUntil {
-		n.w.After(n.frozenUntil-n.w.Now, func() { n.whenAwake(life, f) })
+		n.w.After(n.frozenUntil-n.w.Now, func() { n.whenAwake(incarnation, f) })
 		return
 	}
 	f()
 }
 
-func (n *simNode) later(life uint64, d time.Duration, f func()) {
-	n.w.After(d, func() { n.whenAwake(life, f) })
+func (n *simNode) later(incarnation uint64, d time.Duration, f func()) {
+	n.w.After(d, func() { n.whenAwake(incarnation, f) })
 }
 
 const simTick = 200 * time.Millisecond
 
-func (n *simNode) tick(life uint64) {
+func (n *simNode) tick(incarnation uint64) {
 	if n.w.rng.IntN(5) == 0 || n.reportAll {
-		n.ask(life, nil)
+		n.ask(incarnation, nil)
 	}
-	n.callTable(life)
-	n.later(life, simTick, func() { n.tick(life) })
+	n.callTable(incarnation)
+	n.later(incarnation, simTick, func() { n.tick(incarnation) })
 }
 
 // callTable makes the lease's next call to the table.
-func (n *simNode) callTable(life uint64) {
+func (n *simNode) callTable(incarnation uint64) {
 	step, row, version := n.lease.Next(n.clock())
 	if step == Idle {
 		return
@@ -151,16 +151,16 @@
 				}
 			})
 		}
-		n.later(life, w.delay()+back, func() { n.lease.HandleWrite(n.clock(), true); n.callTable(life) })
+		n.later(incarnation, w.delay()+back, func() { n.lease.HandleWrite(n.clock(), true); n.callTable(incarnation) })
 		return
 	}
 	if lost {
-		n.later(life, time.Second, func() { n.lease.HandleFailure(n.clock()) })
+		n.later(incarnation, time.Second, func() { n.lease.HandleFailure(n.clock()) })
 		return
 	}
 	w.After(there, func() {
 		row, version := w.row, w.version
-		n.later(life, back, func() { n.lease.HandleRow(n.clock(), row, version); n.callTable(life) })
+		n.later(incarnation, back, func() { n.lease.HandleRow(n.clock(), row, version); n.callTable(incarnation) })
 	})
 }
 
@@ -192,7 +192,7 @@
 }
 
 // ask asks the lease holder and calls then after it has processed the answer.
-func (n *simNode) ask(life uint64, then func()) {
+func (n *simNode) ask(incarnation uint64, then func()) {
 	if n.busy {
 		return
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	now := n.clock()
-	a := &GrantRequest{Node: n.id, Incarnation: life, Starting: n.reportAll}
+	a := &GrantRequest{Node: n.id, Incarnation: incarnation, Starting: n.reportAll}
 	if then == nil || n.reportAll {
 		a.Needs = n.local.Needs(now, func(request.Organisation) bool { return true }, n.reportAll, w.limits)
 	} else if need, ok := n.local.NeedOf(now, w.org, w.limit); ok {
@@ -221,26 +221,26 @@
 		answered, n.busy = true, false
 		n.avoid[m.id], n.target = n.clock()+2*time.Second, 0
 	}
-	n.later(life, 700*time.Millisecond, fail)
+	n.later(incarnation, 700*time.Millisecond, fail)
 	if n.partitioned || m.partitioned || w.loses() {
 		return
 	}
 	w.After(w.delay(), func() {
-		m.whenAwake(m.life, func() {
+		m.whenAwake(m.incarnation, func() {
 			r := m.lease.Ask(m.clock(), a, w.limits)
 			if h := w.node(r.Holder); !r.Divides && h != nil && !h.up {
 				m.lease.HolderGone(m.clock(), h.id) // nothing listens at its address
 			}
-			m.callTable(m.life)
+			m.callTable(m.incarnation)
 			if n.partitioned || m.partitioned || w.loses() {
 				return
 			}
-			n.later(life, w.delay(), func() {
+			n.later(incarnation, w.delay(), func() {
 				if answered {
 					return
 				}
 				answered, n.busy = true, false
-				n.handleReply(life, now, m, r)
+				n.handleReply(incarnation, now, m, r)
 				if then != nil {
 					then()
 				}
@@ -249,7 +249,7 @@
 	})
 }
 
-func (n *simNode) handleReply(life uint64, asked time.Duration, m *simNode, r GrantReply) {
+func (n *simNode) handleReply(incarnation uint64, asked time.Duration, m *simNode, r GrantReply) {
 	if !r.Divides {
 		n.target = r.Holder
 		if r.Holder == 0 || r.Holder == m.id {
@@ -264,26 +264,26 @@
 }
 
 // arrive simulates requests of the organisation at the node.
-func (n *simNode) arrive(life uint64) {
+func (n *simNode) arrive(incarnation uint64) {
 	if n.rate <= 0 {
-		n.later(life, 100*time.Millisecond, func() { n.arrive(life) })
+		n.later(incarnation, 100*time.Millisecond, func() { n.arrive(incarnation) })
 		return
 	}
 	gap := time.Duration(n.w.rng.ExpFloat64() / n.rate * float64(time.Second))
-	n.later(life, gap, func() {
+	n.later(incarnation, gap, func() {
 		n.local.Count(n.clock(), n.w.org)
 		n.w.arrived++
-		n.request(life, n.w.Now+100*time.Millisecond)
-		n.arrive(life)
+		n.request(incarnation, n.w.Now+100*time.Millisecond)
+		n.arrive(incarnation)
 	})
 }
 
-func (n *simNode) request(life uint64, until time.Duration) {
+func (n *simNode) request(incarnation uint64, until time.Duration) {
 	now := n.clock()
 	switch n.local.Take(now, n.w.org, n.w.limit) {
 	case Admit:
 		if n.w.rng.IntN(10) == 0 { // refused elsewhere, so it ran nowhere
-			n.later(life, time.Duration(n.w.rng.Int64N(int64(100*time.Millisecond))), func() {
+			n.later(incarnation, time.Duration(n.w.rng.Int64N(int64(100*time.Millisecond))), func() {
 				n.local.Return(n.clock(), now, n.w.org, n.w.limit)
 			})
 			n.w.admitted++
@@ -294,9 +294,9 @@
 	case Unknown:
 		switch {
 		case n.w.Now < until && n.busy:
-			n.later(life, 5*time.Millisecond, func() { n.request(life, until) })
+			n.later(incarnation, 5*time.Millisecond, func() { n.request(incarnation, until) })
 		case n.w.Now < until:
-			n.ask(life, func() { n.request(life, 0) })
+			n.ask(incarnation, func() { n.request(incarnation, 0) })
 		}
 	}
 }
--- a/internal/core/route/eject.go
+++ b/internal/core/route/eject.go
@@ -10,7 +10,7 @@
 	for _, i := range t.all {
 		e := &t.entries[i]
 		switch {
-		case e.Leaving || e.avoid == avoidBroken:
+		case e.Leaving || e.avoid == avoidFailed:
 		case e.avoid == avoidNone:
 			return false
 		default:
--- a/internal/core/route/eject_test.go
+++ b/internal/core/route/eject_test.go
@@ -80,7 +80,7 @@
 // available reports whether a target can be connected to and has capacity left.
 func (f *fleet) available() bool {
 	for _, i := range f.tab.all {
-		if e := &f.tab.entries[i]; !e.Leaving && e.avoid != avoidBroken && e.inFlight < e.cap {
+		if e := &f.tab.entries[i]; !e.Leaving && e.avoid != avoidFailed && e.inFlight < e.cap {
 			return true
 		}
 	}
--- a/internal/core/route/measure.go
+++ b/internal/core/route/measure.go
@@ -103,7 +103,7 @@
 func (e *entry) connected() {
 	e.probing = false
 	e.breaks = 0
-	if e.avoid == avoidBroken {
+	if e.avoid == avoidFailed {
 		e.avoid = avoidNone
 	}
 }
@@ -172,10 +172,10 @@
 func (t *Table) recordBreak(now time.Duration, e *entry) {
 	wasProbe := e.probing
 	e.probing = false
-	if e.avoid == avoidBroken && !wasProbe {
+	if e.avoid == avoidFailed && !wasProbe {
 		return
 	}
-	e.avoid = avoidBroken
+	e.avoid = avoidFailed
 	wait := backoff(t.cfg.BreakTime, t.cfg.BreakMax, e.breaks)
 	// Jitter spreads the callers that reconnect to a recovered target.
 	e.avoidUntil = now + wait/2 + time.Duration(t.rng.Int64N(int64(wait)+1))
@@ -200,7 +200,7 @@
 func (t *Table) NextProbe(now time.Duration) (idx int, ok bool) {
 	for _, i := range t.all {
 		e := &t.entries[i]
-		if e.avoid == avoidBroken && !e.probing && now >= e.avoidUntil && !e.Leaving {
+		if e.avoid == avoidFailed && !e.probing && now >= e.avoidUntil && !e.Leaving {
 			e.probing = true
 			e.inFlight++ // keeps the index until ProbeDone
 			return int(i), true
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -49,20 +49,20 @@
 const (
 	avoidNone avoidance = iota
 	avoidErrors
-	avoidBroken
+	avoidFailed
 )
 
 // Table holds the targets of one callee service as seen by one caller.
 type Table struct {
-	cfg     *Config
-	place   Locality
-	rng     *rand.Rand
-	entries []entry
-	free    []int32
-	index   map[request.TargetID]int32
-	all     []int32 // the subset, local zone first
-	local   []int32 // subslices of all
-	remote  []int32
+	cfg      *Config
+	locality Locality
+	rng      *rand.Rand
+	entries  []entry
+	free     []int32
+	index    map[request.TargetID]int32
+	all      []int32 // the subset, local zone first
+	local    []int32 // subslices of all
+	remote   []int32
 
 	refreshedAt  time.Duration
 	derivedValid bool
@@ -73,14 +73,14 @@
 // NewTable returns an empty table for a caller at the given place. rng samples the
 // targets to compare; it must not be shared with another goroutine.
 func NewTable(cfg *Config, at Locality, rng *rand.Rand) *Table {
-	return &Table{cfg: cfg, place: at, rng: rng, index: map[request.TargetID]int32{}}
+	return &Table{cfg: cfg, locality: at, rng: rng, index: map[request.TargetID]int32{}}
 }
 
 // Update applies a new snapshot of the service's targets; it doesn't retain ts. callers
 // is the number of nodes that call the service, 0 if unknown. Targets that stay in the
 // subset keep their measurements.
 func (t *Table) Update(now time.Duration, ts []Target, callers int) {
-	local, remote := subset(t.cfg, t.place, ts, callers)
+	local, remote := subset(t.cfg, t.locality, ts, callers)
 	for i := range t.entries {
 		t.entries[i].inSubset = false
 	}
--- a/internal/dataplane/callerretries.go
+++ b/internal/dataplane/callerretries.go
@@ -29,7 +29,7 @@
 
 // begin records a call that is about to enter the gate, or refuses it.
 func (r *callerRetries) begin(s *inboundCall) *status.Error {
-	s.callerKey = s.identity()
+	s.callerKey = s.computeCallerKey()
 	if s.callerKey == 0 {
 		return nil
 	}
@@ -61,10 +61,10 @@
 // resent one doesn't run again and gets the first one's answer.
 func (s *inboundCall) isRoot() bool { return s.meta.Depth == 0 && !s.class.AtMostOnce }
 
-// identity returns a hash of the caller's names for the request, 0 if it has none.
+// computeCallerKey returns a hash of the caller's names for the request, 0 if it has none.
 // Nothing else identifies a resent request: different requests may be equal in all but
 // these names, as when many clients read the same page.
-func (s *inboundCall) identity() retry.CallerKey {
+func (s *inboundCall) computeCallerKey() retry.CallerKey {
 	if !s.isRoot() {
 		return 0
 	}
--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -153,7 +153,7 @@
 	configStale     atomic.Bool // other nodes may have a newer configuration in force
 	routeTurns      roundRobin
 	limiter         Limiter                     // nil: no rate limits
-	lifetime        atomic.Pointer[TargetState] // of the target; nil if targets don't announce themselves
+	targetState     atomic.Pointer[TargetState] // of the target; nil if targets don't announce themselves
 	onShed          func()
 	onOtherInstance func(instance string) // called when an unexpected instance answers
 
@@ -206,7 +206,7 @@
 	}
 	if info, ok := v.Index.Service(e.self.Service); ok {
 		e.gate.setShares(e.tenants.weights(v.Index))
-		if e.lifetime.Load() == nil { // otherwise the target announces its slots
+		if e.targetState.Load() == nil { // otherwise the target announces its slots
 			e.gate.setSlots(cmp.Or(e.self.Slots, info.Slots))
 		}
 	}
--- a/internal/dataplane/target.go
+++ b/internal/dataplane/target.go
@@ -48,7 +48,7 @@
 	if s.meta.Organisation != "" {
 		req.Header.Set(d.OrganisationHeader(), string(s.meta.Organisation))
 	}
-	l := e.lifetime.Load()
+	l := e.targetState.Load()
 	if l == nil {
 		return nil
 	}
--- a/internal/dataplane/lifetime.go
+++ b/internal/dataplane/targetstate.go
@@ -13,7 +13,7 @@
 // not reached the target yet is sent to a target that accepts none: calls queued at
 // the gate are refused, and each call checks again just before it is sent.
 func (e *Engine) SetTargetState(l TargetState) {
-	old := e.lifetime.Swap(&l)
+	old := e.targetState.Swap(&l)
 	switch {
 	case !l.AcceptsCalls:
 		e.gate.drain()
@@ -32,7 +32,7 @@
 
 // acceptsCalls reports whether the target accepts calls now.
 func (e *Engine) acceptsCalls(v *View) bool {
-	if l := e.lifetime.Load(); l != nil {
+	if l := e.targetState.Load(); l != nil {
 		return l.AcceptsCalls
 	}
 	return v.TargetUp
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/proxy.go
@@ -24,7 +24,7 @@
 )
 
 // String returns the direction's name, used in test names.
-func (w Direction) String() string { return [...]string{"request", "answer"}[w] }
+func (d Direction) String() string { return [...]string{"request", "answer"}[d] }
 
 // Fault is how a connection breaks.
 type Fault int
@@ -45,7 +45,7 @@
 )
 
 // String returns the fault's name, used in test names.
-func (h Fault) String() string { return [...]string{"reset", "finish", "silence", "stall", "kill"}[h] }
+func (f Fault) String() string { return [...]string{"reset", "finish", "silence", "stall", "kill"}[f] }
 
 // Cut breaks the connection that carries a given byte.
 type Cut struct {
@@ -99,10 +99,10 @@
 }
 
 // PassedBytes returns the bytes forwarded in a direction since Arm or Disarm.
-func (l *Proxy) PassedBytes(w Direction) int {
+func (l *Proxy) PassedBytes(d Direction) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.passedBytes[w]
+	return l.passedBytes[d]
 }
 
 // OpenConns returns the number of connections that the connecting side has not
@@ -119,13 +119,13 @@
 }
 
 // Break breaks all open connections. New connections work, except after Kill.
-func (l *Proxy) Break(h Fault) {
+func (l *Proxy) Break(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.conns {
-		p.shutDown(h)
+		p.shutDown(f)
 	}
-	if h == Kill {
+	if f == Kill {
 		l.closeListener()
 	}
 }
@@ -207,69 +207,69 @@
 const bufferSize = 32 << 10
 
 // copyDirection forwards one direction of a connection until it ends.
-func (l *Proxy) copyDirection(p *proxiedConn, w Direction) {
+func (l *Proxy) copyDirection(p *proxiedConn, d Direction) {
 	src, dst := p.client, p.upstream
-	if w == Answer {
+	if d == Answer {
 		src, dst = p.upstream, p.client
 	}
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := src.Read(buf)
-		if allowed := l.countBytes(p, w, n); allowed > 0 {
+		if allowed := l.countBytes(p, d, n); allowed > 0 {
 			if _, werr := dst.Write(buf[:allowed]); werr != nil && err == nil {
 				err = werr
 			}
 		}
-		l.applyCut(p, w)
+		l.applyCut(p, d)
 		p.waitWhileStalled()
 		if err != nil {
-			l.handleEnd(p, w)
+			l.handleEnd(p, d)
 			return
 		}
 	}
 }
 
 // countBytes counts n bytes and returns how many of them to forward.
-func (l *Proxy) countBytes(p *proxiedConn, w Direction, n int) int {
+func (l *Proxy) countBytes(p *proxiedConn, d Direction, n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.silenced {
 		return 0
 	}
-	if c := l.cut; c != nil && c.Direction == w && l.passedBytes[w]+n > c.After {
-		n = c.After - l.passedBytes[w]
-		p.cutReached[w] = true
+	if c := l.cut; c != nil && c.Direction == d && l.passedBytes[d]+n > c.After {
+		n = c.After - l.passedBytes[d]
+		p.cutReached[d] = true
 	}
-	l.passedBytes[w] += n
+	l.passedBytes[d] += n
 	return n
 }
 
 // applyCut breaks a connection whose cut has been reached, once the bytes
 // before it have been written.
-func (l *Proxy) applyCut(p *proxiedConn, w Direction) {
+func (l *Proxy) applyCut(p *proxiedConn, d Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !p.cutReached[w] || l.cut == nil {
+	if !p.cutReached[d] || l.cut == nil {
 		return
 	}
-	p.cutReached[w] = false
-	how := l.cut.Fault
+	p.cutReached[d] = false
+	fault := l.cut.Fault
 	l.cut = nil
-	if how == Kill {
+	if fault == Kill {
 		for q := range l.conns {
 			q.shutDown(Reset)
 		}
 		l.closeListener()
 	} else {
-		p.shutDown(how)
+		p.shutDown(fault)
 	}
 	close(l.cutDone)
 }
 
-func (l *Proxy) handleEnd(p *proxiedConn, w Direction) {
+func (l *Proxy) handleEnd(p *proxiedConn, d Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.clientClosed = p.clientClosed || w == Request
+	p.clientClosed = p.clientClosed || d == Request
 	if p.silenced {
 		return // the end of stream is dropped too; only CloseSilenced and Close close the other side
 	}
@@ -303,15 +303,15 @@
 	}
 }
 
-func (p *proxiedConn) shutDown(h Fault) {
+func (p *proxiedConn) shutDown(f Fault) {
 	switch {
 	case p.closed || p.silenced:
-	case h == Blackhole:
+	case f == Blackhole:
 		p.silenced = true
-	case h == Stall:
+	case f == Stall:
 		p.silenced = true
 		close(p.stalled)
-	case h == CloseGracefully:
+	case f == CloseGracefully:
 		p.closed = true
 		_ = p.client.Close()
 		_ = p.upstream.Close()
--- a/internal/node/limitgrants.go
+++ b/internal/node/limitgrants.go
@@ -142,21 +142,21 @@
 }
 
 // serve answers a node's request for grants.
-func (l *limiter) serve(a *ratelimit.GrantRequest) ratelimit.GrantReply {
-	l.applyRewinds()
-	if a.Shards != len(l.shards) || a.Shard < 0 || a.Shard >= len(l.shards) || l.retiring {
+func (l *limiter) serve(req *ratelimit.GrantRequest) ratelimit.GrantReply {
+	l.applyRestores()
+	if req.Shards != len(l.shards) || req.Shard < 0 || req.Shard >= len(l.shards) || l.retiring {
 		return ratelimit.GrantReply{}
 	}
-	s := l.shards[a.Shard]
-	r := s.lease.Ask(l.now(), a, l.limitByID)
+	s := l.shards[req.Shard]
+	r := s.lease.Ask(l.now(), req, l.limitByID)
 	l.stepLease(s)
 	if !r.Divides && r.Holder != 0 {
 		if m, ok := s.member(r.Holder); ok {
 			l.probeHolder(s, m)
 		}
 	}
-	if a.Node != l.self {
-		l.waive(a, &r)
+	if req.Node != l.self {
+		l.waive(req, &r)
 	}
 	return r
 }
@@ -169,8 +169,8 @@
 
 // waive excludes a request and its reply from the control budget, because callers'
 // requests wait for them.
-func (l *limiter) waive(a *ratelimit.GrantRequest, r *ratelimit.GrantReply) {
-	l.meter.Waive(askBytes + needBytes/2*(len(a.Needs)+len(r.Grants)))
+func (l *limiter) waive(req *ratelimit.GrantRequest, r *ratelimit.GrantReply) {
+	l.meter.Waive(askBytes + needBytes/2*(len(req.Needs)+len(r.Grants)))
 }
 
 // returnGrants returns all grants that this node holds.
--- a/internal/node/limitrows.go
+++ b/internal/node/limitrows.go
@@ -164,7 +164,7 @@
 	err := l.submit(func() {
 		done := f()
 		l.post(func() {
-			l.applyRewinds()
+			l.applyRestores()
 			done()
 			l.stepLease(s)
 		})
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -37,7 +37,7 @@
 	now       func() time.Duration
 	index     func() *configset.Index // called on the control goroutine
 
-	rewinds    atomic.Int64 // restores of the table from an older copy
+	restores   atomic.Int64 // restores of the table from an older copy
 	proxyUntil atomic.Int64 // time until which table calls go through another node
 
 	mu         sync.Mutex
@@ -51,7 +51,7 @@
 	shardedIndex *configset.Index // the index that shards were built from
 	shards       []*shard
 	members      *member.View
-	rewindsSeen  int64
+	restoresSeen int64
 	retiring     bool
 }
 
@@ -240,7 +240,7 @@
 // tick runs at each tick of the control goroutine.
 func (l *limiter) tick() {
 	l.reshard()
-	l.applyRewinds()
+	l.applyRestores()
 	now := l.now()
 	for _, s := range l.shards {
 		l.stepLease(s)
@@ -326,13 +326,13 @@
 	}
 }
 
-// applyRewinds notifies the leases when the table was restored from an older copy.
-func (l *limiter) applyRewinds() {
-	n := l.rewinds.Load()
-	if n == l.rewindsSeen {
+// applyRestores notifies the leases when the table was restored from an older copy.
+func (l *limiter) applyRestores() {
+	n := l.restores.Load()
+	if n == l.restoresSeen {
 		return
 	}
-	l.rewindsSeen = n
+	l.restoresSeen = n
 	for _, s := range l.shards {
 		s.lease.TableRestored(l.now())
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,12 +71,12 @@
 // New binds the listeners and builds the node without announcing it. Its errors carry
 // a status code: the settings are unusable, or an address is in use. out is nil if the
 // node uses the project's default interfaces.
-func New(cfg settings.Settings, out *Integration) (*Node, error) {
+func New(cfg settings.Settings, integration *Integration) (*Node, error) {
 	log, closeLog, err := zaplog.New(cfg.Logs)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{settings: cfg, log: log, closeLog: closeLog, integration: out}
+	n := &Node{settings: cfg, log: log, closeLog: closeLog, integration: integration}
 	n.self = newSelf(cfg)
 	n.metrics = tallymetrics.New(cfg.Metrics, n.logFailures("metrics"))
 	if n.pool, err = newPool(); err != nil {
@@ -197,9 +197,9 @@
 	limitHeadroom = 0.06
 )
 
-// inforceConfig returns the configuration of the configsync core. Where the platform can be
-// watched for new sets, polling is off.
-func (n *Node) inforceConfig() configsync.Config {
+// configsyncConfig returns the configuration of the configsync core. Where the platform
+// can be watched for new sets, polling is off.
+func (n *Node) configsyncConfig() configsync.Config {
 	cfg := configsync.DefaultConfig()
 	if n.integration != nil {
 		cfg.Pollers = 0
@@ -252,7 +252,7 @@
 	c.config = &configManager{
 		log: n.log, store: n.sets, calls: n.calls,
 		submit: n.pool.Submit, post: c.post, now: c.now,
-		state:       configsync.New(n.inforceConfig(), self, rand.New(rand.NewPCG(rand.Uint64(), uint64(rec.ID))), 0),
+		state:       configsync.New(n.configsyncConfig(), self, rand.New(rand.NewPCG(rand.Uint64(), uint64(rec.ID))), 0),
 		gossip:      func(f member.Fact) { c.state.PutFact(c.now(), f) },
 		onInstall:   func() { n.metrics.Counters.ConfigChanges.Inc(1) },
 		pendingAsks: make(map[uint64]chan configsync.Reply),
--- a/internal/node/rewind.go
+++ b/internal/node/restore.go
@@ -15,27 +15,27 @@
 // copy spread their reads of the seed rows. Few nodes poll the store, so few see it.
 const rejoinJitter = 2 * time.Second
 
-// watchRewinds logs when the platform's store is restored from an older copy, and writes
+// watchRestores logs when the platform's store is restored from an older copy, and writes
 // this node into a seed row if the copy lacks them. The configuration in force stays: the
 // operator writes it again, and its version never decreases.
-func (n *Node) watchRewinds(ctx context.Context) {
+func (n *Node) watchRestores(ctx context.Context) {
 	t, ok := n.table.(port.RestoreNotifier)
 	if !ok {
 		return
 	}
-	rewinds := make(chan port.Restore, 1)
+	restores := make(chan port.Restore, 1)
 	t.OnRestore(func(r port.Restore) {
 		n.log.Warn("store came back from a copy", zap.Int64("from_era", r.FromEra), zap.Int64("to_era", r.ToEra),
 			zap.Int64("before", r.Before), zap.Int64("after", r.After))
 		n.metrics.Counters.StoreRewinds.Inc(1)
-		n.control.limiter.rewinds.Add(1)
+		n.control.limiter.restores.Add(1)
 		select {
-		case rewinds <- r:
+		case restores <- r:
 		default: // the pending one covers this one too
 		}
 	})
 	n.spawn(func() {
-		rejoin(ctx, rewinds, rejoinJitter, func() error {
+		rejoin(ctx, restores, rejoinJitter, func() error {
 			_, _, err := n.newSeedStore().join(ctx)
 			if err != nil {
 				n.log.Warn("no nodes from the platform", zaplog.Failure(err))
@@ -47,12 +47,12 @@
 
 // rejoin calls join after each restore of the store and retries until it succeeds, each
 // time after a random delay of up to jitter.
-func rejoin(ctx context.Context, rewinds <-chan port.Restore, jitter time.Duration, join func() error) {
+func rejoin(ctx context.Context, restores <-chan port.Restore, jitter time.Duration, join func() error) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-rewinds:
+		case <-restores:
 		}
 		for err := error(port.ErrUnavailable); err != nil; err = join() {
 			if !sleep(ctx, rand.N(jitter)) {
--- a/internal/node/rewind_test.go
+++ b/internal/node/restore_test.go
@@ -18,10 +18,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		rewinds := make(chan port.Restore, 1)
+		restores := make(chan port.Restore, 1)
 		const failures = 2
 		var joins atomic.Int32
-		go rejoin(ctx, rewinds, time.Second, func() error {
+		go rejoin(ctx, restores, time.Second, func() error {
 			if joins.Add(1) <= failures {
 				return port.ErrUnavailable
 			}
@@ -29,10 +29,10 @@
 		})
 		time.Sleep(time.Minute)
 		is.Equal(joins.Load(), int32(0)) // the store has not been restored yet
-		rewinds <- port.Restore{}
+		restores <- port.Restore{}
 		time.Sleep(time.Minute)
 		is.Equal(joins.Load(), int32(failures+1))
-		rewinds <- port.Restore{}
+		restores <- port.Restore{}
 		time.Sleep(time.Minute)
 		is.Equal(joins.Load(), int32(failures+2)) // once for each restore
 		cancel()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -45,7 +45,7 @@
 }
 
 func (n *Node) start(ctx context.Context) {
-	n.watchRewinds(ctx)
+	n.watchRestores(ctx)
 	n.spawn(func() { _ = n.server.Serve(n.controlListener) })
 	n.spawn(func() { n.control.loop(ctx, member.DefaultConfig().TickInterval) })
 	n.spawn(func() { n.join(ctx) })
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -53,7 +53,7 @@
 
 // Next blocks until the watch replies to the child.
 func (s *configService) Next(in *WatchArgs, out *WatchReply) error {
-	return await(s.control, out, func() <-chan WatchReply { return s.control.config.watch.handleAsk(*in) })
+	return await(s.control, out, func() <-chan WatchReply { return s.control.config.watch.handlePoll(*in) })
 }
 
 var errStopping = status.New(status.CodeDraining, "the node is stopping")
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -16,9 +16,9 @@
 	"peardrift/internal/port"
 )
 
-// defaultInForceIn is the value of Integration.PropagationBound where the platform sets
-// none.
-const defaultInForceIn = 3 * time.Second
+// defaultPropagationBound is the value of Integration.PropagationBound where the platform
+// sets none.
+const defaultPropagationBound = 3 * time.Second
 
 // WatchArgs is a child's request for the next version.
 type WatchArgs struct {
@@ -66,7 +66,7 @@
 	}
 	bound := n.integration.PropagationBound
 	if bound <= 0 {
-		bound = defaultInForceIn
+		bound = defaultPropagationBound
 	}
 	start := uptime()
 	return &watcher{
@@ -132,17 +132,17 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case configwatch.PollPlatform:
-			_ = w.submit(func() { w.askPlatform(a) })
+			_ = w.submit(func() { w.pollPlatform(a) })
 		case configwatch.PollPeer:
 			args := WatchArgs{Ask: a.Request, Base: w.conf.state.DeltaBase(w.tenant)}
-			_ = w.submit(func() { w.askPeer(a, args) })
+			_ = w.submit(func() { w.pollPeer(a, args) })
 		case configwatch.SendReply:
 			w.sendReply(a)
 		}
 	}
 }
 
-func (w *watcher) askPlatform(a configwatch.PollPlatform) {
+func (w *watcher) pollPlatform(a configwatch.PollPlatform) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
 	defer cancel()
 	change, err := w.sets.Next(ctx, a.After, a.Wait)
@@ -163,7 +163,7 @@
 	})
 }
 
-func (w *watcher) askPeer(a configwatch.PollPeer, args WatchArgs) {
+func (w *watcher) pollPeer(a configwatch.PollPeer, args WatchArgs) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
 	defer cancel()
 	var reply WatchReply
@@ -181,8 +181,8 @@
 	})
 }
 
-// handleAsk passes a child's request to the core; the reply arrives on the channel.
-func (w *watcher) handleAsk(args WatchArgs) <-chan WatchReply {
+// handlePoll passes a child's request to the core; the reply arrives on the channel.
+func (w *watcher) handlePoll(args WatchArgs) <-chan WatchReply {
 	ch := make(chan WatchReply, 1)
 	if w == nil {
 		ch <- WatchReply{}
