--- a/internal/dataplane/engine.go
+++ b/internal/dataplane/engine.go
@@ -87,7 +87,7 @@
 	UploadTimeout time.Duration
 	// AbandonAfter is how long a call from another node that waits for its own
 	// connection continues without being probed by that node (default 5 s). It must
-	// exceed the time between two probes: conn.Config's Recheck plus two
+	// exceed the time between two probes: conn.Config's MaxRecheckInterval plus two
 	// ProbeTimeouts. A lower value frees slots sooner; one that is too low breaks
 	// uploads that pause.
 	AbandonAfter time.Duration
@@ -153,7 +153,7 @@
 	configStale     atomic.Bool // other nodes may have a newer configuration in force
 	routeTurns      roundRobin
 	limiter         Limiter                     // nil: no rate limits
-	lifetime        atomic.Pointer[TargetState] // of the target; nil if targets don't announce themselves
+	targetState     atomic.Pointer[TargetState] // of the target; nil if targets don't announce themselves
 	onShed          func()
 	onOtherInstance func(instance string) // called when an unexpected instance answers
 
@@ -186,8 +186,8 @@
 	return e
 }
 
-// SetCrossZoneTransport sets the transport for calls to nodes of other zones, if it differs. Call it
-// before traffic begins.
+// SetCrossZoneTransport sets the transport for calls to nodes of other zones, if it
+// differs. Call it before traffic begins.
 func (e *Engine) SetCrossZoneTransport(t Transport) { e.crossZone = t }
 
 // transportTo returns the transport for calls to nodes of a zone.
@@ -206,7 +206,7 @@
 	}
 	if info, ok := v.Index.Service(e.self.Service); ok {
 		e.gate.setShares(e.tenants.weights(v.Index))
-		if e.lifetime.Load() == nil { // otherwise the target announces its slots
+		if e.targetState.Load() == nil { // otherwise the target announces its slots
 			e.gate.setSlots(cmp.Or(e.self.Slots, info.Slots))
 		}
 	}
@@ -223,10 +223,10 @@
 // is set, an unknown API key gets a retryable refusal instead of a final one.
 func (e *Engine) SetConfigStale(behind bool) { e.configStale.Store(behind) }
 
-// RefuseCallers makes the node refuse new requests of callers and close their connections, so
-// that they use other nodes. The gate refuses calls of other nodes once the view says
-// that the target is leaving; running requests continue, with all the calls that they
-// make.
+// RefuseCallers makes the node refuse new requests of callers and close their
+// connections, so that they use other nodes. The gate refuses calls of other nodes once
+// the view says that the target is leaving; running requests continue, with all the calls
+// that they make.
 func (e *Engine) RefuseCallers() { e.refusing.Store(true) }
 
 // Close stops the engine's timers; all calls must have ended.
