--- a/bench/badinput/flood_test.go
+++ b/bench/badinput/flood_test.go
@@ -34,7 +34,7 @@
 }
 
 // limitOpenFiles returns the binaries with a node that may open only this many files.
-func limitOpenFiles(t *testing.T, files int) harness.Bins {
+func limitOpenFiles(t *testing.T, files int) harness.Binaries {
 	t.Helper()
 	_, bins := harnesstest.Programs(t)
 	script := "#!/bin/sh\nulimit -n " + strconv.Itoa(files) + "\nexec " + bins.Node + " \"$@\"\n"
@@ -78,7 +78,7 @@
 				return code == http.StatusOK
 			})
 			waitUntil(t, func() bool {
-				_, code, _ := f.Tool(t.Context(), "status", "--node", h.Addr.Control)
+				_, code, _ := f.RunTool(t.Context(), "status", "--node", h.Addr.Control)
 				return code == 0
 			})
 		})
--- a/bench/badinput/operate_test.go
+++ b/bench/badinput/operate_test.go
@@ -22,8 +22,8 @@
 	h.Node.Signal(syscall.SIGHUP)
 	code, _, _ := exchange(t, h.Addr.Callers, goodRequest)
 	is.Equal(code, 200)
-	is.True(h.Node.Stop(exitTimeout))        // graceful shutdown still works
-	is.Equal(h.Node.Exited(), daemon.ExitOK) // not killed by a signal
+	is.True(h.Node.Stop(exitTimeout))          // graceful shutdown still works
+	is.Equal(h.Node.ExitCode(), daemon.ExitOK) // not killed by a signal
 }
 
 // Guards against a graceful shutdown that only SIGKILL can cut short: a second
@@ -36,10 +36,10 @@
 	})
 	h.Node.Signal(syscall.SIGTERM)
 	waitUntil(t, func() bool { s, err := h.Status(); return err == nil && s.Leaving })
-	is.True(!h.Node.Ended())
+	is.True(!h.Node.Exited())
 	h.Node.Signal(syscall.SIGTERM)
-	waitUntil(t, h.Node.Ended)
-	is.Equal(h.Node.Exited(), daemon.ExitOK)
+	waitUntil(t, h.Node.Exited)
+	is.Equal(h.Node.ExitCode(), daemon.ExitOK)
 }
 
 // Guards against /ready reporting "not ready" without a reason: a node starts and
--- a/bench/badinput/requests_test.go
+++ b/bench/badinput/requests_test.go
@@ -63,14 +63,14 @@
 	if err := f.Apply(t.Context(), root, deploy.Khaosan().Tenant, 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Ready(time.Minute); err != nil {
+	if err := f.WaitReady(time.Minute); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // startNode starts the same node from the given binaries, without a configuration
 // set.
-func startNode(t *testing.T, bins harness.Bins, tune ...func(*settings.Settings)) (*harness.Fleet, *recordingTarget) {
+func startNode(t *testing.T, bins harness.Binaries, tune ...func(*settings.Settings)) (*harness.Fleet, *recordingTarget) {
 	t.Helper()
 	rec := &recordingTarget{}
 	target := httptest.NewServer(rec)
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	f.Tune = func(_ *harness.Host, s *settings.Settings) {
+	f.TuneNode = func(_ *harness.Host, s *settings.Settings) {
 		s.Target.Address = target.Listener.Addr().String()
 		for _, change := range tune {
 			change(s)
@@ -199,7 +199,7 @@
 			is.Equal(rec.count(), before) // did not reach the target
 			good, _, _ := exchange(t, h.Addr.Callers, goodRequest)
 			is.Equal(good, 200) // the node still serves
-			is.True(!h.Node.Ended())
+			is.True(!h.Node.Exited())
 		})
 	}
 }
--- a/bench/cmd/claims/fleet.go
+++ b/bench/cmd/claims/fleet.go
@@ -57,7 +57,7 @@
 			return f, err
 		}
 		if o.Once {
-			n.peers.SetCount(largeFleetSize)
+			n.peers.SetNodeCount(largeFleetSize)
 		}
 		f.nodes = append(f.nodes, n)
 		ms = append(ms, sharedrows.Member{ID: uint64(i), Addr: n.control.Addr().String()})
--- a/bench/cmd/faults/main.go
+++ b/bench/cmd/faults/main.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	defer l.Close()
-	l.Fleet.Keep = o.Keep
+	l.Fleet.KeepFiles = o.Keep
 	return runScenarios(ctx, l, o.Only)
 }
 
@@ -49,7 +49,7 @@
 // the completed ones.
 func runScenarios(ctx context.Context, l *faults.Lab, only regexpFlag) error {
 	var rows []faults.Row
-	for _, s := range faults.All() {
+	for _, s := range faults.Scenarios() {
 		if !only.MatchString(s.Name) {
 			continue
 		}
--- a/bench/cmd/latency/main.go
+++ b/bench/cmd/latency/main.go
@@ -46,12 +46,12 @@
 
 func run(ctx context.Context, o options) error {
 	if o.Against != "" {
-		root, err := harness.Root()
+		root, err := harness.WorkspaceRoot()
 		if err != nil {
 			return err
 		}
 		return latency.Compare(ctx, latency.Comparison{
-			Root: root, Against: o.Against, Rounds: o.Rounds, Requests: o.Requests, MaxCPU: o.MaxCPU, MaxAllocs: o.MaxAllocs, MaxBytes: o.MaxBytes,
+			Root: root, BaseRevision: o.Against, Rounds: o.Rounds, Requests: o.Requests, MaxCPU: o.MaxCPU, MaxAllocs: o.MaxAllocs, MaxBytes: o.MaxBytes,
 		}, os.Stdout)
 	}
 	p, err := harness.BuildPrograms()
@@ -59,7 +59,7 @@
 		return err
 	}
 	defer p.Close()
-	if p.Bins.Target, err = harness.BuildOne(p.Root, p.Dir, "./bench/cmd/standin-lean"); err != nil {
+	if p.Bins.Target, err = harness.BuildProgram(p.Root, p.Dir, "./bench/cmd/standin-lean"); err != nil {
 		return err
 	}
 	if o.Procs > 0 {
@@ -68,8 +68,8 @@
 		}
 	}
 	cfg := latency.Config{
-		Bins: p.Bins, Rates: o.rates(), Rounds: o.Rounds, Slice: o.Slice, Warm: o.Warm,
-		Targets: o.Targets, Service: o.Service, Tune: o.enableTraces,
+		Bins: p.Bins, Rates: o.rates(), Rounds: o.Rounds, LoadDuration: o.Slice, WarmUp: o.Warm,
+		Targets: o.Targets, ServiceTime: o.Service, Tune: o.enableTraces,
 	}
 	if len(o.Members) > 0 {
 		return measureMemory(ctx, cfg, o.Members)
--- a/bench/cmd/overload/main.go
+++ b/bench/cmd/overload/main.go
@@ -35,7 +35,7 @@
 func main() { command.Main(run) }
 
 func run(ctx context.Context, o options) error {
-	var bins harness.Bins // not needed for a prediction
+	var bins harness.Binaries // not needed for a prediction
 	if !o.Predict {
 		p, err := harness.BuildPrograms()
 		if err != nil {
@@ -68,9 +68,9 @@
 }
 
 // runCase runs a case on a new fleet.
-func runCase(ctx context.Context, bins harness.Bins, deployment, scenario string, o options) error {
+func runCase(ctx context.Context, bins harness.Binaries, deployment, scenario string, o options) error {
 	size := overload.Size{Targets: o.Targets, Slots: o.Slots, Stretch: o.Stretch}
-	c, err := overload.NewCase(deployment, scenario, size, workload.Lengths{Before: o.Before, During: o.During, After: o.After}, o.Seed)
+	c, err := overload.NewCase(deployment, scenario, size, workload.PhaseDurations{Before: o.Before, During: o.During, After: o.After}, o.Seed)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 		return err
 	}
 	defer l.Close()
-	if l.Fleet.Keep = o.Keep; o.Keep {
+	if l.Fleet.KeepFiles = o.Keep; o.Keep {
 		fmt.Println("The fleet's files are in", l.Fleet.Dir)
 	}
 	if o.Dump != "" {
@@ -104,5 +104,5 @@
 	if err := out.Print(os.Stdout); err != nil {
 		return status.Wrap(overload.CodeOverload, err, "print the outcome")
 	}
-	return out.Nodes.Broken.Err()
+	return out.Nodes.Violations.Err()
 }
--- a/bench/cmd/replay/main.go
+++ b/bench/cmd/replay/main.go
@@ -131,7 +131,7 @@
 					return nil, status.New(status.CodeInvalidSettings, "unknown deployment %q", d)
 				}
 				dep = dep.Scaled(max(1, o.Scale))
-				sc := workload.ScenarioFor(name, dep, workload.FullLengths)
+				sc := workload.ScenarioFor(name, dep, workload.FullPhaseDurations)
 				if sc == nil {
 					return nil, status.New(status.CodeInvalidSettings, "unknown scenario %q", name)
 				}
@@ -180,6 +180,6 @@
 	if err := f.Close(); err != nil {
 		return status.Wrap(status.CodeInternal, err, "cannot write the trace")
 	}
-	fmt.Printf("%d events over %v\n", len(tr.Events), tr.Header.Lasts.Round(time.Second))
+	fmt.Printf("%d events over %v\n", len(tr.Events), tr.Header.Duration.Round(time.Second))
 	return nil
 }
--- a/bench/cmd/replay/plot.go
+++ b/bench/cmd/replay/plot.go
@@ -52,7 +52,7 @@
 // addBestLine marks the highest goodput that the slots allow in the trigger phase.
 func addBestLine(p *plot.Plot, r *replay.Result) error {
 	line, err := plotter.NewLine(plotter.XYs{
-		{X: r.Header.From.Seconds(), Y: r.Best}, {X: r.Header.To.Seconds(), Y: r.Best}})
+		{X: r.Header.From.Seconds(), Y: r.BestGoodput}, {X: r.Header.To.Seconds(), Y: r.BestGoodput}})
 	if err != nil {
 		return status.Wrap(status.CodeInternal, err, "cannot plot the bound")
 	}
--- a/bench/cmd/replay/table.go
+++ b/bench/cmd/replay/table.go
@@ -60,7 +60,7 @@
 }
 
 func invertedFraction(r *replay.Result) float64 {
-	return float64(r.Inverted) / math.Max(1, float64(r.Refused))
+	return float64(r.Inverted) / math.Max(1, float64(r.RefusedImportant))
 }
 
 func formatTable(c *testCase, rows []row, o *options) string {
@@ -72,18 +72,18 @@
 	for i := range rows {
 		r := &rows[i]
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", r.policy.Name,
-			r.cell("%.0f", func(x *replay.Result) float64 { return x.Surge }),
-			r.cell("%.1f", percent((*replay.Result).OfBest)),
-			r.cell("%.1f", percent((*replay.Result).OfBlind)),
-			r.cell("%.1f", percent((*replay.Result).Important)),
-			r.cell("%.1f", percent((*replay.Result).ImportantFirst)),
+			r.cell("%.0f", func(x *replay.Result) float64 { return x.TriggerGoodput }),
+			r.cell("%.1f", percent((*replay.Result).FractionOfBest)),
+			r.cell("%.1f", percent((*replay.Result).FractionOfBlindBest)),
+			r.cell("%.1f", percent((*replay.Result).ImportantServed)),
+			r.cell("%.1f", percent((*replay.Result).ImportantServedFirst)),
 			r.cell("%.1f", func(x *replay.Result) float64 { return x.Recovery.Seconds() }),
-			r.cell("%.1f", func(x *replay.Result) float64 { return 1000 * x.Took.Seconds() }),
-			r.cell("%.1f", percent(func(x *replay.Result) float64 { return x.Useless })),
-			r.cell("%.0f", func(x *replay.Result) float64 { return float64(x.Refused) }),
+			r.cell("%.1f", func(x *replay.Result) float64 { return 1000 * x.MeanLatency.Seconds() }),
+			r.cell("%.1f", percent(func(x *replay.Result) float64 { return x.WastedFraction })),
+			r.cell("%.0f", func(x *replay.Result) float64 { return float64(x.RefusedImportant) }),
 			r.cell("%.0f", percent(invertedFraction)),
-			r.cell("%.2f", func(x *replay.Result) float64 { return x.Attempts }),
-			r.cell("%.0f", func(x *replay.Result) float64 { return float64(x.Extra) }))
+			r.cell("%.2f", func(x *replay.Result) float64 { return x.AttemptsPerCall }),
+			r.cell("%.0f", func(x *replay.Result) float64 { return float64(x.MaxExtraAttempts) }))
 	}
 	w.Flush()
 	if o.Classes {
@@ -106,10 +106,10 @@
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", r.policy.Name, name,
 				r.cell("%.0f", of(func(x replay.ClassResult) float64 { return x.Demand })),
 				r.cell("%.0f", of(func(x replay.ClassResult) float64 { return x.Best })),
-				r.cell("%.0f", of(func(x replay.ClassResult) float64 { return x.Done })),
+				r.cell("%.0f", of(func(x replay.ClassResult) float64 { return x.Completed })),
 				r.cell("%.0f", of(func(x replay.ClassResult) float64 { return x.Failed })),
 				r.cell("%.1f", of(func(x replay.ClassResult) float64 { return 100 * x.Served })),
-				r.cell("%.1f", of(func(x replay.ClassResult) float64 { return 100 * x.First })))
+				r.cell("%.1f", of(func(x replay.ClassResult) float64 { return 100 * x.ServedFirst })))
 		}
 	}
 	w.Flush()
--- a/bench/cmd/rollout/drain.go
+++ b/bench/cmd/rollout/drain.go
@@ -58,7 +58,7 @@
 		}
 	}
 	cfg := client.Config{URLs: urls, Seed: 1, Classes: []client.Class{{Name: "search", Host: drainedService, Path: callsPath,
-		Phases: []client.Phase{{For: beforeDrain + afterDrain, Rate: ratePerTarget * float64(targets)}}}}}
+		Phases: []client.Phase{{Duration: beforeDrain + afterDrain, Rate: ratePerTarget * float64(targets)}}}}}
 	var drainedAt time.Time
 	timer := time.AfterFunc(beforeDrain, func() {
 		drainedAt = time.Now()
@@ -80,7 +80,7 @@
 	// the calls of each target.
 	answered := search.Sent - search.ByResult[client.Refused] - search.ByResult[client.Failed] - search.ByResult[client.Unknown]
 	fmt.Printf("Of %d calls %d were answered, %d refused, %d failed, %d unknown; the node exited with code %d.\n", search.Sent,
-		answered, search.ByResult[client.Refused], search.ByResult[client.Failed], search.ByResult[client.Unknown], drained.Node.Exited())
+		answered, search.ByResult[client.Refused], search.ByResult[client.Failed], search.ByResult[client.Unknown], drained.Node.ExitCode())
 	return nil
 }
 
--- a/bench/cmd/rollout/idle.go
+++ b/bench/cmd/rollout/idle.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out[i] = usage{s.Control.Bytes, h.Node.CPU(), h.Node.Resident()}
+		out[i] = usage{s.Control.Bytes, h.Node.CPUTime(), h.Node.ResidentBytes()}
 	}
 	return out, nil
 }
--- a/bench/cmd/rollout/main.go
+++ b/bench/cmd/rollout/main.go
@@ -60,7 +60,7 @@
 }
 
 func startFleet(ctx context.Context, bin string, o options) (string, *harness.Fleet, error) {
-	root, err := harness.Root()
+	root, err := harness.WorkspaceRoot()
 	if err != nil {
 		return "", nil, err
 	}
@@ -69,7 +69,7 @@
 		return "", nil, err
 	}
 	fullTarget := bins.Target
-	if bins.Target, err = harness.BuildOne(root, bin, "./bench/cmd/standin-lean"); err != nil {
+	if bins.Target, err = harness.BuildProgram(root, bin, "./bench/cmd/standin-lean"); err != nil {
 		return "", nil, err
 	}
 	f, err := harness.New(bins)
@@ -95,7 +95,7 @@
 			return "", f, err
 		}
 	}
-	if err := errors.Join(f.Ready(o.Within), f.Converged(o.Within)); err != nil {
+	if err := errors.Join(f.WaitReady(o.Within), f.WaitConverged(o.Within)); err != nil {
 		return "", f, err
 	}
 	fmt.Printf("%d nodes were ready and knew each other %v after the first one started.\n", len(f.Hosts), time.Since(began).Round(time.Millisecond))
@@ -108,7 +108,7 @@
 	if err := writeChangedSet(from, to, base); err != nil {
 		return err
 	}
-	if _, _, err := f.Tool(ctx, "apply", "--base", strconv.FormatInt(base, 10), "--node", f.Hosts[0].Addr.Control, to); err != nil {
+	if _, _, err := f.RunTool(ctx, "apply", "--base", strconv.FormatInt(base, 10), "--node", f.Hosts[0].Addr.Control, to); err != nil {
 		return err
 	}
 	accepted := time.Now()
--- a/bench/cmd/slopes/sections.go
+++ b/bench/cmd/slopes/sections.go
@@ -148,13 +148,13 @@
 			if c.lost {
 				f.KillZone("zone-4")
 			}
-			b, err := f.BusyTime(o.duration(20*time.Second, time.Minute), headInterval, time.Minute)
+			b, err := f.MeasureChanges(o.duration(20*time.Second, time.Minute), headInterval, time.Minute)
 			if err != nil {
 				t.row(n, c.tenants, c.lost, err)
 				continue
 			}
-			row := append([]any{n, c.tenants, c.lost, b.Changes, seconds(b.Longest)}, costCells(b.Cost)...)
-			t.row(append(row, fmt.Sprintf("%.0f", b.Worst.BytesMean))...)
+			row := append([]any{n, c.tenants, c.lost, b.Changes, seconds(b.MaxDelay)}, costCells(b.Cost)...)
+			t.row(append(row, fmt.Sprintf("%.0f", b.Peak.BytesMean))...)
 		}
 	}
 }
@@ -163,13 +163,13 @@
 	t := newTable("members", "", "changes", "all known to 50 / 99 / 100%", "head in the midst", "bytes/s in the minute", "p99", "max", "processor us/s", "dearest 10 s")
 	for _, n := range o.Sizes {
 		f := newFleet(o, n)
-		l := f.LoseZone("zone-4", o.duration(2*time.Minute, 5*time.Minute))
+		l := f.MeasureZoneLoss("zone-4", o.duration(2*time.Minute, 5*time.Minute))
 		row := append([]any{n, "lost", l.Dead, spreadText(l.Known), spreadText(l.Head)}, costCells(l.Minute)...)
-		t.row(append(row, fmt.Sprintf("%.0f", l.Worst.BytesMean))...)
+		t.row(append(row, fmt.Sprintf("%.0f", l.Peak.BytesMean))...)
 		f.Run(20 * time.Second)
-		r := f.ReturnZone(o.duration(2*time.Minute, 10*time.Minute))
-		row = append([]any{n, "back", l.Dead, spreadText(r.Known), "joined: " + spreadText(r.In)}, costCells(r.Minute)...)
-		t.row(append(row, fmt.Sprintf("%.0f", r.Worst.BytesMean))...)
+		r := f.MeasureZoneReturn(o.duration(2*time.Minute, 10*time.Minute))
+		row = append([]any{n, "back", l.Dead, spreadText(r.Known), "joined: " + spreadText(r.Joined)}, costCells(r.Minute)...)
+		t.row(append(row, fmt.Sprintf("%.0f", r.Peak.BytesMean))...)
 	}
 }
 
@@ -183,7 +183,7 @@
 			continue
 		}
 		row := func(what string, r scale.Reads) {
-			t.row(n, what, fmt.Sprintf("%.1f", r.Rest), r.Most, r.Sum, seconds(r.Ready))
+			t.row(n, what, fmt.Sprintf("%.1f", r.IdleRate), r.MaxPerSecond, r.Total, seconds(r.Ready))
 		}
 		after, err := f.ReadsAfterOutage(limit, limit)
 		if err != nil {
@@ -202,9 +202,9 @@
 	t := newTable("members", "apart", "changes", "members forgotten", "healed, known to 50 / 99 / 100%", "bytes/s in the minute after", "p99", "max", "processor us/s", "dearest 10 s")
 	for _, n := range o.Sizes {
 		f := newFleet(o, n)
-		h := f.CutRegion("region-1", d, changes, 2*time.Minute)
+		h := f.PartitionRegion("region-1", d, changes, 2*time.Minute)
 		row := append([]any{n, d, h.Changes, h.Deaths, spreadText(h.Agreed)}, costCells(h.Minute)...)
-		t.row(append(row, fmt.Sprintf("%.0f", h.Worst.BytesMean))...)
+		t.row(append(row, fmt.Sprintf("%.0f", h.Peak.BytesMean))...)
 	}
 }
 
@@ -213,7 +213,7 @@
 	for _, n := range o.Sizes {
 		f := newFleet(o, n)
 		j := f.JoinOne(o.duration(time.Minute, 30*time.Minute))
-		t.row(n, seconds(j.In), spreadText(j.Known), seconds(j.Complete), j.Bytes)
+		t.row(n, seconds(j.Joined), spreadText(j.Known), seconds(j.Complete), j.Bytes)
 	}
 }
 
@@ -227,7 +227,7 @@
 			f := newFleet(o, n)
 			f.Loss = loss
 			ours := f.Freeze(d, share, each)
-			h := scale.Heartbeats{Members: n, Observers: 4, Period: 2 * time.Second, Loss: loss}
+			h := scale.HeartbeatDetector{Members: n, Observers: 4, Period: 2 * time.Second, Loss: loss}
 			h.Timeout = 6 * time.Second
 			six := h.FalseDeaths(d, share, each, o.Seed)
 			h.Timeout = 12 * time.Second
@@ -252,7 +252,7 @@
 		f.Loss = 0.2
 		s := f.Spreads(1, time.Minute)
 		f.Loss = 0
-		l := f.LoseZone("zone-4", 2*time.Minute)
+		l := f.MeasureZoneLoss("zone-4", 2*time.Minute)
 		t.row(n, k, fmt.Sprintf("%.0f", rest.BytesMean), spreadText(s.Leave), spreadText(l.Known), fmt.Sprintf("%.0f", l.Minute.BytesMean))
 	}
 }
--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -44,7 +44,7 @@
 
 // singlePhase returns one phase of one second with a mean arrival rate.
 func singlePhase(perSecond float64) []client.Phase {
-	return []client.Phase{{For: time.Second, Rate: perSecond}}
+	return []client.Phase{{Duration: time.Second, Rate: perSecond}}
 }
 
 // All returns both deployments.
--- a/bench/e2e/cancel_test.go
+++ b/bench/e2e/cancel_test.go
@@ -18,7 +18,7 @@
 // the same connections: a connection is reused with bytes of an old answer on it,
 // so that another caller gets them, or the cancellation is not propagated down the
 // chain and targets continue useless work.
-func TestCanceledCallsDisturbNobody(t *testing.T) {
+func TestCanceledCallsDoNotAffectOthers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServicesWithin(noDeadline))
 	c.tuneEngine = retryBrokenPeersAtOnce
@@ -113,7 +113,7 @@
 
 // Guards against reporting "failed" while a downstream call that the target timed
 // out is still running.
-func TestFailureWithACallUnderWayIsInDoubt(t *testing.T) {
+func TestFailureWithCallInFlightIsUnknown(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServicesWithin(noDeadline))
 	shortTimeout := chainConfig("feed.khaosan", 10, target.Call{Service: "media.khaosan", Path: "/m", Required: true})
--- a/bench/e2e/chain_test.go
+++ b/bench/e2e/chain_test.go
@@ -122,7 +122,7 @@
 // Guards against a service being refused with "no-target" permanently: its targets
 // restart after a crash, meanwhile their nodes refuse calls as not ready, and
 // callers take that for a leaving target, which stays excluded until its node ends.
-func TestNotReadyTargetIsCalledAgain(t *testing.T) {
+func TestTargetIsCalledAgainOnceReady(t *testing.T) {
 	is := is.New(t)
 	c := startChain(t)
 	c.hosts[2].targetDown = true
@@ -140,7 +140,7 @@
 // Guards against an upload ending as unknown, or its remainder being accepted as
 // the whole body: a leaving target refuses it after part of the body has been sent,
 // and the upload is retried on another target although that part is gone.
-func TestRefusedUploadIsNotSentOn(t *testing.T) {
+func TestRefusedUploadIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
 	c.addHost("feed-1", chainConfig("feed.khaosan", 10), nil)
--- a/bench/e2e/cut_test.go
+++ b/bench/e2e/cut_test.go
@@ -158,7 +158,7 @@
 // answer, or an unrequested second run: a connection on the path breaks, or the
 // process behind it dies, at any byte of the request or the answer, and some hop
 // takes the break as proof that nothing ran or forwards a truncated message.
-func TestCutBetweenAnyTwoSteps(t *testing.T) {
+func TestConnectionCutAtAnyByte(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		q    query
--- a/bench/e2e/ejection_test.go
+++ b/bench/e2e/ejection_test.go
@@ -14,7 +14,7 @@
 // Guards against ejecting a healthy target for the failures of a service that it
 // calls: in overload a downstream service refuses, its callers answer 502 and are
 // ejected, so that one target gets no calls for seconds while the other is full.
-func TestFailureBelowIsNotHeldAgainstTheTarget(t *testing.T) {
+func TestDownstreamFailureDoesNotEjectTarget(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
 	cfg := chainConfig("feed.khaosan", 10)
--- a/bench/e2e/framing_test.go
+++ b/bench/e2e/framing_test.go
@@ -107,7 +107,7 @@
 
 // Guards against metrics, logs and traces reporting a request as completed whose
 // answer broke off after a complete head.
-func TestBrokenStreamIsSeenAsUnknown(t *testing.T) {
+func TestBrokenStreamIsReportedAsUnknown(t *testing.T) {
 	is := is.New(t)
 	seen := &hopRecorder{}
 	c := newCluster(t, threeServices())
--- a/bench/e2e/payments_test.go
+++ b/bench/e2e/payments_test.go
@@ -164,7 +164,7 @@
 // Guards against a payment running twice: its request or answer is cut at any hop,
 // the caller resends it through all nodes at once, and a node treats the call as
 // the first of its key without checking with the others.
-func TestResentPayoutRunsOnce(t *testing.T) {
+func TestResentPaymentRunsOnce(t *testing.T) {
 	p := startPayments(t, false)
 	for _, pl := range p.cutPoints() {
 		for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestWithoutClaimsAPayoutRunsTwice(t *testing.T) {
+func TestPaymentRunsTwiceWithoutClaims(t *testing.T) {
 	p := startPayments(t, true)
 	err := p.cutAndResend(p.cutPoints()[1], faultproxy.Cut{Direction: faultproxy.Answer}, "key")
 	if err == nil {
@@ -192,10 +192,10 @@
 // Guards against a payment running twice, becoming impossible to run or being
 // reported as not run: the platform applies writes but loses their answers, and a
 // lost answer is taken as proof that the write did or did not happen.
-func TestWritesAppliedWithAnswerLost(t *testing.T) {
+func TestClaimWriteAnswersLost(t *testing.T) {
 	p := startPayments(t, false)
 	for every := 1; every <= 3; every++ {
-		p.platform.SetFaults(platform.Faults{LoseAnswerEvery: every})
+		p.platform.SetFaults(platform.Faults{DropReplyEvery: every})
 		for n := range 5 {
 			key := fmt.Sprintf("key-%d-%d", every, n)
 			if _, err := p.resendEverywhere(key); err != nil {
--- a/bench/e2e/repeat_test.go
+++ b/bench/e2e/repeat_test.go
@@ -18,7 +18,7 @@
 // Guards against a request that always fails costing at least one run of its whole
 // chain per resend: the caller sends it 120 times through six random nodes, and
 // each node treats it as a new request with its own allowance and retry budget.
-func TestResentRequestIsBoundedOverAllNodes(t *testing.T) {
+func TestResentRequestRunsAreBounded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
 	// No budget refills over time, so that the test's duration doesn't matter.
--- a/bench/e2e/scripted_test.go
+++ b/bench/e2e/scripted_test.go
@@ -62,7 +62,7 @@
 
 // answerBytes returns the whole HTTP response to a request.
 func answerBytes(r *http.Request) string {
-	b := target.Answer{Service: r.Host, Path: r.URL.Path, Mark: r.Header.Get("X-Mark"), Size: 50}.Encode()
+	b := target.Answer{Service: r.Host, Path: r.URL.Path, RequestMark: r.Header.Get("X-Mark"), Size: 50}.Encode()
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
 }
 
@@ -70,7 +70,7 @@
 // target sends an answer twice, more bytes than its Content-Length, or a timeout
 // response on an idle connection, and the node takes these bytes as the answer to
 // the next request on the connection.
-func TestStrayBytesReachNobody(t *testing.T) {
+func TestStrayBytesAreDiscarded(t *testing.T) {
 	const timedOut = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"
 	for name, tt := range map[string]struct {
 		answer func(r *http.Request) string
@@ -108,7 +108,7 @@
 // Guards against a truncated answer passing as whole: the target dies while sending
 // a chunked answer, and the chunked writer terminates the message normally although
 // its source failed.
-func TestBrokenChunkedAnswerIsNotEnded(t *testing.T) {
+func TestBrokenChunkedAnswerIsNotTerminated(t *testing.T) {
 	for name, size := range map[string]int{"small": 100, "large": 300_000} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, threeServices())
@@ -130,7 +130,7 @@
 // Guards against a target accepting a truncated upload: the client's connection
 // breaks during a chunked upload, and the chunked writer terminates the message
 // normally although its source failed.
-func TestBrokenUploadIsNotEnded(t *testing.T) {
+func TestBrokenUploadIsNotTerminated(t *testing.T) {
 	const whole = 400_000
 	c := newCluster(t, threeServices())
 	c.tuneEngine = retryBrokenPeersAtOnce
--- a/bench/e2e/shared_test.go
+++ b/bench/e2e/shared_test.go
@@ -114,7 +114,7 @@
 // the claim goes to the node that batches the row, the operation, its answer or the
 // call is cut at any hop, and a lost answer between nodes is taken as proof that
 // the claim was not written. The caller resends through all nodes at once.
-func TestResentPayoutOfASharedRowRunsOnce(t *testing.T) {
+func TestResentPaymentWithSharedRowRunsOnce(t *testing.T) {
 	b := startSharedPayments(t)
 	places := append(b.cutPoints(), cutPoint{"node to batching node", b.control, true})
 	for _, pl := range places {
@@ -134,10 +134,10 @@
 	}
 }
 
-func TestSharedRowsWithAnswersLostAndInAnOutage(t *testing.T) {
+func TestSharedRowsWithLostAnswersAndOutage(t *testing.T) {
 	b := startSharedPayments(t)
 	for every := 1; every <= 3; every++ {
-		b.platform.SetFaults(platform.Faults{LoseAnswerEvery: every})
+		b.platform.SetFaults(platform.Faults{DropReplyEvery: every})
 		for range 5 {
 			key := newKey()
 			if _, err := b.resendEverywhere(key); err != nil {
@@ -146,7 +146,7 @@
 			b.waitIdle()
 			b.platform.SetFaults(platform.Faults{})
 			b.awaitCompleted(key)
-			b.platform.SetFaults(platform.Faults{LoseAnswerEvery: every})
+			b.platform.SetFaults(platform.Faults{DropReplyEvery: every})
 		}
 	}
 	b.platform.SetFaults(platform.Faults{Down: true})
--- a/bench/e2e/silent_test.go
+++ b/bench/e2e/silent_test.go
@@ -77,7 +77,7 @@
 // Guards against losing one call per connection: all open connections to a node go
 // silent at once, most of them idle, and each is detected as dead only by a call
 // that may not be retried.
-func TestOneLostCallCondemnsIdleConnections(t *testing.T) {
+func TestLostCallClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
 	c := startChainWithoutDeadlines(t, 300)
 	q := query{method: "POST", host: "media.khaosan", path: "/m", body: 10}
@@ -103,7 +103,7 @@
 // connection that may be dead: all connections to a target go silent, a target
 // can't be asked for its calls in flight, and connections are closed only once they
 // are known to be dead.
-func TestDoubtfulCallKeepsOthersOffIdleConnections(t *testing.T) {
+func TestSuspectCallClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServicesWithin(noDeadline))
 	c.tuneEngine = retryBrokenPeersAtOnce
@@ -138,7 +138,7 @@
 
 // Guards against aborting a long run as lost: a target works for longer than a
 // connection may be silent, and the silence is taken for a dead connection.
-func TestSlowCallIsNotTakenForLost(t *testing.T) {
+func TestSlowCallIsNotAbandoned(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServicesWithin(noDeadline))
 	c.addHost("feed-1", chainConfig("feed.khaosan", 10), nil)
--- a/bench/e2e/suspect_test.go
+++ b/bench/e2e/suspect_test.go
@@ -27,7 +27,7 @@
 // Guards against a caller giving up an innocent request: it was in flight at two
 // crashes and is resent while another suspect runs on the target, and the temporary
 // refusal has the code of the final one, meant for requests that crash targets.
-func TestRefusalOfAWaitingSuspectIsForNow(t *testing.T) {
+func TestRefusalOfQueuedSuspectIsTemporary(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, threeServices())
 	c.addHost("feed-1", chainConfig("feed.khaosan", 10), nil)
--- a/bench/e2e/unsafe_transport_test.go
+++ b/bench/e2e/unsafe_transport_test.go
@@ -35,7 +35,7 @@
 
 // Checks that the enumeration of cuts detects unsafe transports, so that its
 // passing with the real client is meaningful.
-func TestNaiveTransportsAreFound(t *testing.T) {
+func TestCutsDetectUnsafeTransports(t *testing.T) {
 	for name, wrap := range map[string]func(dataplane.Transport) dataplane.Transport{
 		"a break proves that nothing ran": func(tr dataplane.Transport) dataplane.Transport { return assumeNotSent{tr} },
 		"a break is repeated":             func(tr dataplane.Transport) dataplane.Transport { return retryOnBreak{tr} },
--- a/bench/faults/claims.go
+++ b/bench/faults/claims.go
@@ -31,8 +31,8 @@
 	return table.Put(ctx, port.Put{Item: item})
 }
 
-// OfClaims returns the scenarios that also run with claims in shared rows.
-func OfClaims() []Scenario {
+// SharedClaimScenarios returns the scenarios that also run with claims in shared rows.
+func SharedClaimScenarios() []Scenario {
 	return []Scenario{
 		{"node killed", nodeKilled},
 		{"node frozen for 3 s", nodeFrozen},
@@ -64,5 +64,5 @@
 			return Row{}, nil
 		}
 	}
-	return Row{}, status.New(CodeBroken, "no node forwarded a claim to another node")
+	return Row{}, status.New(CodeGuaranteeViolated, "no node forwarded a claim to another node")
 }
--- a/bench/faults/combined.go
+++ b/bench/faults/combined.go
@@ -13,7 +13,7 @@
 
 // Fault settings of the platform.
 var (
-	lostAnswers = platform.Faults{LoseAnswerEvery: 2}
+	lostAnswers = platform.Faults{DropReplyEvery: 2}
 	noFaults    platform.Faults
 )
 
@@ -85,7 +85,7 @@
 		return nil
 	})
 	if err == nil && (n < 1 || n > limit) {
-		err = status.New(CodeBroken, "concurrent copies of a request crashed %d targets", n)
+		err = status.New(CodeGuaranteeViolated, "concurrent copies of a request crashed %d targets", n)
 	}
 	row.Note = fmt.Sprintf("6 times 20 copies, %d crashes in all", n)
 	return row, err
@@ -122,7 +122,7 @@
 		return l.startNode(ctx, h)
 	})
 	if err == nil && n > maxCrashes {
-		err = status.New(CodeBroken, "one request crashed %d targets", n)
+		err = status.New(CodeGuaranteeViolated, "one request crashed %d targets", n)
 	}
 	row.Note = fmt.Sprintf("sent %d times, %d crashes in all", resends, n)
 	return row, firstError(err, workErr)
--- a/bench/faults/control.go
+++ b/bench/faults/control.go
@@ -62,7 +62,7 @@
 }
 
 func (l *Lab) submitSet(ctx context.Context, dir string, base int64) error {
-	_, _, err := l.Fleet.Tool(ctx, "apply", "--base", strconv.FormatInt(base, 10),
+	_, _, err := l.Fleet.RunTool(ctx, "apply", "--base", strconv.FormatInt(base, 10),
 		"--node", l.Fleet.Hosts[0].Addr.Control, dir)
 	if err == nil {
 		l.version = base + 1
--- a/bench/faults/crash.go
+++ b/bench/faults/crash.go
@@ -29,7 +29,7 @@
 func crashingRequest(ctx context.Context, l *Lab) (Row, error) {
 	row, n, err := l.playCrashes(ctx, l.resendCrashingRequest)
 	if err == nil && (n < 1 || n > maxCrashes) {
-		err = status.New(CodeBroken, "one request crashed %d targets", n)
+		err = status.New(CodeGuaranteeViolated, "one request crashed %d targets", n)
 	}
 	row.Note = fmt.Sprintf("sent %d times, %d crashes in all", resends, n)
 	return row, err
@@ -88,7 +88,7 @@
 			return nil
 		case <-time.After(pollInterval):
 		}
-		if !h.Target.Ended() {
+		if !h.Target.Exited() {
 			continue
 		}
 		exits.Add(1)
--- a/bench/faults/doc.go
+++ b/bench/faults/doc.go
@@ -12,8 +12,8 @@
 
 // Status codes of scenario failures.
 const (
-	// CodeBroken means that a guarantee was violated.
-	CodeBroken status.Code = "promise-broken"
-	// CodeStuck means that the fleet did not recover after the fault was removed.
-	CodeStuck status.Code = "not-recovered"
+	// CodeGuaranteeViolated means that a guarantee was violated.
+	CodeGuaranteeViolated status.Code = "promise-broken"
+	// CodeNotRecovered means that the fleet did not recover after the fault was removed.
+	CodeNotRecovered status.Code = "not-recovered"
 )
--- a/bench/faults/faults_test.go
+++ b/bench/faults/faults_test.go
@@ -10,19 +10,21 @@
 )
 
 // The comment at each scenario function describes the failure it guards against.
-func TestFaults(t *testing.T) { runScenarios(t, Open, All()) }
+func TestFaults(t *testing.T) { runScenarios(t, Open, Scenarios()) }
 
 // The same with publishes whose claims share rows.
-func TestFaultsOfSharedClaims(t *testing.T) { runScenarios(t, OpenShared, OfClaims()) }
+func TestFaultsOfSharedClaims(t *testing.T) {
+	runScenarios(t, OpenWithSharedClaims, SharedClaimScenarios())
+}
 
-func runScenarios(t *testing.T, open func(context.Context, harness.Bins) (*Lab, error), scenarios []Scenario) {
+func runScenarios(t *testing.T, open func(context.Context, harness.Binaries) (*Lab, error), scenarios []Scenario) {
 	t.Helper()
-	release, err := harness.Turn()
+	release, err := harness.AcquireRunLock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer release()
-	root, err := harness.Root()
+	root, err := harness.WorkspaceRoot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +44,7 @@
 		t.Run(s.Name, func(t *testing.T) {
 			row, err := s.Run(t.Context(), l)
 			if err != nil {
-				l.Fleet.Keep = true
+				l.Fleet.KeepFiles = true
 				t.Fatalf("%v; logs in %s", err, l.Fleet.Dir)
 			}
 			rows = append(rows, row)
--- a/bench/faults/freeze.go
+++ b/bench/faults/freeze.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if accepted > 1 {
-		return status.New(CodeBroken, "%d operators were told that their set was accepted: exit codes %v", accepted, codes)
+		return status.New(CodeGuaranteeViolated, "%d operators were told that their set was accepted: exit codes %v", accepted, codes)
 	}
 	// A further set on the old base is refused exactly if one of theirs was accepted.
 	dir, err := l.writeSetWithSlots(48)
@@ -134,7 +134,7 @@
 	}
 	err = l.submitSet(ctx, dir, l.version)
 	if err == nil && accepted+conflicts > 0 {
-		return status.New(CodeBroken, "no set was accepted, but an operator was told of success or a conflict: exit codes %v", codes)
+		return status.New(CodeGuaranteeViolated, "no set was accepted, but an operator was told of success or a conflict: exit codes %v", codes)
 	}
 	if err != nil {
 		l.version++
--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -85,12 +85,14 @@
 )
 
 // Open starts a lab from built programs.
-func Open(ctx context.Context, bins harness.Bins) (*Lab, error) { return open(ctx, bins, false) }
+func Open(ctx context.Context, bins harness.Binaries) (*Lab, error) { return open(ctx, bins, false) }
 
-// OpenShared starts a lab whose publishes use dated keys with claims in shared rows.
-func OpenShared(ctx context.Context, bins harness.Bins) (*Lab, error) { return open(ctx, bins, true) }
+// OpenWithSharedClaims starts a lab whose publishes use dated keys with claims in shared rows.
+func OpenWithSharedClaims(ctx context.Context, bins harness.Binaries) (*Lab, error) {
+	return open(ctx, bins, true)
+}
 
-func open(ctx context.Context, bins harness.Bins, shared bool) (*Lab, error) {
+func open(ctx context.Context, bins harness.Binaries, shared bool) (*Lab, error) {
 	f, err := harness.New(bins)
 	if err != nil {
 		return nil, err
@@ -108,7 +110,7 @@
 		return err
 	}
 	var linkErr error
-	l.Fleet.Tune = func(h *harness.Host, s *settings.Settings) {
+	l.Fleet.TuneNode = func(h *harness.Host, s *settings.Settings) {
 		ln, err := faultproxy.Listen(h.Addr.Nodes)
 		if err != nil {
 			linkErr = err
@@ -122,7 +124,7 @@
 	}
 	l.Fleet.TuneTarget = func(h *harness.Host, c *target.Config) {
 		c.Dist, c.RunsFile = target.DistFixed, filepath.Join(l.Fleet.Dir, h.Name+runsSuffix)
-		c.HealthLies = h.Name == drainHost // a drain must be noticed without the health endpoint
+		c.AlwaysHealthy = h.Name == drainHost // a drain must be noticed without the health endpoint
 	}
 	if err := l.Fleet.Add(deployment()); err != nil || linkErr != nil {
 		return firstError(err, linkErr)
@@ -138,10 +140,10 @@
 	if err := l.applySet(ctx, 0); err != nil {
 		return err
 	}
-	if err := l.Fleet.Ready(startTimeout); err != nil {
+	if err := l.Fleet.WaitReady(startTimeout); err != nil {
 		return err
 	}
-	return l.Fleet.Converged(startTimeout)
+	return l.Fleet.WaitConverged(startTimeout)
 }
 
 func firstError(errs ...error) error {
@@ -204,7 +206,7 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return status.New(CodeStuck, "timed out; expected: %s", what)
+			return status.New(CodeNotRecovered, "timed out; expected: %s", what)
 		case <-time.After(pollInterval):
 		}
 	}
--- a/bench/faults/load.go
+++ b/bench/faults/load.go
@@ -13,7 +13,7 @@
 
 // classes returns the request mix that runs during scenarios.
 func classes(rate float64) []client.Class {
-	phases := []client.Phase{{For: time.Hour, Rate: rate}} // until stopped
+	phases := []client.Phase{{Duration: time.Hour, Rate: rate}} // until stopped
 	return []client.Class{
 		{Name: "read", Host: "feed.lab", Path: "/feed", Phases: phases},
 		{Name: "write", Method: "POST", Host: "archive.lab", Path: "/writes", Body: 300, Phases: phases},
@@ -43,7 +43,7 @@
 	l.seed++
 	ld := &load{lab: l, done: make(chan error, 1), attempts: make(map[string][]client.Attempt)}
 	for i := range cs {
-		cs[i].Dated = cs[i].Key && l.shared
+		cs[i].KeyUUIDv7 = cs[i].Key && l.shared
 	}
 	ctx, ld.stop = context.WithCancel(ctx)
 	cfg := client.Config{URLs: urls, Seed: l.seed, Duration: time.Hour, Classes: cs, Observe: ld.observe}
@@ -57,7 +57,7 @@
 func (ld *load) observe(a client.Attempt) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.attempts[a.Mark] = append(ld.attempts[a.Mark], a)
+	ld.attempts[a.RequestMark] = append(ld.attempts[a.RequestMark], a)
 }
 
 // await waits until ok accepts the attempts so far.
@@ -127,21 +127,21 @@
 	for _, a := range as {
 		switch a.Result {
 		case client.Wrong, client.Partial:
-			return status.Wrap(CodeBroken, a.Err, "%s: %s answer", mark, a.Result)
+			return status.Wrap(CodeGuaranteeViolated, a.Err, "%s: %s answer", mark, a.Result)
 		case client.Completed:
 			if t.atService[mark] == 0 {
-				return status.New(CodeBroken, "%s: completed without a run", mark)
+				return status.New(CodeGuaranteeViolated, "%s: completed without a run", mark)
 			}
 		}
 	}
 	atMostOnce := last.Class != "read"
 	switch {
 	case atMostOnce && t.atService[mark] > 1:
-		return status.New(CodeBroken, "%s: ran %d times", mark, t.atService[mark])
+		return status.New(CodeGuaranteeViolated, "%s: ran %d times", mark, t.atService[mark])
 	case !atMostOnce && t.all[mark] > 2+extraAttempts:
-		return status.New(CodeBroken, "%s: %d runs of a call chain of two hops with %d extra attempts", mark, t.all[mark], extraAttempts)
+		return status.New(CodeGuaranteeViolated, "%s: %d runs of a call chain of two hops with %d extra attempts", mark, t.all[mark], extraAttempts)
 	case last.Result == client.Refused && t.all[mark] > 0:
-		return status.New(CodeBroken, "%s: refused as %s, but ran %d times", mark, last.Code, t.all[mark])
+		return status.New(CodeGuaranteeViolated, "%s: refused as %s, but ran %d times", mark, last.Code, t.all[mark])
 	}
 	return nil
 }
--- a/bench/faults/operators.go
+++ b/bench/faults/operators.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if accepted != 1 || conflicts != operators-1 {
-		return Row{}, status.New(CodeBroken, "%d of %d operators succeeded, %d were told of a conflict: exit codes %v", accepted, operators, conflicts, codes)
+		return Row{}, status.New(CodeGuaranteeViolated, "%d of %d operators succeeded, %d were told of a conflict: exit codes %v", accepted, operators, conflicts, codes)
 	}
 	l.version++
 	at := time.Now()
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 		wg.Go(func() {
-			_, codes[i], _ = l.Fleet.Tool(ctx, "apply", "--base", strconv.FormatInt(l.version, 10), dir)
+			_, codes[i], _ = l.Fleet.RunTool(ctx, "apply", "--base", strconv.FormatInt(l.version, 10), dir)
 		})
 	}
 	wg.Wait()
--- a/bench/faults/outage.go
+++ b/bench/faults/outage.go
@@ -24,7 +24,7 @@
 // answersLost makes every second platform write take effect without a response. It
 // guards against a publish that runs twice or never.
 func answersLost(ctx context.Context, l *Lab) (Row, error) {
-	return l.outage(ctx, platform.Faults{LoseAnswerEvery: 2})
+	return l.outage(ctx, platform.Faults{DropReplyEvery: 2})
 }
 
 // outage injects a platform fault for 3 s and checks that it affects publishes only.
@@ -50,7 +50,7 @@
 		}
 		for _, c := range classes {
 			if a.Class == c && a.Result != client.Completed {
-				return status.New(CodeBroken, "%s: %s (%s, %v)", mark, a.Result, a.Code, a.Err)
+				return status.New(CodeGuaranteeViolated, "%s: %s (%s, %v)", mark, a.Result, a.Code, a.Err)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	}, func() error {
 		s, err := h.Status()
 		if err == nil && s.Versions["lab"] != l.version {
-			err = status.New(CodeBroken, "version %d is in force, but %d was accepted", s.Versions["lab"], l.version)
+			err = status.New(CodeGuaranteeViolated, "version %d is in force, but %d was accepted", s.Versions["lab"], l.version)
 		}
 		return err
 	}, func() error { return l.setPlatformFaults(platform.Faults{}) })
--- a/bench/faults/scenario.go
+++ b/bench/faults/scenario.go
@@ -14,13 +14,13 @@
 type Row struct {
 	Name string
 	Sent int // number of requests
-	// Lost counts requests whose last attempt did not complete, by its result.
-	Lost map[client.Result]int
-	// Noticed is the time from the fault to the last attempt that did not complete;
+	// Incomplete counts requests whose last attempt did not complete, by its result.
+	Incomplete map[client.Result]int
+	// LastFailure is the time from the fault to the last attempt that did not complete;
 	// after it the fault has no effect.
-	Noticed time.Duration
-	Note    string
-	Took    time.Duration
+	LastFailure time.Duration
+	Note        string
+	Took        time.Duration
 }
 
 // Scenario injects one failure into a lab and restores it. Its error names the
@@ -38,8 +38,8 @@
 	return row, err
 }
 
-// All returns the scenarios in the order in which they run.
-func All() []Scenario {
+// Scenarios returns the scenarios in the order in which they run.
+func Scenarios() []Scenario {
 	return []Scenario{
 		{"node killed", nodeKilled},
 		{"node frozen for 3 s", nodeFrozen},
@@ -110,18 +110,18 @@
 func (ld *load) measure(faultStart time.Time) Row {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	r := Row{Sent: len(ld.attempts), Lost: map[client.Result]int{}}
+	r := Row{Sent: len(ld.attempts), Incomplete: map[client.Result]int{}}
 	for _, as := range ld.attempts {
 		if canceledAtEnd(as) {
 			continue
 		}
 		for _, a := range as {
-			if a.Result != client.Completed && a.At.Sub(faultStart) > r.Noticed {
-				r.Noticed = a.At.Sub(faultStart)
+			if a.Result != client.Completed && a.At.Sub(faultStart) > r.LastFailure {
+				r.LastFailure = a.At.Sub(faultStart)
 			}
 		}
 		if a := as[len(as)-1]; a.Final && a.Result != client.Completed {
-			r.Lost[a.Result]++
+			r.Incomplete[a.Result]++
 		}
 	}
 	return r
@@ -144,8 +144,8 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "fault\trequests\trefused\tunknown\tfailed\tlast lost after\ttook\t")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%v\t%v\t%s\n", r.Name, r.Sent, r.Lost[client.Refused], r.Lost[client.Unknown],
-			r.Lost[client.Failed], r.Noticed.Round(time.Millisecond), r.Took.Round(time.Millisecond), r.Note)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%v\t%v\t%s\n", r.Name, r.Sent, r.Incomplete[client.Refused], r.Incomplete[client.Unknown],
+			r.Incomplete[client.Failed], r.LastFailure.Round(time.Millisecond), r.Took.Round(time.Millisecond), r.Note)
 	}
 	return t.Flush()
 }
--- a/bench/faults/stop.go
+++ b/bench/faults/stop.go
@@ -86,7 +86,7 @@
 		return last, err
 	}
 	if n := after.Started - before.Started; n > 0 {
-		return last, status.New(CodeBroken, "%s started %d runs more than %v after its drain", h.Name, n, drainTimeout)
+		return last, status.New(CodeGuaranteeViolated, "%s started %d runs more than %v after its drain", h.Name, n, drainTimeout)
 	}
 	file, err := os.Stat(filepath.Join(l.Fleet.Dir, h.Name+runsSuffix))
 	if err != nil {
@@ -100,8 +100,8 @@
 // stops before its work is done or before other nodes know.
 func nodeStopsFirst(ctx context.Context, l *Lab) (Row, error) {
 	row, err := l.playStop(ctx, func(h *harness.Host) []*harness.Process { return []*harness.Process{h.Node, h.Target} })
-	if err == nil && row.Lost[client.Failed] > 0 {
-		err = status.New(CodeBroken, "a planned stop failed %d requests", row.Lost[client.Failed])
+	if err == nil && row.Incomplete[client.Failed] > 0 {
+		err = status.New(CodeGuaranteeViolated, "a planned stop failed %d requests", row.Incomplete[client.Failed])
 	}
 	return row, err
 }
@@ -130,8 +130,8 @@
 	if end := ld.finish(ctx); err == nil {
 		err = end
 	}
-	if err == nil && row.Lost[client.Unknown] > 0 {
-		err = status.New(CodeBroken, "a planned stop left %d requests with an unknown outcome", row.Lost[client.Unknown])
+	if err == nil && row.Incomplete[client.Unknown] > 0 {
+		err = status.New(CodeGuaranteeViolated, "a planned stop left %d requests with an unknown outcome", row.Incomplete[client.Unknown])
 	}
 	row.Note = fmt.Sprintf("%d uploads whole, %d refused", ld.count("upload", client.Completed), ld.count("upload", client.Refused))
 	return row, err
@@ -141,10 +141,10 @@
 func stopInOrder(ps []*harness.Process) error {
 	for _, p := range ps {
 		if !p.Stop(stopTimeout) {
-			return status.New(CodeBroken, "%s did not exit by itself within %v", p.Name, stopTimeout)
+			return status.New(CodeGuaranteeViolated, "%s did not exit by itself within %v", p.Name, stopTimeout)
 		}
-		if p.Exited() != 0 {
-			return status.New(CodeBroken, "%s exited with code %d", p.Name, p.Exited())
+		if p.ExitCode() != 0 {
+			return status.New(CodeGuaranteeViolated, "%s exited with code %d", p.Name, p.ExitCode())
 		}
 	}
 	return nil
--- a/bench/harness/apply.go
+++ b/bench/harness/apply.go
@@ -16,9 +16,9 @@
 // a busy machine; the tool's default of 2 s assumes a platform on its own CPUs.
 const toolCallTimeout = 10 * time.Second
 
-// Tool runs the operators' command-line tool against the fleet's platform and
+// RunTool runs the operators' command-line tool against the fleet's platform and
 // returns its standard output and exit code. A non-zero exit code is an error too.
-func (f *Fleet) Tool(ctx context.Context, command string, args ...string) (stdout string, code int, err error) {
+func (f *Fleet) RunTool(ctx context.Context, command string, args ...string) (stdout string, code int, err error) {
 	argv := append([]string{command, "--platform", f.Hosts[0].nodeFile, "--call-timeout", toolCallTimeout.String()}, args...)
 	cmd := exec.CommandContext(ctx, f.Bins.Tool, argv...)
 	var out, stderr bytes.Buffer
@@ -37,7 +37,7 @@
 // Apply submits the configuration set in a folder of examples with the tool's
 // apply command.
 func (f *Fleet) Apply(ctx context.Context, root, example string, base int64) error {
-	_, _, err := f.Tool(ctx, "apply", "--base", strconv.FormatInt(base, 10),
+	_, _, err := f.RunTool(ctx, "apply", "--base", strconv.FormatInt(base, 10),
 		"--node", f.Hosts[0].Addr.Control, filepath.Join(root, "examples", example))
 	return err
 }
--- a/bench/harness/build.go
+++ b/bench/harness/build.go
@@ -11,8 +11,8 @@
 // CodeHarness is the error code for failures of the harness itself.
 const CodeHarness status.Code = "harness"
 
-// Bins holds the paths of the binaries that a fleet runs.
-type Bins struct {
+// Binaries holds the paths of the binaries that a fleet runs.
+type Binaries struct {
 	Node, Tool, Target, Platform string
 }
 
@@ -20,13 +20,13 @@
 type Programs struct {
 	Root string // root directory of the workspace
 	Dir  string // directory of the binaries
-	Bins Bins
+	Bins Binaries
 }
 
 // BuildPrograms builds the programs of the workspace that contains the working
 // directory. Close removes them.
 func BuildPrograms() (*Programs, error) {
-	root, err := Root()
+	root, err := WorkspaceRoot()
 	if err != nil {
 		return nil, err
 	}
@@ -47,8 +47,8 @@
 func (p *Programs) Close() { _ = os.RemoveAll(p.Dir) }
 
 // Build builds the programs of the workspace at root into dir.
-func Build(root, dir string) (Bins, error) {
-	b := Bins{
+func Build(root, dir string) (Binaries, error) {
+	b := Binaries{
 		Node:     filepath.Join(dir, "peardriftd"),
 		Tool:     filepath.Join(dir, "peardrift"),
 		Target:   filepath.Join(dir, "standin-target"),
@@ -67,9 +67,9 @@
 	return b, nil
 }
 
-// BuildOne builds the program in package pkg of the workspace at root into dir and
+// BuildProgram builds the program in package pkg of the workspace at root into dir and
 // returns the path of the binary.
-func BuildOne(root, dir, pkg string) (string, error) {
+func BuildProgram(root, dir, pkg string) (string, error) {
 	out := filepath.Join(dir, filepath.Base(pkg))
 	return out, build(root, out, pkg)
 }
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// Root returns the closest directory with a go.work file, starting at the working
+// WorkspaceRoot returns the closest directory with a go.work file, starting at the working
 // directory and going up.
-func Root() (string, error) {
+func WorkspaceRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return "", status.Wrap(CodeHarness, err, "get the working directory")
--- a/bench/harness/fleet.go
+++ b/bench/harness/fleet.go
@@ -39,18 +39,18 @@
 // Fleet is a set of hosts and the platform stand-in that they use.
 type Fleet struct {
 	Dir      string
-	Bins     Bins
+	Bins     Binaries
 	Platform *Process
 	URL      string // of the platform stand-in
 	Hosts    []*Host
 	// Direct lists the targets without nodes, see AddDirect.
 	Direct []*Host
 
-	// Keep makes Close leave the directory Dir in place.
-	Keep bool
+	// KeepFiles makes Close leave the directory Dir in place.
+	KeepFiles bool
 
-	// Tune, if set, modifies the settings of each node before they are written.
-	Tune func(*Host, *settings.Settings)
+	// TuneNode, if set, modifies the settings of each node before they are written.
+	TuneNode func(*Host, *settings.Settings)
 	// TuneTarget, if set, modifies the settings of each target before they are
 	// written.
 	TuneTarget func(*Host, *target.Config)
@@ -64,7 +64,7 @@
 }
 
 // New returns an empty fleet that keeps its files in a temporary directory.
-func New(bins Bins) (*Fleet, error) {
+func New(bins Binaries) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "peardrift-fleet-")
 	if err != nil {
 		return nil, status.Wrap(CodeHarness, err, "create the fleet's directory")
@@ -135,8 +135,8 @@
 	ns.Platform.Table.Endpoint, ns.Platform.Objects.Endpoint = f.URL, f.URL
 	ns.Platform.AccessKeyFile = filepath.Join(f.Dir, "key")
 	ns.Platform.SecretKeyFile = filepath.Join(f.Dir, "key")
-	if f.Tune != nil {
-		f.Tune(h, &ns)
+	if f.TuneNode != nil {
+		f.TuneNode(h, &ns)
 	}
 	return ns
 }
@@ -219,8 +219,8 @@
 	return s, nil
 }
 
-// Entries returns the URLs of the caller listeners of all nodes of a deployment.
-func (f *Fleet) Entries(d deploy.Deployment) []string {
+// EntryURLs returns the URLs of the caller listeners of all nodes of a deployment.
+func (f *Fleet) EntryURLs(d deploy.Deployment) []string {
 	var urls []string
 	for _, h := range f.Hosts {
 		for _, s := range d.Services {
@@ -249,7 +249,7 @@
 		p.Kill()
 	}
 	f.ports.releaseAll()
-	if !f.Keep {
+	if !f.KeepFiles {
 		_ = os.RemoveAll(f.Dir)
 	}
 }
--- a/bench/harness/harnesstest/harnesstest.go
+++ b/bench/harness/harnesstest/harnesstest.go
@@ -32,7 +32,7 @@
 		return 0, status.Wrap(harness.CodeHarness, err, "create the directory for the binaries")
 	}
 	defer os.RemoveAll(binDir)
-	release, err := harness.Turn()
+	release, err := harness.AcquireRunLock()
 	if err != nil {
 		return 0, err
 	}
@@ -42,12 +42,12 @@
 
 type programs struct {
 	root string
-	bins harness.Bins
+	bins harness.Binaries
 	err  error
 }
 
 var buildOnce = sync.OnceValue(func() (p programs) {
-	if p.root, p.err = harness.Root(); p.err == nil {
+	if p.root, p.err = harness.WorkspaceRoot(); p.err == nil {
 		p.bins, p.err = harness.Build(p.root, binDir)
 	}
 	return p
@@ -55,7 +55,7 @@
 
 // Programs returns the workspace's root directory and the binaries, which the
 // first call builds.
-func Programs(t *testing.T) (root string, bins harness.Bins) {
+func Programs(t *testing.T) (root string, bins harness.Binaries) {
 	t.Helper()
 	p := buildOnce()
 	if p.err != nil {
--- a/bench/harness/lock.go
+++ b/bench/harness/lock.go
@@ -17,14 +17,14 @@
 	runLockPollInterval = pollInterval
 )
 
-// Turn acquires a lock shared by all test binaries of the same "go test", so that
+// AcquireRunLock acquires a lock shared by all test binaries of the same "go test", so that
 // only one of them runs a fleet at a time. It blocks until the lock is free and
 // returns a function that releases it; process exit releases it too.
 //
 // go test runs the binaries of several packages concurrently. Three fleets on 12
 // cores had 46 runnable threads: an apply timed out, nodes discovered each other
 // after 20 s, and test results depended on what else was running.
-func Turn() (release func(), err error) {
+func AcquireRunLock() (release func(), err error) {
 	for {
 		ln, err := tryRunLock(os.Getppid())
 		switch {
--- a/bench/harness/process.go
+++ b/bench/harness/process.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Ended reports whether the process has exited.
-func (p *Process) Ended() bool {
+// Exited reports whether the process has exited.
+func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -76,9 +76,9 @@
 	}
 }
 
-// Exited returns the exit code, or -1 while the process runs or if it was
+// ExitCode returns the exit code, or -1 while the process runs or if it was
 // terminated by a signal.
-func (p *Process) Exited() int {
+func (p *Process) ExitCode() int {
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
--- a/bench/harness/stop.go
+++ b/bench/harness/stop.go
@@ -54,13 +54,13 @@
 }
 
 func stopOne(p *Process, grace time.Duration) string {
-	if p.Ended() {
+	if p.Exited() {
 		return p.Name + " had already exited"
 	}
 	if !p.Stop(grace) {
 		return p.Name + " did not exit within " + grace.String()
 	}
-	if p.Exited() != 0 {
+	if p.ExitCode() != 0 {
 		return p.Name + " exited with " + p.cmd.ProcessState.String()
 	}
 	return ""
--- a/bench/harness/usage.go
+++ b/bench/harness/usage.go
@@ -18,8 +18,8 @@
 	fieldSystem = 12
 )
 
-// CPU returns the CPU time that the process has used; 0 if it has exited.
-func (p *Process) CPU() (used time.Duration) {
+// CPUTime returns the CPU time that the process has used; 0 if it has exited.
+func (p *Process) CPUTime() (used time.Duration) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
 		return 0
@@ -34,8 +34,8 @@
 	return used
 }
 
-// Resident returns the process's resident set size in bytes; 0 if it has exited.
-func (p *Process) Resident() int64 {
+// ResidentBytes returns the process's resident set size in bytes; 0 if it has exited.
+func (p *Process) ResidentBytes() int64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.Pid()))
 	if err != nil {
 		return 0
--- a/bench/harness/wait.go
+++ b/bench/harness/wait.go
@@ -15,8 +15,8 @@
 	startTimeout = 20 * time.Second
 )
 
-// Converged waits until every node sees all the others as alive.
-func (f *Fleet) Converged(within time.Duration) error {
+// WaitConverged waits until every node sees all the others as alive.
+func (f *Fleet) WaitConverged(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, h := range f.Hosts {
 		knowsAll := func() bool {
@@ -30,20 +30,20 @@
 	return nil
 }
 
-// Ready waits until all nodes accept calls. It fails at once if a node has exited.
-func (f *Fleet) Ready(within time.Duration) error {
+// WaitReady waits until all nodes accept calls. It fails at once if a node has exited.
+func (f *Fleet) WaitReady(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, h := range f.Hosts {
 		ended := false
 		ready := func() bool {
-			ended = h.Node.Ended()
+			ended = h.Node.Exited()
 			return ended || status2xx("http://"+h.Addr.Ops+"/ready")
 		}
 		if err := f.waitUntil(time.Until(end), ready); err != nil {
 			return status.Wrap(CodeHarness, err, "%s is not ready, see %s", h.Name, h.Node.Log)
 		}
 		if ended {
-			return status.New(CodeHarness, "%s exited with code %d, see %s", h.Name, h.Node.Exited(), h.Node.Log)
+			return status.New(CodeHarness, "%s exited with code %d, see %s", h.Name, h.Node.ExitCode(), h.Node.Log)
 		}
 	}
 	return nil
--- a/bench/latency/bench_test.go
+++ b/bench/latency/bench_test.go
@@ -25,7 +25,7 @@
 		for _, variant := range []struct {
 			name string
 			send func(string) status.Code
-		}{{"direct", s.Direct}, {"nodes", s.Through}} {
+		}{{"direct", s.SendDirect}, {"nodes", s.SendThroughNodes}} {
 			b.Run(kind.name+"/"+variant.name, func(b *testing.B) {
 				b.SetBytes(kind.bytes)
 				runBenchmark(b, variant.send, kind.path)
@@ -59,7 +59,7 @@
 	is.NoErr(err)
 	defer s.Close()
 	for _, path := range []string{PathHop, PathChain, PathUpload} {
-		is.Equal(s.Direct(path), status.Code(""))
-		is.Equal(s.Through(path), status.Code(""))
+		is.Equal(s.SendDirect(path), status.Code(""))
+		is.Equal(s.SendThroughNodes(path), status.Code(""))
 	}
 }
--- a/bench/latency/compare.go
+++ b/bench/latency/compare.go
@@ -23,8 +23,8 @@
 // Comparison configures a comparison of this version's benchmarks with another version's.
 type Comparison struct {
 	Root string // root directory of the workspace
-	// Against is the git revision of the other version.
-	Against string
+	// BaseRevision is the git revision of the other version.
+	BaseRevision string
 	// Rounds is the number of times that each version's benchmarks run, alternating.
 	Rounds int
 	// Requests is the number of requests per run of a benchmark.
@@ -57,7 +57,7 @@
 		return status.Wrap(status.CodeInternal, err, "create the directory of the other version")
 	}
 	defer os.RemoveAll(dir)
-	if err := export(ctx, c.Root, c.Against, dir); err != nil {
+	if err := export(ctx, c.Root, c.BaseRevision, dir); err != nil {
 		return err
 	}
 	var bins [2]string
@@ -141,7 +141,7 @@
 // is returned if none can be.
 func (c Comparison) report(other, this samples, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "benchmark\tunit\t%s\tthis version\tratio\tbound\t\n", c.Against)
+	fmt.Fprintf(w, "benchmark\tunit\t%s\tthis version\tratio\tbound\t\n", c.BaseRevision)
 	var exceeded []string
 	compared := 0
 	for _, name := range sortedKeys(this) {
@@ -162,13 +162,13 @@
 			}
 			fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.3f\t%s\t\n", name, u.unit, before, after, ratio, boundText)
 			if ratio > u.bound && boundText != "-" {
-				exceeded = append(exceeded, fmt.Sprintf("%s %s: %.3f times that of %s", name, u.unit, ratio, c.Against))
+				exceeded = append(exceeded, fmt.Sprintf("%s %s: %.3f times that of %s", name, u.unit, ratio, c.BaseRevision))
 			}
 		}
 	}
 	_ = w.Flush()
 	if compared == 0 {
-		return status.New(CodeRegression, "%s has none of the benchmarks of this version", c.Against)
+		return status.New(CodeRegression, "%s has none of the benchmarks of this version", c.BaseRevision)
 	}
 	if len(exceeded) > 0 {
 		return status.New(CodeRegression, "bounds exceeded: %v", exceeded)
--- a/bench/latency/compare_test.go
+++ b/bench/latency/compare_test.go
@@ -15,7 +15,7 @@
 		return samples{"Request/hop/nodes": {unitCPU: {cpu * 1.5, cpu}, unitAllocs: {allocs}, unitBytes: {bytes}}}
 	}
 	withoutBytes := func(cpu, allocs float64) samples { return sample(cpu, allocs, 1e4) }
-	c := Comparison{Against: "before", MaxCPU: 1.3, MaxAllocs: 1.05, MaxBytes: 1.2}
+	c := Comparison{BaseRevision: "before", MaxCPU: 1.3, MaxAllocs: 1.05, MaxBytes: 1.2}
 	for name, tt := range map[string]struct {
 		other, this samples
 		ok          bool
--- a/bench/latency/cpu.go
+++ b/bench/latency/cpu.go
@@ -15,8 +15,8 @@
 	own := processCPU()
 	return func() {
 		b, a := machineCPU()
-		s.Busy = (b - busy) / max(1, a-all)
-		s.Caller = (processCPU() - own) / time.Duration(max(1, s.Sent))
+		s.Utilization = (b - busy) / max(1, a-all)
+		s.CallerCPU = (processCPU() - own) / time.Duration(max(1, s.Sent))
 	}
 }
 
--- a/bench/latency/deployment.go
+++ b/bench/latency/deployment.go
@@ -12,8 +12,8 @@
 	"peardrift/internal/status"
 )
 
-// Depth is the number of services in the call chain.
-const Depth = 5
+// ChainDepth is the number of services in the call chain.
+const ChainDepth = 5
 
 // Request paths, one per kind of request.
 const (
@@ -36,9 +36,9 @@
 // chain returns a deployment of Depth services in which hop1 calls hop2 and so on.
 func chain(targets int, service time.Duration) deploy.Deployment {
 	d := deploy.Deployment{Tenant: tenant, Region: "r", Zones: []string{"a", "b"}}
-	for i := 1; i <= Depth; i++ {
+	for i := 1; i <= ChainDepth; i++ {
 		chainRoute := target.Route{Prefix: PathChain, ServiceTime: service, Size: answerBytes}
-		if i < Depth {
+		if i < ChainDepth {
 			chainRoute.Calls = []target.Call{{Service: serviceName(i + 1), Path: PathChain, Required: true}}
 		}
 		d.Services = append(d.Services, deploy.Service{
@@ -65,9 +65,9 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "tenant: %s\nshare: 1\nservices:\n", tenant)
-	for i := 1; i <= Depth; i++ {
+	for i := 1; i <= ChainDepth; i++ {
 		fmt.Fprintf(&b, "  - name: hop%d\n    slots: %d\n    connections: 4000\n", i, slots)
-		if i < Depth {
+		if i < ChainDepth {
 			fmt.Fprintf(&b, "    calls: [%s]\n", serviceName(i+1))
 		}
 		b.WriteString("    classes:\n      - name: any\n        path: /\n        importance: 50\n        deadline: 5s\n        attempts: 2\n")
--- a/bench/latency/endpoints.go
+++ b/bench/latency/endpoints.go
@@ -16,7 +16,7 @@
 	services := []string{firstService()}
 	if path == PathHop {
 		services = services[:0]
-		for i := range Depth {
+		for i := range ChainDepth {
 			services = append(services, serviceName(i+1))
 		}
 	}
@@ -37,7 +37,7 @@
 // nodesCPU returns the total CPU time of all nodes so far.
 func nodesCPU(f *harness.Fleet) (sum time.Duration) {
 	for _, h := range f.Hosts {
-		sum += h.Node.CPU()
+		sum += h.Node.CPUTime()
 	}
 	return sum
 }
@@ -45,7 +45,7 @@
 // residentMemory returns the resident memory of each node in bytes.
 func residentMemory(f *harness.Fleet) (out []int64) {
 	for _, h := range f.Hosts {
-		out = append(out, h.Node.Resident())
+		out = append(out, h.Node.ResidentBytes())
 	}
 	return out
 }
--- a/bench/latency/load.go
+++ b/bench/latency/load.go
@@ -36,18 +36,18 @@
 type Sample struct {
 	// Latency is the latency of completed requests in µs, from when each was sent.
 	Latency *hdrhistogram.Histogram
-	// FromDue is the same, from the scheduled send time.
-	FromDue *hdrhistogram.Histogram
-	// Late is the delay of requests in µs past their scheduled send time. If it is
+	// LatencyFromDue is the same, from the scheduled send time.
+	LatencyFromDue *hdrhistogram.Histogram
+	// SendDelay is the delay of requests in µs past their scheduled send time. If it is
 	// large, the machine or the generator is saturated.
-	Late *hdrhistogram.Histogram
-	// Busy is the CPU utilization of the machine during the load, 0 to 1, by all its
+	SendDelay *hdrhistogram.Histogram
+	// Utilization is the CPU utilization of the machine during the load, 0 to 1, by all its
 	// processes. Caller is the generator's CPU time per request.
-	Busy      float64
-	Caller    time.Duration
-	Sent      int
-	Completed int
-	Overrun   int
+	Utilization float64
+	CallerCPU   time.Duration
+	Sent        int
+	Completed   int
+	Overrun     int
 	// Failed counts the requests that did not complete, by code.
 	Failed map[status.Code]int
 }
@@ -81,7 +81,7 @@
 
 // run sends requests with Poisson arrivals for a time and waits for all responses.
 func (g *generator) run(ctx context.Context, w route, rate float64, length time.Duration, seed uint64) *Sample {
-	s := &Sample{Latency: newHistogram(), FromDue: newHistogram(), Late: newHistogram(), Failed: make(map[status.Code]int)}
+	s := &Sample{Latency: newHistogram(), LatencyFromDue: newHistogram(), SendDelay: newHistogram(), Failed: make(map[status.Code]int)}
 	defer s.measureCPU()()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -120,14 +120,14 @@
 	mu.Lock()
 	defer mu.Unlock()
 	s.Sent++
-	_ = s.Late.RecordValue(clampMicros(late))
+	_ = s.SendDelay.RecordValue(clampMicros(late))
 	if code != "" {
 		s.Failed[code]++
 		return
 	}
 	s.Completed++
 	_ = s.Latency.RecordValue(clampMicros(took))
-	_ = s.FromDue.RecordValue(clampMicros(late + took))
+	_ = s.LatencyFromDue.RecordValue(clampMicros(late + took))
 }
 
 func clampMicros(d time.Duration) int64 {
--- a/bench/latency/measure.go
+++ b/bench/latency/measure.go
@@ -14,19 +14,19 @@
 
 // Config configures a measurement with real processes.
 type Config struct {
-	Bins harness.Bins // with the lean target in place of the stand-in target
+	Bins harness.Binaries // with the lean target in place of the stand-in target
 	// Rates are in calls/s. A request through the chain makes Depth calls.
 	Rates []float64
 	// Rounds is the number of direct loads and of loads through nodes, alternating.
 	Rounds int
-	// Slice is the duration of one load.
-	Slice time.Duration
-	// Warm is the duration of the warm-up load before a cell, which isn't measured.
-	Warm time.Duration
+	// LoadDuration is the duration of one load.
+	LoadDuration time.Duration
+	// WarmUp is the duration of the warm-up load before a cell, which isn't measured.
+	WarmUp time.Duration
 	// Targets is the number of targets per service.
 	Targets int
-	// Service is the service time of a target per call.
-	Service time.Duration
+	// ServiceTime is the service time of a target per call.
+	ServiceTime time.Duration
 	// Tune, if set, changes the nodes' settings.
 	Tune func(*harness.Host, *settings.Settings)
 }
@@ -70,7 +70,7 @@
 	}
 	defer f.Close()
 	defer context.AfterFunc(ctx, f.Close)()
-	f.Tune = cfg.Tune
+	f.TuneNode = cfg.Tune
 	f.TuneTarget = func(_ *harness.Host, c *target.Config) { c.Dist = target.DistFixed }
 	if err := startFleet(ctx, f, cfg); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 func startFleet(ctx context.Context, f *harness.Fleet, cfg Config) error {
-	d := chain(cfg.Targets, cfg.Service)
+	d := chain(cfg.Targets, cfg.ServiceTime)
 	if err := f.AddDirect(d); err != nil {
 		return err
 	}
@@ -123,10 +123,10 @@
 	if err := f.Apply(ctx, root, tenant, 0); err != nil {
 		return err
 	}
-	if err := f.Ready(readyTimeout); err != nil {
+	if err := f.WaitReady(readyTimeout); err != nil {
 		return err
 	}
-	return f.Converged(readyTimeout)
+	return f.WaitConverged(readyTimeout)
 }
 
 // measureCell alternates direct load and load through nodes. The order changes with each
@@ -135,23 +135,23 @@
 	c := Cell{Kind: path, Rate: rate}
 	calls := 1.0
 	if path == PathChain {
-		calls = Depth
+		calls = ChainDepth
 	}
 	requests := rate / calls
 	nodes, direct := routesFor(f, path)
-	g.run(ctx, direct, requests, cfg.Warm, 0)
-	g.run(ctx, nodes, requests, cfg.Warm, 0)
+	g.run(ctx, direct, requests, cfg.WarmUp, 0)
+	g.run(ctx, nodes, requests, cfg.WarmUp, 0)
 	for i := range cfg.Rounds {
 		var r Round
 		loadNodes := func() {
 			before := nodesCPU(f)
-			r.Nodes = g.run(ctx, nodes, requests, cfg.Slice, uint64(i+1))
+			r.Nodes = g.run(ctx, nodes, requests, cfg.LoadDuration, uint64(i+1))
 			r.NodeCPU = (nodesCPU(f) - before) / time.Duration(max(1, int(calls)*r.Nodes.Completed))
 		}
 		if i%2 == 1 {
 			loadNodes()
 		}
-		r.Direct = g.run(ctx, direct, requests, cfg.Slice, uint64(i+1))
+		r.Direct = g.run(ctx, direct, requests, cfg.LoadDuration, uint64(i+1))
 		if i%2 == 0 {
 			loadNodes()
 		}
--- a/bench/latency/memory.go
+++ b/bench/latency/memory.go
@@ -38,8 +38,8 @@
 	}
 	defer f.Close()
 	defer context.AfterFunc(ctx, f.Close)()
-	d := chain(1, cfg.Service)
-	d.Services = d.Services[Depth-1:] // the last service makes no calls
+	d := chain(1, cfg.ServiceTime)
+	d.Services = d.Services[ChainDepth-1:] // the last service makes no calls
 	if err := startHosts(ctx, f, d); err != nil {
 		return nil, err
 	}
--- a/bench/latency/stack.go
+++ b/bench/latency/stack.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	var ops []string
-	for i := range Depth {
+	for i := range ChainDepth {
 		set, err := s.startHost(ctx, kill, i)
 		if err != nil {
 			return err
@@ -89,7 +89,7 @@
 // startDirect starts the targets without nodes, from the last to the first.
 func (s *Stack) startDirect() error {
 	urls := make(map[string][]string)
-	for i := Depth - 1; i >= 0; i-- {
+	for i := ChainDepth - 1; i >= 0; i-- {
 		cfg := leanConfig(i)
 		cfg.Direct = urls
 		t, err := StartLean(cfg)
@@ -190,7 +190,7 @@
 			time.Sleep(pollInterval)
 		}
 	}
-	for s.Through(PathChain) != "" || s.Direct(PathChain) != "" {
+	for s.SendThroughNodes(PathChain) != "" || s.SendDirect(PathChain) != "" {
 		if time.Now().After(deadline) {
 			return status.New(status.CodeNotReady, "the chain does not answer")
 		}
@@ -210,13 +210,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Through sends a request through the nodes. It returns an empty code if the request
+// SendThroughNodes sends a request through the nodes. It returns an empty code if the request
 // completed, else the code of the failure.
-func (s *Stack) Through(path string) status.Code {
+func (s *Stack) SendThroughNodes(path string) status.Code {
 	return s.gen.send(context.Background(), s.through, path)
 }
 
-// Direct sends the same request to the targets without nodes.
-func (s *Stack) Direct(path string) status.Code {
+// SendDirect sends the same request to the targets without nodes.
+func (s *Stack) SendDirect(path string) status.Code {
 	return s.gen.send(context.Background(), s.direct, path)
 }
--- a/bench/latency/table.go
+++ b/bench/latency/table.go
@@ -64,7 +64,7 @@
 	_, _, addedFromDue := c.quantile(q, (*Sample).fromDue)
 	calls := 1.0
 	if c.Kind == PathChain {
-		calls = Depth
+		calls = ChainDepth
 	}
 	medianAdded := median(added)
 	fmt.Fprintf(w, "%s\t%.0f\tp%g\t%.2f\t%.2f\t%.2f\t(%.2f to %.2f)\t%.2f\t%.1f\t%.2f\t", c.Kind, c.Rate, q, median(direct), median(nodes),
@@ -79,7 +79,7 @@
 }
 
 func (s *Sample) fromSent() *hdrhistogram.Histogram { return s.Latency }
-func (s *Sample) fromDue() *hdrhistogram.Histogram  { return s.FromDue }
+func (s *Sample) fromDue() *hdrhistogram.Histogram  { return s.LatencyFromDue }
 
 func (r *Round) direct() *Sample { return r.Direct }
 func (r *Round) nodes() *Sample  { return r.Nodes }
@@ -111,7 +111,7 @@
 func (c *Cell) worstSendDelay() float64 {
 	worst := 0.0
 	for _, r := range c.Rounds {
-		worst = max(worst, float64(r.Direct.Late.ValueAtQuantile(99))/1e3, float64(r.Nodes.Late.ValueAtQuantile(99))/1e3)
+		worst = max(worst, float64(r.Direct.SendDelay.ValueAtQuantile(99))/1e3, float64(r.Nodes.SendDelay.ValueAtQuantile(99))/1e3)
 	}
 	return worst
 }
@@ -129,7 +129,7 @@
 func (c *Cell) utilization(of func(*Round) *Sample) float64 {
 	var shares []float64
 	for i := range c.Rounds {
-		shares = append(shares, of(&c.Rounds[i]).Busy)
+		shares = append(shares, of(&c.Rounds[i]).Utilization)
 	}
 	return median(shares)
 }
@@ -140,7 +140,7 @@
 func (c *Cell) callerCPU() float64 {
 	var us []float64
 	for _, r := range c.Rounds {
-		us = append(us, float64(r.Direct.Caller)/float64(time.Microsecond), float64(r.Nodes.Caller)/float64(time.Microsecond))
+		us = append(us, float64(r.Direct.CallerCPU)/float64(time.Microsecond), float64(r.Nodes.CallerCPU)/float64(time.Microsecond))
 	}
 	return slices.Min(us)
 }
--- a/bench/mainjob/config.go
+++ b/bench/mainjob/config.go
@@ -22,7 +22,7 @@
 type Config struct {
 	// Root is the root directory of the workspace, which contains the examples.
 	Root string
-	Bins harness.Bins
+	Bins harness.Binaries
 	// Small runs two targets per service at half the load.
 	Small bool
 	// Load is the duration of the mixed load.
@@ -50,7 +50,7 @@
 			retryKeyed(&d.Load[i])
 			for k := range d.Load[i].Phases {
 				p := &d.Load[i].Phases[k]
-				p.For = c.Load
+				p.Duration = c.Load
 				if c.Small {
 					p.Rate /= 2
 				}
--- a/bench/mainjob/load.go
+++ b/bench/mainjob/load.go
@@ -40,7 +40,7 @@
 		for _, s := range d.Services {
 			seed++
 			host := d.FullName(s)
-			viaNodes := client.Config{Seed: seed, Classes: classesOf(d.Load, host), URLs: j.fleet.Entries(d)}
+			viaNodes := client.Config{Seed: seed, Classes: classesOf(d.Load, host), URLs: j.fleet.EntryURLs(d)}
 			wg.Go(func() { run(d, viaNodes, false) })
 			direct := viaNodes
 			direct.URLs = j.fleet.DirectURLs(host)
@@ -132,7 +132,7 @@
 		has := func(res client.Result) bool { return r.nodes.ByResult[res] > 0 }
 		if slices.ContainsFunc([]client.Result{client.Unknown, client.Wrong, client.Partial}, has) {
 			errs = append(errs, status.New(CodeAnswer, "%s: %d unknown, %d wrong, %d partial; first failure: %v", r.class,
-				r.nodes.ByResult[client.Unknown], r.nodes.ByResult[client.Wrong], r.nodes.ByResult[client.Partial], r.nodes.FirstFail))
+				r.nodes.ByResult[client.Unknown], r.nodes.ByResult[client.Wrong], r.nodes.ByResult[client.Partial], r.nodes.FirstError))
 		}
 		if r.nodes.Sent > 0 && !has(client.Completed) {
 			errs = append(errs, status.New(CodeAnswer, "%s: none of %d requests completed", r.class, r.nodes.Sent))
--- a/bench/mainjob/run.go
+++ b/bench/mainjob/run.go
@@ -35,10 +35,10 @@
 	if err != nil {
 		return err
 	}
-	f.Keep = cfg.Keep
+	f.KeepFiles = cfg.Keep
 	defer f.Close()
 	defer context.AfterFunc(ctx, f.Close)()
-	f.Tune = traceAllRequests
+	f.TuneNode = traceAllRequests
 	f.TuneTarget = fixServiceTimes
 	j := &job{cfg: cfg, fleet: f, deployments: cfg.deployments()}
 	if err := j.run(ctx); err != nil {
@@ -111,11 +111,11 @@
 		}
 		j.printf("peardrift apply examples/%s: accepted as version 1\n", d.Tenant)
 	}
-	if err := j.fleet.Ready(readyTimeout); err != nil {
+	if err := j.fleet.WaitReady(readyTimeout); err != nil {
 		return err
 	}
 	j.printf("All nodes were ready %v after the first was started", elapsed(began))
-	if err := j.fleet.Converged(readyTimeout); err != nil {
+	if err := j.fleet.WaitConverged(readyTimeout); err != nil {
 		return err
 	}
 	j.printf(" and knew one another after %v.\n", elapsed(began))
--- a/bench/mainjob/show.go
+++ b/bench/mainjob/show.go
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	mark := "shown-" + d.Main
-	req, err := http.NewRequestWithContext(ctx, s.class.Method, j.fleet.Entries(d)[0]+s.class.Path,
+	req, err := http.NewRequestWithContext(ctx, s.class.Method, j.fleet.EntryURLs(d)[0]+s.class.Path,
 		strings.NewReader(strings.Repeat("u", s.class.Body)))
 	if err != nil {
 		return s, status.Wrap(CodeAnswer, err, "request for %s", d.Main)
--- a/bench/overload/dump.go
+++ b/bench/overload/dump.go
@@ -26,16 +26,16 @@
 // Line is one line of a Dump, for an attempt or a gate state. Times are in ms; T is
 // relative to the start of the trace.
 type Line struct {
-	T      int64         `json:"t"`
-	Class  string        `json:"class,omitempty"`
-	Mark   string        `json:"mark,omitempty"`
-	Try    int           `json:"try,omitempty"`
-	Took   int64         `json:"took,omitempty"`
-	Result client.Result `json:"result,omitempty"`
-	Code   string        `json:"code,omitempty"`
-	Err    string        `json:"err,omitempty"`
-	Node   string        `json:"node,omitempty"`
-	Gate   *node.Gate    `json:"gate,omitempty"`
+	T         int64         `json:"t"`
+	Class     string        `json:"class,omitempty"`
+	Mark      string        `json:"mark,omitempty"`
+	Try       int           `json:"try,omitempty"`
+	LatencyMS int64         `json:"took,omitempty"`
+	Result    client.Result `json:"result,omitempty"`
+	Code      string        `json:"code,omitempty"`
+	Err       string        `json:"err,omitempty"`
+	Node      string        `json:"node,omitempty"`
+	Gate      *node.Gate    `json:"gate,omitempty"`
 }
 
 func (d *Dump) write(l Line) {
@@ -48,7 +48,7 @@
 }
 
 func (d *Dump) recordAttempt(start time.Time, a client.Attempt) {
-	l := Line{T: a.At.Sub(start).Milliseconds(), Class: a.Class, Mark: a.Mark, Try: a.N, Took: a.Took.Milliseconds(), Result: a.Result, Code: a.Code}
+	l := Line{T: a.At.Sub(start).Milliseconds(), Class: a.Class, Mark: a.RequestMark, Try: a.N, LatencyMS: a.Latency.Milliseconds(), Result: a.Result, Code: a.Code}
 	if a.Err != nil {
 		l.Err = a.Err.Error()
 	}
--- a/bench/overload/guarantees.go
+++ b/bench/overload/guarantees.go
@@ -5,29 +5,29 @@
 	"peardrift/internal/status"
 )
 
-// CodeBroken means that a guarantee was violated.
-const CodeBroken status.Code = "overload-broken"
+// CodeGuaranteeViolated means that a guarantee was violated.
+const CodeGuaranteeViolated status.Code = "overload-broken"
 
-// Broken counts violations of the guarantees. Targets without nodes give none of them.
-type Broken struct {
-	Twice    int // at-most-once requests that ran more than once
-	FalseNot int // requests that ran although their callers had only seen refusals
-	Wrong    int // answers that belong to another request
-	Partial  int // truncated answers that ended like complete ones
-	NoRun    int // completed requests without a run
+// Violations counts violations of the guarantees. Targets without nodes give none of them.
+type Violations struct {
+	DuplicateRuns       int // at-most-once requests that ran more than once
+	FalseRefusals       int // requests that ran although their callers had only seen refusals
+	WrongAnswers        int // answers that belong to another request
+	PartialAnswers      int // truncated answers that ended like complete ones
+	CompletedWithoutRun int // completed requests without a run
 }
 
 // Err returns an error with all counts if any guarantee was violated, else nil.
-func (b Broken) Err() error {
-	if b == (Broken{}) {
+func (b Violations) Err() error {
+	if b == (Violations{}) {
 		return nil
 	}
-	return status.New(CodeBroken, "%d ran more than once, %d were refused but ran, %d wrong and %d partial answers, %d completed without a run",
-		b.Twice, b.FalseNot, b.Wrong, b.Partial, b.NoRun)
+	return status.New(CodeGuaranteeViolated, "%d ran more than once, %d were refused but ran, %d wrong and %d partial answers, %d completed without a run",
+		b.DuplicateRuns, b.FalseRefusals, b.WrongAnswers, b.PartialAnswers, b.CompletedWithoutRun)
 }
 
 // checkGuarantees compares the outcomes that callers saw with the runs at targets.
-func (l *Lab) checkGuarantees(p *playback) (b Broken, err error) {
+func (l *Lab) checkGuarantees(p *playback) (b Violations, err error) {
 	begun, err := l.startedRuns(p.nodes)
 	if err != nil {
 		return b, err
@@ -37,22 +37,22 @@
 		return b, err
 	}
 	for mark, as := range p.attempts {
-		class := l.Case.Dep.Class(as[0].Class)
+		class := l.Case.Deployment.Class(as[0].Class)
 		own := begun[[2]string{l.Case.fullName(class.Root.Service), mark}]
 		if class.AtMostOnce && own > 1 {
-			b.Twice++
+			b.DuplicateRuns++
 		}
 		if falselyRefused(as, work[mark]) {
-			b.FalseNot++
+			b.FalseRefusals++
 		}
 		for _, a := range as {
 			switch {
 			case a.Result == client.Wrong:
-				b.Wrong++
+				b.WrongAnswers++
 			case a.Result == client.Partial:
-				b.Partial++
+				b.PartialAnswers++
 			case a.Result == client.Completed && own == 0:
-				b.NoRun++
+				b.CompletedWithoutRun++
 			}
 		}
 	}
--- a/bench/overload/lab.go
+++ b/bench/overload/lab.go
@@ -29,7 +29,7 @@
 }
 
 // Open starts the processes of a case and applies its configuration sets.
-func Open(ctx context.Context, bins harness.Bins, c *Case) (*Lab, error) {
+func Open(ctx context.Context, bins harness.Binaries, c *Case) (*Lab, error) {
 	f, err := harness.New(bins)
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 func (l *Lab) start(ctx context.Context) error {
 	f := l.Fleet
 	f.TuneTarget = l.tuneTarget
-	f.Tune = func(_ *harness.Host, s *settings.Settings) {
+	f.TuneNode = func(_ *harness.Host, s *settings.Settings) {
 		for _, other := range f.Hosts { // those added before this host
 			s.Peers = append(s.Peers, other.Addr.Control)
 		}
@@ -69,10 +69,10 @@
 			return err
 		}
 	}
-	if err := f.Ready(startTimeout); err != nil {
+	if err := f.WaitReady(startTimeout); err != nil {
 		return err
 	}
-	return f.Converged(startTimeout)
+	return f.WaitConverged(startTimeout)
 }
 
 // tuneTarget configures a target like the replay's. A target without a node attempts each
@@ -82,8 +82,8 @@
 	c.Seed, c.Dist, c.Sigma = l.seed, target.DistLognormal, serviceTimeSigma
 	c.RunsFile = filepath.Join(l.Fleet.Dir, h.Name+runsSuffix)
 	c.WorkFile = filepath.Join(l.Fleet.Dir, h.Name+workSuffix)
-	c.CallTimeout = l.Case.Dep.Timeout
-	for _, s := range l.Case.Dep.Services {
+	c.CallTimeout = l.Case.Deployment.Timeout
+	for _, s := range l.Case.Deployment.Services {
 		if l.Case.fullName(s.Name) == h.Service {
 			c.Queue = s.Connections - s.Slots
 		}
@@ -109,7 +109,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "set.yaml"), []byte(l.Case.configSet(tenant)), 0o600); err != nil {
 		return status.Wrap(harness.CodeHarness, err, "write the set")
 	}
-	_, _, err := l.Fleet.Tool(ctx, "apply", "--base", strconv.Itoa(0), "--node", l.Fleet.Hosts[0].Addr.Control, dir)
+	_, _, err := l.Fleet.RunTool(ctx, "apply", "--base", strconv.Itoa(0), "--node", l.Fleet.Hosts[0].Addr.Control, dir)
 	return err
 }
 
--- a/bench/overload/measure.go
+++ b/bench/overload/measure.go
@@ -13,17 +13,17 @@
 // as they are visible from outside, and those that only processes have.
 type Measured struct {
 	replay.Result
-	Broken Broken
-	// PerDone is the ratio of the requests sent to the deep service's targets to those
+	Violations Violations
+	// SentPerNeeded is the ratio of the requests sent to the deep service's targets to those
 	// that the completed requests need.
-	PerDone float64
-	// Held is the ratio of measured to configured slot time, before the trigger, of
+	SentPerNeeded float64
+	// SlotTimeRatio is the ratio of measured to configured slot time, before the trigger, of
 	// targets that make no calls. It exceeds 1 by the overhead of the machine.
-	Held     float64
-	Requests int
-	Tries    int // client attempts
-	Results  map[client.Result]int
-	Codes    map[string]int // attempts that did not complete, by code
+	SlotTimeRatio float64
+	Requests      int
+	Attempts      int // client attempts
+	Results       map[client.Result]int
+	Codes         map[string]int // attempts that did not complete, by code
 }
 
 // tally accumulates the measurements of one run.
@@ -62,21 +62,21 @@
 	}
 	t.finish()
 	if t.expected > 0 {
-		t.out.Held = t.held.Seconds() / t.expected.Seconds()
+		t.out.SlotTimeRatio = t.held.Seconds() / t.expected.Seconds()
 	}
 	if t.needed > 0 {
-		t.out.PerDone = float64(p.deep) / t.needed
+		t.out.SentPerNeeded = float64(p.deep) / t.needed
 	}
 	return t.out, nil
 }
 
-func (l *Lab) newTally(b Broken) *tally {
+func (l *Lab) newTally(b Violations) *tally {
 	h := l.Case.Trace.Header
 	t := &tally{l: l, header: h, classes: make(map[string]*series),
 		refused: make(map[int]map[string]int), completed: make(map[int]map[string]bool),
-		out: &Measured{Broken: b, Results: make(map[client.Result]int), Codes: make(map[string]int)}}
-	n := binOf(h.Lasts+l.Case.Dep.Patience+l.Case.Dep.Timeout) + 1
-	for _, c := range l.Case.Dep.Classes {
+		out: &Measured{Violations: b, Results: make(map[client.Result]int), Codes: make(map[string]int)}}
+	n := binOf(h.Duration+l.Case.Deployment.Patience+l.Case.Deployment.Timeout) + 1
+	for _, c := range l.Case.Deployment.Classes {
 		t.classes[c.Name] = &series{make([]int, n), make([]int, n), make([]int, n), make([]int, n)}
 	}
 	return t
@@ -91,10 +91,10 @@
 	arrival := binAt(as[0].At)
 	s.arrived[arrival]++
 	t.out.Requests++
-	t.out.Tries += len(as)
+	t.out.Attempts += len(as)
 	t.out.Results[last.Result]++
 	for _, a := range as {
-		end := binAt(a.At.Add(a.Took))
+		end := binAt(a.At.Add(a.Latency))
 		switch a.Result {
 		case client.Refused:
 			update(t.refused, end, a.Class, func(n int) int { return n + 1 })
@@ -109,11 +109,11 @@
 		return
 	}
 	s.servedByArrival[arrival]++
-	s.done[binAt(last.At.Add(last.Took))]++
+	s.done[binAt(last.At.Add(last.Latency))]++
 	if len(as) == 1 {
 		s.firstAttempt[arrival]++
 	}
-	t.needed += meanCalls(&t.l.Case.Dep.Class(last.Class).Root, t.l.Case.Dep.Deep)
+	t.needed += meanCalls(&t.l.Case.Deployment.Class(last.Class).Root, t.l.Case.Deployment.DownstreamService)
 }
 
 func update[V any](m map[int]map[string]V, bin int, class string, f func(V) V) {
@@ -158,7 +158,7 @@
 func (t *tally) addSlotRatio(start time.Time, class string, runs []run) {
 	for _, r := range runs {
 		service, _, _ := strings.Cut(r.service, ".")
-		call := callAt(t.l.Case.Dep.Class(class), service)
+		call := callAt(t.l.Case.Deployment.Class(class), service)
 		if call == nil || len(call.Steps) > 0 || r.began.Sub(start) >= t.header.From {
 			continue
 		}
@@ -169,32 +169,32 @@
 
 // finish computes the results of the whole run.
 func (t *tally) finish() {
-	d, h, r := t.l.Case.Dep, t.header, &t.out.Result
+	d, h, r := t.l.Case.Deployment, t.header, &t.out.Result
 	r.Deployment, r.Header, r.Classes = d, h, make(map[string]replay.ClassResult)
 	from, to := binOf(h.From), binOf(h.To)
 	demand := make(map[string]float64)
 	for _, c := range d.Classes {
 		demand[c.Name] = perSecond(t.classes[c.Name].arrived, from, to)
 	}
-	best := d.Best(demand, t.condition())
-	r.Goodput = make([]float64, binOf(h.Lasts))
+	best := d.BestGoodput(demand, t.condition())
+	r.Goodput = make([]float64, binOf(h.Duration))
 	for _, c := range d.Classes {
 		s := t.classes[c.Name]
-		result := replay.ClassResult{Demand: demand[c.Name], Best: best[c.Name], Done: perSecond(s.done, from, to), Served: 1, First: 1}
+		result := replay.ClassResult{Demand: demand[c.Name], Best: best[c.Name], Completed: perSecond(s.done, from, to), Served: 1, ServedFirst: 1}
 		if result.Demand > 0 {
-			result.Served, result.First = perSecond(s.servedByArrival, from, to)/result.Demand, perSecond(s.firstAttempt, from, to)/result.Demand
+			result.Served, result.ServedFirst = perSecond(s.servedByArrival, from, to)/result.Demand, perSecond(s.firstAttempt, from, to)/result.Demand
 		}
 		r.Classes[c.Name] = result
-		r.Best += best[c.Name]
-		r.Surge += result.Done
-		r.Normal += perSecond(s.done, min(binOf(warmUp), from/2), from)
+		r.BestGoodput += best[c.Name]
+		r.TriggerGoodput += result.Completed
+		r.NormalGoodput += perSecond(s.done, min(binOf(warmUp), from/2), from)
 		for i := range r.Goodput {
 			r.Goodput[i] += float64(s.done[i]) / replay.Bin.Seconds()
 		}
 	}
-	r.Recovery, r.Recovered = replay.Recovery(r.Goodput, to, r.Normal)
+	r.Recovery, r.Recovered = replay.Recovery(r.Goodput, to, r.NormalGoodput)
 	if total := t.useful + t.useless; total > 0 {
-		r.Useless = float64(t.useless) / float64(total)
+		r.WastedFraction = float64(t.useless) / float64(total)
 	}
 	t.inversions()
 }
@@ -204,11 +204,11 @@
 
 // condition returns the effect of the trigger on the deployment.
 func (t *tally) condition() workload.Condition {
-	d := t.l.Case.Dep
-	cond := workload.Condition{Slow: make(map[string]float64), Within: d.Timeout - 2*d.ClientDelay}
+	d := t.l.Case.Deployment
+	cond := workload.Condition{Slowdown: make(map[string]float64), Timeout: d.Timeout - 2*d.ClientDelay}
 	for _, e := range t.l.Case.Trace.Events {
 		if e.Fault == workload.Slow && e.Factor > 1 {
-			cond.Slow[e.Service] = e.Factor
+			cond.Slowdown[e.Service] = e.Factor
 		}
 	}
 	return cond
@@ -226,14 +226,14 @@
 // inversions: those in the same replay.Bin as a completed request that is less
 // important and used the refusing service, which is the entry service.
 func (t *tally) inversions() {
-	d := t.l.Case.Dep
+	d := t.l.Case.Deployment
 	for bin, classes := range t.refused {
 		for name, n := range classes {
 			class := d.Class(name)
 			if !class.Important() {
 				continue
 			}
-			t.out.Refused += n
+			t.out.RefusedImportant += n
 			for other := range t.completed[bin] {
 				if o := d.Class(other); o.Importance < class.Importance && callAt(o, class.Root.Service) != nil {
 					t.out.Inverted += n
--- a/bench/overload/overload.go
+++ b/bench/overload/overload.go
@@ -9,22 +9,22 @@
 
 // Outcome holds the results of a case on processes and in the replay.
 type Outcome struct {
-	Case            *Case
-	Nodes, Straight *Measured // nil if not run
-	// Replayed and Uncontrolled are the replay's results for the same trace: with the
+	Case          *Case
+	Nodes, Direct *Measured // nil if not run
+	// Predicted and Uncontrolled are the replay's results for the same trace: with the
 	// controls that a node has (admission levels are checked at the entry only), and
 	// without control.
-	Replayed, Uncontrolled *replay.Result
+	Predicted, PredictedWithoutControl *replay.Result
 }
 
 // Predict returns the replay's results of a case. It starts no process.
 func Predict(c *Case) (*Outcome, error) {
 	o := &Outcome{Case: c}
 	var err error
-	if o.Replayed, err = c.replay(nodePolicy); err != nil {
+	if o.Predicted, err = c.replay(nodePolicy); err != nil {
 		return nil, err
 	}
-	o.Uncontrolled, err = c.replay(noControl)
+	o.PredictedWithoutControl, err = c.replay(noControl)
 	return o, err
 }
 
@@ -38,7 +38,7 @@
 	if o.Nodes, err = l.playOnce(ctx, true); err != nil || !direct {
 		return o, err
 	}
-	o.Straight, err = l.playOnce(ctx, false)
+	o.Direct, err = l.playOnce(ctx, false)
 	return o, err
 }
 
@@ -53,7 +53,7 @@
 	if !ok {
 		return nil, status.New(CodeOverload, "the replay has no policy %q", policy)
 	}
-	return replay.Run(c.Dep, c.Trace, p, c.Trace.Header.Seed), nil
+	return replay.Run(c.Deployment, c.Trace, p, c.Trace.Header.Seed), nil
 }
 
 func (l *Lab) playOnce(ctx context.Context, nodes bool) (*Measured, error) {
--- a/bench/overload/overload_test.go
+++ b/bench/overload/overload_test.go
@@ -21,14 +21,14 @@
 // were served, and 75% and 100% of the important ones.
 func TestWorstCaseOnProcesses(t *testing.T) {
 	is := is.New(t)
-	release, err := harness.Turn()
+	release, err := harness.AcquireRunLock()
 	is.NoErr(err)
 	defer release()
-	root, err := harness.Root()
+	root, err := harness.WorkspaceRoot()
 	is.NoErr(err)
 	bins, err := harness.Build(root, t.TempDir())
 	is.NoErr(err)
-	lengths := workload.Lengths{Before: time.Second, During: 4 * time.Second, After: time.Second}
+	lengths := workload.PhaseDurations{Before: time.Second, During: 4 * time.Second, After: time.Second}
 	c, err := NewCase("kalahari", "worst", Size{Targets: 2, Slots: 16, Stretch: 1}, lengths, 1)
 	is.NoErr(err)
 	l, err := Open(t.Context(), bins, c)
@@ -37,7 +37,7 @@
 	outcome, err := l.Play(t.Context(), false)
 	is.NoErr(err)
 	is.NoErr(outcome.Print(t.Output()))
-	is.NoErr(outcome.Nodes.Broken.Err())
+	is.NoErr(outcome.Nodes.Violations.Err())
 	is.True(outcome.Nodes.Results[client.Refused] > 0) // there was an overload
 	leastServed := outcome.Nodes.Classes["claim-status"].Served
 	is.True(outcome.Nodes.Classes["upload"].Served >= leastServed)
@@ -87,10 +87,10 @@
 	for _, tc := range []struct{ deployment, scenario string }{{"khaosan", "worst"}, {"kalahari", Stop}, {"shared", Flood}} {
 		t.Run(tc.deployment, func(t *testing.T) {
 			is := is.New(t)
-			c, err := NewCase(tc.deployment, tc.scenario, Size{Targets: 2, Slots: 8, Stretch: 2}, workload.FullLengths, 1)
+			c, err := NewCase(tc.deployment, tc.scenario, Size{Targets: 2, Slots: 8, Stretch: 2}, workload.FullPhaseDurations, 1)
 			is.NoErr(err)
-			for _, class := range c.Dep.Classes {
-				for _, s := range c.Dep.Services {
+			for _, class := range c.Deployment.Classes {
+				for _, s := range c.Deployment.Services {
 					want := meanCalls(&class.Root, s.Name)
 					is.Equal(want > 0, callAt(&class, s.Name) != nil)
 					is.True(c.meanRequests(&class, s.Name) == want) // as many calls as the call chain has
@@ -119,7 +119,7 @@
 						continue
 					}
 					for _, call := range r.Calls {
-						chance := call.Chance
+						chance := call.Probability
 						if chance == 0 {
 							chance = 1
 						}
--- a/bench/overload/plan.go
+++ b/bench/overload/plan.go
@@ -18,10 +18,10 @@
 	var out []deploy.Deployment
 	for _, tenant := range c.tenants() {
 		d := deploy.Deployment{Tenant: tenant, Region: "bench"}
-		for i := range c.Dep.Zones {
+		for i := range c.Deployment.Zones {
 			d.Zones = append(d.Zones, fmt.Sprintf("zone-%d", i+1))
 		}
-		for _, s := range c.Dep.Services {
+		for _, s := range c.Deployment.Services {
 			if c.tenantOf(s.Name) == tenant {
 				d.Services = append(d.Services, deploy.Service{Name: s.Name, Targets: s.Targets, Slots: s.Slots, Routes: c.routes(s.Name)})
 			}
@@ -34,7 +34,7 @@
 // tenants returns the tenants that own services, without duplicates.
 func (c *Case) tenants() []string {
 	var out []string
-	for _, s := range c.Dep.Services {
+	for _, s := range c.Deployment.Services {
 		if t := c.tenantOf(s.Name); !slices.Contains(out, t) {
 			out = append(out, t)
 		}
@@ -79,8 +79,8 @@
 // routes returns the routes of a service's targets, one per class.
 func (c *Case) routes(service string) []target.Route {
 	var out []target.Route
-	for i := range c.Dep.Classes {
-		class := &c.Dep.Classes[i]
+	for i := range c.Deployment.Classes {
+		class := &c.Deployment.Classes[i]
 		call := callAt(class, service)
 		if call == nil {
 			continue
@@ -90,7 +90,7 @@
 			for _, sub := range step {
 				one := target.Call{Service: c.fullName(sub.Service), Method: methodOf(class, false), Path: pathOf(class), Required: true}
 				if sub.Chance < 1 {
-					one.Chance = sub.Chance
+					one.Probability = sub.Chance
 				}
 				r.Calls = append(r.Calls, slices.Repeat([]target.Call{one}, sub.Count)...)
 			}
@@ -108,7 +108,7 @@
 func (c *Case) configSet(tenant string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "tenant: %s\nshare: %g\nservices:\n", tenant, 1/float64(len(c.tenants())))
-	for _, s := range c.Dep.Services {
+	for _, s := range c.Deployment.Services {
 		if c.tenantOf(s.Name) == tenant {
 			c.declareService(&b, s)
 		}
@@ -126,8 +126,8 @@
 		fmt.Fprintf(b, "    allow: [%s]\n", strings.Join(others, ", "))
 	}
 	fmt.Fprintf(b, "    classes:\n")
-	for i := range c.Dep.Classes {
-		class := &c.Dep.Classes[i]
+	for i := range c.Deployment.Classes {
+		class := &c.Deployment.Classes[i]
 		if callAt(class, s.Name) == nil {
 			continue
 		}
@@ -142,13 +142,13 @@
 
 // deadline returns the deadline of whole requests: the client timeout less the network
 // delay in both directions.
-func (c *Case) deadline() time.Duration { return c.Dep.Timeout - 2*c.Dep.ClientDelay }
+func (c *Case) deadline() time.Duration { return c.Deployment.Timeout - 2*c.Deployment.ClientDelay }
 
 // callees returns the services that a service calls.
 func (c *Case) callees(service string) []string {
 	var out []string
-	for i := range c.Dep.Classes {
-		call := callAt(&c.Dep.Classes[i], service)
+	for i := range c.Deployment.Classes {
+		call := callAt(&c.Deployment.Classes[i], service)
 		if call == nil {
 			continue
 		}
--- a/bench/overload/play.go
+++ b/bench/overload/play.go
@@ -41,7 +41,7 @@
 func (p *playback) observe(a client.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.attempts[a.Mark] = append(p.attempts[a.Mark], a)
+	p.attempts[a.RequestMark] = append(p.attempts[a.RequestMark], a)
 	if p.nodes {
 		p.dump.recordAttempt(p.start, a)
 	}
@@ -64,7 +64,7 @@
 	if nodes {
 		go l.Dump.recordGates(ctx, p.start, l.Fleet.Hosts)
 	}
-	for _, s := range l.Case.Dep.Services {
+	for _, s := range l.Case.Deployment.Services {
 		cfg := client.Config{URLs: l.urls(s.Name, nodes), Seed: l.Case.Trace.Header.Seed, Observe: p.observe, Classes: l.classes(s.Name)}
 		if len(cfg.Classes) == 0 {
 			continue
@@ -101,21 +101,21 @@
 func (l *Lab) classes(service string) []client.Class {
 	c := l.Case
 	var out []client.Class
-	for i := range c.Dep.Classes {
-		class := &c.Dep.Classes[i]
+	for i := range c.Deployment.Classes {
+		class := &c.Deployment.Classes[i]
 		if class.Root.Service != service {
 			continue
 		}
 		cl := client.Class{
 			Name: class.Name, Method: methodOf(class, true), Host: c.fullName(service), Path: pathOf(class), Key: class.AtMostOnce,
-			Timeout: c.Dep.Timeout + answerSlack, Attempts: maxAttempts, Backoff: retryBackoff, MaxBackoff: 2 * retryBackoff, Patience: c.Dep.Patience,
+			Timeout: c.Deployment.Timeout + answerSlack, Attempts: maxAttempts, Backoff: retryBackoff, MaxBackoff: 2 * retryBackoff, RetryWindow: c.Deployment.Patience,
 		}
 		for _, e := range c.Trace.Events {
 			if e.Class == class.Name {
-				cl.Times = append(cl.Times, e.T)
+				cl.ArrivalTimes = append(cl.ArrivalTimes, e.T)
 			}
 		}
-		if len(cl.Times) > 0 {
+		if len(cl.ArrivalTimes) > 0 {
 			out = append(out, cl)
 		}
 	}
@@ -166,8 +166,8 @@
 // then its target.
 func stopInOrder(ps ...*harness.Process) error {
 	for _, p := range ps {
-		if !p.Stop(stopTimeout) || p.Exited() != 0 {
-			return status.New(CodeBroken, "%s did not exit cleanly: code %d, limit %v", p.Name, p.Exited(), stopTimeout)
+		if !p.Stop(stopTimeout) || p.ExitCode() != 0 {
+			return status.New(CodeGuaranteeViolated, "%s did not exit cleanly: code %d, limit %v", p.Name, p.ExitCode(), stopTimeout)
 		}
 	}
 	return nil
@@ -216,7 +216,7 @@
 // deepArrivals counts the requests sent to the deep service's targets so far. A restarted
 // target counts from its restart.
 func (l *Lab) deepArrivals(nodes bool) (n int64, err error) {
-	for _, h := range l.hosts(l.Case.Dep.Deep, nodes) {
+	for _, h := range l.hosts(l.Case.Deployment.DownstreamService, nodes) {
 		c, err := fetchCounters(context.Background(), h)
 		if err != nil {
 			return 0, err
@@ -230,12 +230,12 @@
 func (l *Lab) awaitIdle(ctx context.Context, nodes bool) error {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	for _, s := range l.Case.Dep.Services {
+	for _, s := range l.Case.Deployment.Services {
 		for _, h := range l.hosts(s.Name, nodes) {
 			for !idle(ctx, h) {
 				select {
 				case <-ctx.Done():
-					return status.New(CodeBroken, "%s is still busy %v after the end of the load", h.Name, stopTimeout)
+					return status.New(CodeGuaranteeViolated, "%s is still busy %v after the end of the load", h.Name, stopTimeout)
 				case <-time.After(20 * time.Millisecond):
 				}
 			}
--- a/bench/overload/size.go
+++ b/bench/overload/size.go
@@ -22,8 +22,8 @@
 // minTargets leaves a retry another target.
 const minTargets = 2
 
-// Of returns the deployment scaled to this size.
-func (z Size) Of(d *workload.Deployment) *workload.Deployment {
+// Scale returns the deployment scaled to this size.
+func (z Size) Scale(d *workload.Deployment) *workload.Deployment {
 	out := d.Scaled(max(1, z.Slots))
 	stretch := time.Duration(max(1, z.Stretch))
 	out.Timeout, out.Patience = d.Timeout*stretch, d.Patience*stretch
@@ -52,8 +52,8 @@
 
 // Case is a deployment with a scenario.
 type Case struct {
-	Dep   *workload.Deployment
-	Trace *workload.Trace
+	Deployment *workload.Deployment
+	Trace      *workload.Trace
 	// Owner maps a service to its tenant if that isn't Dep.Name.
 	Owner map[string]string
 }
@@ -68,7 +68,7 @@
 
 // NewCase returns the case of a scenario of the replay, or of Stop. It fails for an
 // unknown deployment or scenario.
-func NewCase(deployment, scenario string, z Size, l workload.Lengths, seed uint64) (*Case, error) {
+func NewCase(deployment, scenario string, z Size, l workload.PhaseDurations, seed uint64) (*Case, error) {
 	base, c := workload.Deployments()[deployment], &Case{}
 	if scenario == Flood {
 		base, c.Owner = floodDeployment()
@@ -76,18 +76,18 @@
 	if base == nil {
 		return nil, status.New(CodeOverload, "there is no deployment %q", deployment)
 	}
-	c.Dep = z.Of(base)
+	c.Deployment = z.Scale(base)
 	var sc *workload.Scenario
 	if scenario == Stop {
-		sc = workload.ScenarioFor("worst", c.Dep, l)
+		sc = workload.ScenarioFor("worst", c.Deployment, l)
 		sc.Name = Stop
 		sc.Faults = append(sc.Faults,
-			workload.Event{T: l.During / 4, Fault: workload.Drain, Service: c.Dep.Deep},
-			workload.Event{T: l.During * 3 / 4, Fault: workload.Start, Service: c.Dep.Deep})
-	} else if sc = workload.ScenarioFor(scenario, c.Dep, l); sc == nil {
+			workload.Event{T: l.During / 4, Fault: workload.Drain, Service: c.Deployment.DownstreamService},
+			workload.Event{T: l.During * 3 / 4, Fault: workload.Start, Service: c.Deployment.DownstreamService})
+	} else if sc = workload.ScenarioFor(scenario, c.Deployment, l); sc == nil {
 		return nil, status.New(CodeOverload, "there is no scenario %q", scenario)
 	}
-	c.Trace = workload.Generate(c.Dep, sc, seed)
+	c.Trace = workload.Generate(c.Deployment, sc, seed)
 	return c, c.checkFaults()
 }
 
@@ -130,7 +130,7 @@
 	if t, ok := c.Owner[service]; ok {
 		return t
 	}
-	return c.Dep.Name
+	return c.Deployment.Name
 }
 
 // fullName returns the full name of a service, as callers address it.
--- a/bench/overload/table.go
+++ b/bench/overload/table.go
@@ -15,20 +15,20 @@
 // Print writes an outcome as tables: totals, classes during the trigger, and goodput
 // over time.
 func (o *Outcome) Print(w io.Writer) error {
-	h, d := o.Case.Trace.Header, o.Case.Dep
+	h, d := o.Case.Trace.Header, o.Case.Deployment
 	fmt.Fprintf(w, "\n%s, %s, seed %d: %v before, %v of the trigger, %v after; ", h.Deployment, h.Scenario, h.Seed,
-		h.From, h.To-h.From, h.Lasts-h.To)
-	fmt.Fprintf(w, "sustainable %.0f requests/s, highest possible in the trigger %.0f.\n", d.Sustainable(), o.Replayed.Best)
+		h.From, h.To-h.From, h.Duration-h.To)
+	fmt.Fprintf(w, "sustainable %.0f requests/s, highest possible in the trigger %.0f.\n", d.SustainableRate(), o.Predicted.BestGoodput)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "\tgoodput/s\tof highest\timportant served\tfirst try\trecovery\tuseless work\timportant refused\twith lesser done\tsent per need\ttries a request\t")
 	if o.Nodes != nil {
 		o.printMeasured(tw, "nodes", o.Nodes)
 	}
-	o.printReplayed(tw, "replay", o.Replayed)
-	if o.Straight != nil {
-		o.printMeasured(tw, "straight", o.Straight)
+	o.printReplayed(tw, "replay", o.Predicted)
+	if o.Direct != nil {
+		o.printMeasured(tw, "straight", o.Direct)
 	}
-	o.printReplayed(tw, "replay, no control", o.Uncontrolled)
+	o.printReplayed(tw, "replay, no control", o.PredictedWithoutControl)
 	if err := tw.Flush(); err != nil || o.Nodes == nil {
 		return err
 	}
@@ -40,15 +40,15 @@
 }
 
 func (o *Outcome) printReplayed(w io.Writer, name string, r *replay.Result) {
-	fmt.Fprintf(w, "%s\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%s\t%.1f%%\t%d\t%d\t", name, r.Surge, percent(r.OfBest()), percent(r.Important()),
-		percent(r.ImportantFirst()), formatRecovery(r), percent(r.Useless), r.Refused, r.Inverted)
+	fmt.Fprintf(w, "%s\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%s\t%.1f%%\t%d\t%d\t", name, r.TriggerGoodput, percent(r.FractionOfBest()), percent(r.ImportantServed()),
+		percent(r.ImportantServedFirst()), formatRecovery(r), percent(r.WastedFraction), r.RefusedImportant, r.Inverted)
 	fmt.Fprint(w, "\t\t\n")
 }
 
 func (o *Outcome) printMeasured(w io.Writer, name string, m *Measured) {
 	r := &m.Result
-	fmt.Fprintf(w, "%s\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%s\t%.1f%%\t%d\t%d\t%.2f\t%.2f\t\n", name, r.Surge, percent(r.OfBest()), percent(r.Important()),
-		percent(r.ImportantFirst()), formatRecovery(r), percent(r.Useless), r.Refused, r.Inverted, m.PerDone, float64(m.Tries)/float64(max(1, m.Requests)))
+	fmt.Fprintf(w, "%s\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%s\t%.1f%%\t%d\t%d\t%.2f\t%.2f\t\n", name, r.TriggerGoodput, percent(r.FractionOfBest()), percent(r.ImportantServed()),
+		percent(r.ImportantServedFirst()), formatRecovery(r), percent(r.WastedFraction), r.RefusedImportant, r.Inverted, m.SentPerNeeded, float64(m.Attempts)/float64(max(1, m.Requests)))
 }
 
 func percent(part float64) float64 { return 100 * part }
@@ -66,7 +66,7 @@
 	for _, m := range []struct {
 		name string
 		of   *Measured
-	}{{"nodes", o.Nodes}, {"straight", o.Straight}} {
+	}{{"nodes", o.Nodes}, {"straight", o.Direct}} {
 		if m.of == nil {
 			continue
 		}
@@ -75,11 +75,11 @@
 			fmt.Fprintf(w, " %d %s", m.of.Results[r], r)
 		}
 		fmt.Fprintf(w, "; %d ran twice, %d falsely not run, %d wrong, %d partial. Tries by code:",
-			m.of.Broken.Twice, m.of.Broken.FalseNot, m.of.Broken.Wrong, m.of.Broken.Partial)
+			m.of.Violations.DuplicateRuns, m.of.Violations.FalseRefusals, m.of.Violations.WrongAnswers, m.of.Violations.PartialAnswers)
 		for _, code := range slices.Sorted(maps.Keys(m.of.Codes)) {
 			fmt.Fprintf(w, " %d %q", m.of.Codes[code], code)
 		}
-		fmt.Fprintf(w, ". Before the trigger targets held slots %.2f times as long as told.\n", m.of.Held)
+		fmt.Fprintf(w, ". Before the trigger targets held slots %.2f times as long as told.\n", m.of.SlotTimeRatio)
 	}
 }
 
@@ -87,13 +87,13 @@
 func (o *Outcome) printClasses(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "class\timportance\tdemand/s\thighest\tnodes\treplay\tstraight\tserved: nodes\treplay\tstraight\tfirst try: nodes\treplay\t")
-	for _, c := range o.Case.Dep.Classes {
-		n, r, s := o.Nodes.Classes[c.Name], o.Replayed.Classes[c.Name], replay.ClassResult{}
-		if o.Straight != nil {
-			s = o.Straight.Classes[c.Name]
+	for _, c := range o.Case.Deployment.Classes {
+		n, r, s := o.Nodes.Classes[c.Name], o.Predicted.Classes[c.Name], replay.ClassResult{}
+		if o.Direct != nil {
+			s = o.Direct.Classes[c.Name]
 		}
 		fmt.Fprintf(tw, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t\n", c.Name, c.Importance, n.Demand, n.Best,
-			n.Done, r.Done, s.Done, percent(n.Served), percent(r.Served), percent(s.Served), percent(n.First), percent(r.First))
+			n.Completed, r.Completed, s.Completed, percent(n.Served), percent(r.Served), percent(s.Served), percent(n.ServedFirst), percent(r.ServedFirst))
 	}
 	return tw.Flush()
 }
@@ -104,9 +104,9 @@
 	fmt.Fprintln(tw, "second\tnodes\treplay\tstraight\t")
 	step := int(time.Second / replay.Bin)
 	for i := 0; i+step <= len(o.Nodes.Goodput); i += step {
-		fmt.Fprintf(tw, "%d\t%.0f\t%.0f\t", i/step, mean(o.Nodes.Goodput[i:i+step]), mean(o.Replayed.Goodput[i:i+step]))
-		if o.Straight != nil {
-			fmt.Fprintf(tw, "%.0f", mean(o.Straight.Goodput[i:i+step]))
+		fmt.Fprintf(tw, "%d\t%.0f\t%.0f\t", i/step, mean(o.Nodes.Goodput[i:i+step]), mean(o.Predicted.Goodput[i:i+step]))
+		if o.Direct != nil {
+			fmt.Fprintf(tw, "%.0f", mean(o.Direct.Goodput[i:i+step]))
 		}
 		fmt.Fprint(tw, "\t\n")
 	}
--- a/bench/pages/pages_test.go
+++ b/bench/pages/pages_test.go
@@ -31,7 +31,7 @@
 
 func loadTree(t *testing.T) docTree {
 	t.Helper()
-	root, err := harness.Root()
+	root, err := harness.WorkspaceRoot()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/bench/replay/outbound.go
+++ b/bench/replay/outbound.go
@@ -145,7 +145,7 @@
 	if o.node.sim.policy.CoreRetry {
 		return o.decideRetry(c, r)
 	}
-	if c.attempts >= o.node.sim.policy.HopTries {
+	if c.attempts >= o.node.sim.policy.HopAttempts {
 		return 0, false
 	}
 	if c.root.class.AtMostOnce && r.outcome != request.Refused {
--- a/bench/replay/outcomes_test.go
+++ b/bench/replay/outcomes_test.go
@@ -15,14 +15,14 @@
 // Test runs use a fifth of the reference deployments' slots, and short phases.
 const testScale = 5
 
-var testLengths = workload.Lengths{Before: 3 * time.Second, During: 5 * time.Second, After: 5 * time.Second}
+var testLengths = workload.PhaseDurations{Before: 3 * time.Second, During: 5 * time.Second, After: 5 * time.Second}
 
 func replay(t *testing.T, deployment, scenario, policy string, seed uint64) *Result {
 	t.Helper()
 	return replayWithLengths(t, testLengths, deployment, scenario, policy, seed)
 }
 
-func replayWithLengths(t *testing.T, l workload.Lengths, deployment, scenario, policy string, seed uint64) *Result {
+func replayWithLengths(t *testing.T, l workload.PhaseDurations, deployment, scenario, policy string, seed uint64) *Result {
 	t.Helper()
 	d := workload.Deployments()[deployment].Scaled(testScale)
 	p, ok := PolicyFor(policy)
@@ -65,12 +65,12 @@
 			is := is.New(t)
 			r := replay(t, b.deployment, b.scenario, "peardrift", 1)
 			t.Logf("of best %.3f, important %.3f, useless %.3f, recovery %v, extra %d",
-				r.OfBest(), r.Important(), r.Useless, r.Recovery, r.Extra)
-			is.True(r.OfBest() >= b.ofBest)                    // goodput in the trigger phase
-			is.True(r.Important() >= b.important)              // important classes served
-			is.True(r.Useless <= b.wasted)                     // slot time wasted
-			is.True(r.Recovered && r.Recovery <= b.recovery)   // after the trigger phase
-			is.True(r.Extra <= retry.DefaultConfig().Attempts) // bound for one root request
+				r.FractionOfBest(), r.ImportantServed(), r.WastedFraction, r.Recovery, r.MaxExtraAttempts)
+			is.True(r.FractionOfBest() >= b.ofBest)                       // goodput in the trigger phase
+			is.True(r.ImportantServed() >= b.important)                   // important classes served
+			is.True(r.WastedFraction <= b.wasted)                         // slot time wasted
+			is.True(r.Recovered && r.Recovery <= b.recovery)              // after the trigger phase
+			is.True(r.MaxExtraAttempts <= retry.DefaultConfig().Attempts) // bound for one root request
 		})
 	}
 }
@@ -86,9 +86,9 @@
 			p := platformPolicy()
 			r := Run(d, workload.Generate(d, workload.ScenarioFor("crowd", d, testLengths), seed+1), p, seed+1)
 			lookup := r.Classes["lookup"]
-			t.Logf("asked %.0f/s, completed %.0f/s, failed %.0f/s, useless %.3f", lookup.Demand, lookup.Done, lookup.Failed, r.Useless)
-			is.True(lookup.Failed <= 0.8*lookup.Demand) // attempts that failed after work, per user
-			is.True(lookup.Done >= 0.4*lookup.Best)     // goodput at the deepest service
+			t.Logf("asked %.0f/s, completed %.0f/s, failed %.0f/s, useless %.3f", lookup.Demand, lookup.Completed, lookup.Failed, r.WastedFraction)
+			is.True(lookup.Failed <= 0.8*lookup.Demand)  // attempts that failed after work, per user
+			is.True(lookup.Completed >= 0.4*lookup.Best) // goodput at the deepest service
 		})
 	}
 }
@@ -100,7 +100,7 @@
 	r := replay(t, "shared", "flood", "peardrift", 2)
 	other := r.Classes["kalahari-read"]
 	is.True(other.Served >= 0.99)
-	is.True(other.First >= 0.95)
+	is.True(other.ServedFirst >= 0.95)
 }
 
 // Guards against a gate that fills all declared slots when only a sixth of them work and
@@ -109,28 +109,28 @@
 func TestGateDetectsOverstatedSlots(t *testing.T) {
 	is := is.New(t)
 	d := workload.Kalahari().Scaled(2)
-	l := workload.Lengths{Before: 4 * time.Second, During: 10 * time.Second, After: time.Second}
+	l := workload.PhaseDurations{Before: 4 * time.Second, During: 10 * time.Second, After: time.Second}
 	r := Run(d, workload.Generate(d, workload.ScenarioFor("shrink", d, l), 1), fullPolicy(), 1)
-	t.Logf("of best %.3f, important %.3f, first try %.3f", r.OfBest(), r.Important(), r.ImportantFirst())
-	is.True(r.OfBest() >= 0.75)
-	is.True(r.Important() >= 0.70)
-	is.True(r.ImportantFirst() >= 0.20)
+	t.Logf("of best %.3f, important %.3f, first try %.3f", r.FractionOfBest(), r.ImportantServed(), r.ImportantServedFirst())
+	is.True(r.FractionOfBest() >= 0.75)
+	is.True(r.ImportantServed() >= 0.70)
+	is.True(r.ImportantServedFirst() >= 0.20)
 }
 
 // In the worst scenario each baseline completes clearly less and amplifies retries. The
 // phases are long because without control the queues take some seconds to fill.
 func TestFullPolicyOutperformsBaselines(t *testing.T) {
 	for _, deployment := range []string{"khaosan", "kalahari"} {
-		l := workload.Lengths{Before: 2 * time.Second, During: 9 * time.Second, After: 3 * time.Second}
+		l := workload.PhaseDurations{Before: 2 * time.Second, During: 9 * time.Second, After: 3 * time.Second}
 		full := replayWithLengths(t, l, deployment, "worst", "peardrift", 1)
 		for _, b := range Baselines() {
 			t.Run(deployment+"-"+b.Name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
 				r := replayWithLengths(t, l, deployment, "worst", b.Name, 1)
-				t.Logf("goodput %.0f of %.0f, extra %d", r.Surge, full.Surge, r.Extra)
-				is.True(r.Surge < 0.95*full.Surge)
-				is.True(r.Extra > full.Extra)
+				t.Logf("goodput %.0f of %.0f, extra %d", r.TriggerGoodput, full.TriggerGoodput, r.MaxExtraAttempts)
+				is.True(r.TriggerGoodput < 0.95*full.TriggerGoodput)
+				is.True(r.MaxExtraAttempts > full.MaxExtraAttempts)
 			})
 		}
 	}
@@ -141,7 +141,7 @@
 	a, b := replay(t, "kalahari", "lost", "peardrift", 3), replay(t, "kalahari", "lost", "peardrift", 3)
 	is.Equal(a.Goodput, b.Goodput)
 	is.Equal(a.Counts, b.Counts)
-	is.Equal(a.Useless, b.Useless)
+	is.Equal(a.WastedFraction, b.WastedFraction)
 }
 
 func TestPolicyNamesAreUnique(t *testing.T) {
--- a/bench/replay/policy.go
+++ b/bench/replay/policy.go
@@ -16,11 +16,11 @@
 // Policy selects the parts of peardrift that are enabled in a run.
 type Policy struct {
 	Name          string
-	About         string
+	Description   string
 	Gate          GateKind
 	CorePick      bool // routing core; else the less loaded of two random targets
 	CoreRetry     bool // allowance per request and budget; else HopTries at each hop
-	HopTries      int  // attempts a hop makes without CoreRetry
+	HopAttempts   int  // attempts a hop makes without CoreRetry
 	Early         bool // callers refuse by the admission levels that they learned
 	EarlyEntry    bool // early refusal only at the entry node, not for child calls
 	ChainLevel    bool // responses also carry the level of downstream services
@@ -39,7 +39,7 @@
 // fullPolicy enables all parts of peardrift.
 func fullPolicy() Policy {
 	return Policy{
-		Name: "peardrift", About: "all parts", Gate: GateCore, CorePick: true, CoreRetry: true, HopTries: baselineTries,
+		Name: "peardrift", Description: "all parts", Gate: GateCore, CorePick: true, CoreRetry: true, HopAttempts: baselineTries,
 		Early: true, ChainLevel: true, Allowance: true, ServiceBudget: true, Deadlines: true, Cancel: true,
 		ChainOrder: true, DeepFirst: true, Queue: true, Level: true, Order: true,
 	}
@@ -51,10 +51,10 @@
 // Baselines are the policies that peardrift is compared with.
 func Baselines() []Policy {
 	return []Policy{
-		{Name: "none", About: "no admission control, three attempts per hop", HopTries: baselineTries},
-		{Name: "static", About: "a fixed limit and three attempts per hop", Gate: GateStatic, HopTries: baselineTries},
-		{Name: "adaptive", About: "an adaptive limit and three attempts per hop, deadlines and cancellation, no priorities",
-			Gate: GateAdaptive, HopTries: baselineTries, Deadlines: true, Cancel: true},
+		{Name: "none", Description: "no admission control, three attempts per hop", HopAttempts: baselineTries},
+		{Name: "static", Description: "a fixed limit and three attempts per hop", Gate: GateStatic, HopAttempts: baselineTries},
+		{Name: "adaptive", Description: "an adaptive limit and three attempts per hop, deadlines and cancellation, no priorities",
+			Gate: GateAdaptive, HopAttempts: baselineTries, Deadlines: true, Cancel: true},
 	}
 }
 
@@ -62,7 +62,7 @@
 func Ablations() []Policy {
 	without := func(name string, off func(*Policy)) Policy {
 		p := fullPolicy()
-		p.Name, p.About = "no-"+name, "peardrift without "+name
+		p.Name, p.Description = "no-"+name, "peardrift without "+name
 		off(&p)
 		return p
 	}
@@ -90,14 +90,14 @@
 // has already cost work, always go to the callee's gate.
 func earlyAtEntryPolicy() Policy {
 	p := fullPolicy()
-	p.Name, p.About, p.EarlyEntry = "early-at-entry", "peardrift with early refusal at the entry node only", true
+	p.Name, p.Description, p.EarlyEntry = "early-at-entry", "peardrift with early refusal at the entry node only", true
 	return p
 }
 
 // platformPolicy is peardrift with the node settings of the users' platform.
 func platformPolicy() Policy {
 	p := earlyAtEntryPolicy()
-	p.Name, p.About, p.Platform = "platform", "peardrift with the settings of the users' platform", true
+	p.Name, p.Description, p.Platform = "platform", "peardrift with the settings of the users' platform", true
 	return p
 }
 
--- a/bench/replay/recorder.go
+++ b/bench/replay/recorder.go
@@ -65,8 +65,8 @@
 func newRecorder(sim *simulation, h workload.Header) *recorder {
 	rec := &recorder{sim: sim, header: h, classes: map[string]*classSeries{},
 		refusedCalls: map[serviceWindow]map[uint8]int{}, minCompleted: map[serviceWindow]uint8{},
-		condition: workload.Condition{Slow: map[string]float64{}, Part: map[string]float64{}, Within: sim.clientTimeout - 2*sim.deployment.ClientDelay}}
-	n := int((h.Lasts+sim.deployment.Patience)/bin) + 1
+		condition: workload.Condition{Slowdown: map[string]float64{}, WorkingFraction: map[string]float64{}, Timeout: sim.clientTimeout - 2*sim.deployment.ClientDelay}}
+	n := int((h.Duration+sim.deployment.Patience)/bin) + 1
 	for i := range sim.deployment.Classes {
 		rec.classes[sim.deployment.Classes[i].Name] = &classSeries{arrived: make([]int, n), served: make([]int, n),
 			completed: make([]int, n), failed: make([]int, n), firstAttempt: make([]int, n)}
@@ -120,7 +120,7 @@
 		c.root.extraAttempts++
 		rec.deepService.maxExtra = max(rec.deepService.maxExtra, c.root.extraAttempts)
 	}
-	if to.spec.Name != rec.sim.deployment.Deep {
+	if to.spec.Name != rec.sim.deployment.DownstreamService {
 		return
 	}
 	rec.deepService.attempts++
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -8,23 +8,23 @@
 
 // Result holds the measurements of a run.
 type Result struct {
-	Deployment *workload.Deployment
-	Header     workload.Header
-	Classes    map[string]ClassResult
-	Goodput    []float64 // completed root requests per second, one entry per Bin
-	Normal     float64   // mean goodput before the trigger phase
-	Surge      float64   // mean goodput in the trigger phase
-	Best       float64   // highest mean goodput that the slots allow in the trigger phase
-	Blind      float64   // Best without knowing in advance which requests will end in time
-	Recovery   time.Duration
-	Recovered  bool
-	Took       time.Duration // mean response time before the trigger phase
-	Useless    float64       // fraction of slot time spent on requests that did not complete
-	Refused    int           // number of refused calls of important classes
-	Inverted   int           // those refused while the service completed a less important call
-	Attempts   float64       // at the Deep service, per first attempt of a call
-	Extra      int           // most attempts of one root request beyond one per call, over all services
-	Counts     map[string]int
+	Deployment       *workload.Deployment
+	Header           workload.Header
+	Classes          map[string]ClassResult
+	Goodput          []float64 // completed root requests per second, one entry per Bin
+	NormalGoodput    float64   // mean goodput before the trigger phase
+	TriggerGoodput   float64   // mean goodput in the trigger phase
+	BestGoodput      float64   // highest mean goodput that the slots allow in the trigger phase
+	BlindBestGoodput float64   // Best without knowing in advance which requests will end in time
+	Recovery         time.Duration
+	Recovered        bool
+	MeanLatency      time.Duration // mean response time before the trigger phase
+	WastedFraction   float64       // fraction of slot time spent on requests that did not complete
+	RefusedImportant int           // number of refused calls of important classes
+	Inverted         int           // those refused while the service completed a less important call
+	AttemptsPerCall  float64       // at the Deep service, per first attempt of a call
+	MaxExtraAttempts int           // most attempts of one root request beyond one per call, over all services
+	Counts           map[string]int
 }
 
 // Bin is the interval of each entry of Goodput.
@@ -32,10 +32,10 @@
 
 // ClassResult holds the measurements of one class in the trigger phase.
 type ClassResult struct {
-	Demand, Done, Best float64 // per second
-	Failed             float64 // attempts per second that had begun to run and did not complete
-	Served             float64 // fraction of the users that arrived in the trigger phase and were served
-	First              float64 // fraction of them that were served at the first attempt
+	Demand, Completed, Best float64 // per second
+	Failed                  float64 // attempts per second that had begun to run and did not complete
+	Served                  float64 // fraction of the users that arrived in the trigger phase and were served
+	ServedFirst             float64 // fraction of them that were served at the first attempt
 }
 
 // Fits reports whether the slots allow all of the class's demand.
@@ -58,24 +58,24 @@
 		name := d.Classes[i].Name
 		demand[name] = meanRate(rec.classes[name].arrived, from, to)
 	}
-	best := d.Best(demand, rec.condition)
+	best := d.BestGoodput(demand, rec.condition)
 	blind := rec.condition
-	blind.Blind = true
-	for _, x := range d.Best(demand, blind) {
-		r.Blind += x
+	blind.CountTimedOut = true
+	for _, x := range d.BestGoodput(demand, blind) {
+		r.BlindBestGoodput += x
 	}
 	before := 0
 	for i := range d.Classes {
 		name := d.Classes[i].Name
 		s := rec.classes[name]
-		r.Classes[name] = ClassResult{Demand: demand[name], Done: meanRate(s.completed, from, to), Best: best[name], Failed: meanRate(s.failed, from, to),
-			Served: rateRatio(s.served, s.arrived, from, to), First: rateRatio(s.firstAttempt, s.arrived, from, to)}
-		r.Best += best[name]
-		r.Took += s.latencySum
+		r.Classes[name] = ClassResult{Demand: demand[name], Completed: meanRate(s.completed, from, to), Best: best[name], Failed: meanRate(s.failed, from, to),
+			Served: rateRatio(s.served, s.arrived, from, to), ServedFirst: rateRatio(s.firstAttempt, s.arrived, from, to)}
+		r.BestGoodput += best[name]
+		r.MeanLatency += s.latencySum
 		before += sum(s.served, 0, from)
 	}
-	r.Took /= time.Duration(max(1, before))
-	r.Goodput = make([]float64, h.Lasts/bin)
+	r.MeanLatency /= time.Duration(max(1, before))
+	r.Goodput = make([]float64, h.Duration/bin)
 	for i := range r.Goodput {
 		done := 0
 		for _, s := range rec.classes {
@@ -83,16 +83,16 @@
 		}
 		r.Goodput[i] = float64(done) / bin.Seconds()
 	}
-	r.Normal = meanFloat(r.Goodput[min(int(warmUp/bin), from/2):from])
-	r.Surge = meanFloat(r.Goodput[from:to])
-	r.Recovery, r.Recovered = Recovery(r.Goodput, to, r.Normal)
+	r.NormalGoodput = meanFloat(r.Goodput[min(int(warmUp/bin), from/2):from])
+	r.TriggerGoodput = meanFloat(r.Goodput[from:to])
+	r.Recovery, r.Recovered = Recovery(r.Goodput, to, r.NormalGoodput)
 	if all := rec.usefulTime + rec.wastedTime; all > 0 {
-		r.Useless = float64(rec.wastedTime) / float64(all)
+		r.WastedFraction = float64(rec.wastedTime) / float64(all)
 	}
-	r.Refused, r.Inverted = rec.inversions()
-	r.Extra = rec.deepService.maxExtra
+	r.RefusedImportant, r.Inverted = rec.inversions()
+	r.MaxExtraAttempts = rec.deepService.maxExtra
 	if needed := rec.deepService.attempts - rec.deepService.extra; needed > 0 {
-		r.Attempts = float64(rec.deepService.attempts) / float64(needed)
+		r.AttemptsPerCall = float64(rec.deepService.attempts) / float64(needed)
 	}
 	return r
 }
@@ -146,31 +146,31 @@
 	return 1
 }
 
-// OfBest returns the goodput in the trigger phase as a fraction of Best.
-func (r *Result) OfBest() float64 {
-	if r.Best == 0 {
+// FractionOfBest returns the goodput in the trigger phase as a fraction of Best.
+func (r *Result) FractionOfBest() float64 {
+	if r.BestGoodput == 0 {
 		return 1
 	}
-	return r.Surge / r.Best
+	return r.TriggerGoodput / r.BestGoodput
 }
 
-// OfBlind returns the goodput in the trigger phase as a fraction of Blind.
-func (r *Result) OfBlind() float64 {
-	if r.Blind == 0 {
+// FractionOfBlindBest returns the goodput in the trigger phase as a fraction of Blind.
+func (r *Result) FractionOfBlindBest() float64 {
+	if r.BlindBestGoodput == 0 {
 		return 1
 	}
-	return r.Surge / r.Blind
+	return r.TriggerGoodput / r.BlindBestGoodput
 }
 
-// Important returns the lowest Served of the important classes whose demand fits the
+// ImportantServed returns the lowest Served of the important classes whose demand fits the
 // slots.
-func (r *Result) Important() float64 {
+func (r *Result) ImportantServed() float64 {
 	return r.leastImportant(func(c *ClassResult) float64 { return c.Served })
 }
 
-// ImportantFirst is like Important for requests served at the first attempt.
-func (r *Result) ImportantFirst() float64 {
-	return r.leastImportant(func(c *ClassResult) float64 { return c.First })
+// ImportantServedFirst is like Important for requests served at the first attempt.
+func (r *Result) ImportantServedFirst() float64 {
+	return r.leastImportant(func(c *ClassResult) float64 { return c.ServedFirst })
 }
 
 func (r *Result) leastImportant(figure func(*ClassResult) float64) float64 {
--- a/bench/replay/simulation.go
+++ b/bench/replay/simulation.go
@@ -47,13 +47,13 @@
 }
 
 func newSimulation(d *workload.Deployment, p Policy, h workload.Header, seed uint64) *simulation {
-	sim := &simulation{deployment: d, policy: p, aggressiveFraction: h.Hard, rng: rand.New(rand.NewPCG(seed, 0x3c0e)),
+	sim := &simulation{deployment: d, policy: p, aggressiveFraction: h.AggressiveFraction, rng: rand.New(rand.NewPCG(seed, 0x3c0e)),
 		retryCfg: retry.DefaultConfig(), earlyCfg: earlyrefusal.DefaultConfig()}
 	if p.Platform {
 		sim.retryCfg.CallRatio, sim.retryCfg.FreeRefusals = 0, true
 		sim.retryCfg.FleetBudget, sim.retryCfg.FleetWindow = platformRetryBudget, platformRetryWindow
 	}
-	sim.clientTimeout = time.Duration(float64(d.Timeout) / max(1, h.Hasty))
+	sim.clientTimeout = time.Duration(float64(d.Timeout) / max(1, h.TimeoutDivisor))
 	sim.zones = make([][]*node, d.Zones)
 	sim.recorder = newRecorder(sim, h)
 	for i := range d.Classes {
@@ -124,7 +124,7 @@
 	case workload.Slow:
 		svc.slowdown = e.Factor
 		if e.Factor > 1 {
-			sim.recorder.condition.Slow[e.Service] = e.Factor
+			sim.recorder.condition.Slowdown[e.Service] = e.Factor
 		}
 	case workload.Start:
 		sim.startTarget(svc)
@@ -134,11 +134,11 @@
 		svc.nodes[e.Target].restart()
 	case workload.FailFast:
 		svc.nodes[e.Target].target.failFast = e.Factor > 0
-	case workload.Lose:
+	case workload.Crash:
 		sim.crashNode(svc.nodes[e.Target])
 	case workload.Shrink:
 		sim.shrinkSlots(svc, e.Factor)
-	case workload.Lie:
+	case workload.ReportNoLoad:
 		svc.nodes[e.Target].target.reportsNoLoad = e.Factor > 0
 	}
 }
@@ -146,7 +146,7 @@
 // crashNode stops a target and its node without warning. Other nodes notice broken
 // connections at once and the changed membership after announceDelay.
 func (sim *simulation) crashNode(n *node) {
-	sim.recorder.condition.Part[n.service.spec.Name] = factorOrOne(sim.recorder.condition.Part, n.service.spec.Name) - 1/float64(n.service.spec.Targets)
+	sim.recorder.condition.WorkingFraction[n.service.spec.Name] = factorOrOne(sim.recorder.condition.WorkingFraction, n.service.spec.Name) - 1/float64(n.service.spec.Targets)
 	n.restart()
 	n.crashed = true
 	sim.drainNode(n)
@@ -155,7 +155,7 @@
 // shrinkSlots leaves 1/by of the slots of each target working.
 func (sim *simulation) shrinkSlots(svc *service, by float64) {
 	if by > 1 {
-		sim.recorder.condition.Part[svc.spec.Name] = 1 / by
+		sim.recorder.condition.WorkingFraction[svc.spec.Name] = 1 / by
 	}
 	for _, n := range svc.nodes {
 		n.target.workingSlots = max(1, int(float64(n.target.slots)/by))
@@ -234,6 +234,6 @@
 	if len(tr.Events) > 0 {
 		sim.at(tr.Events[0].T, feed)
 	}
-	sim.run(tr.Header.Lasts + d.Patience)
+	sim.run(tr.Header.Duration + d.Patience)
 	return sim.recorder.result()
 }
--- a/bench/replay/workload/capacity.go
+++ b/bench/replay/workload/capacity.go
@@ -21,10 +21,10 @@
 
 // Condition describes the faults of a deployment. The zero value means healthy.
 type Condition struct {
-	Slow   map[string]float64 // factor on service time, by service; default 1
-	Part   map[string]float64 // fraction of slots that work, by service; default 1
-	Within time.Duration      // clients' timeout; 0 means none
-	Blind  bool               // count the slot time of requests that time out too
+	Slowdown        map[string]float64 // factor on service time, by service; default 1
+	WorkingFraction map[string]float64 // fraction of slots that work, by service; default 1
+	Timeout         time.Duration      // clients' timeout; 0 means none
+	CountTimedOut   bool               // count the slot time of requests that time out too
 }
 
 func factorOrOne(m map[string]float64, service string) float64 {
@@ -34,29 +34,29 @@
 	return 1
 }
 
-// Hold is the mean slot time in seconds of one request, by service.
-type Hold map[string]float64
+// SlotTime is the mean slot time in seconds of one request, by service.
+type SlotTime map[string]float64
 
 const (
 	capacitySamples = 16000
 	capacitySeed    = 1
 )
 
-// HoldOf estimates by sampling the slot time per completed request of a class without
+// EstimateSlotTime estimates by sampling the slot time per completed request of a class without
 // queueing, which is the minimum. Requests that exceed cond.Within are left out or, if
 // cond.Blind is set, add the slot time until they time out. The second result is the
 // fraction of requests that end in time.
-func (d *Deployment) HoldOf(c *Class, cond Condition) (Hold, float64) {
+func (d *Deployment) EstimateSlotTime(c *Class, cond Condition) (SlotTime, float64) {
 	rng := rand.New(rand.NewPCG(capacitySeed, uint64(c.Importance)))
-	hold, ended := Hold{}, 0
+	hold, ended := SlotTime{}, 0
 	for range capacitySamples {
-		one := Hold{}
+		one := SlotTime{}
 		took := d.sampleCall(rng, &c.Root, cond, one)
 		part := 1.0
-		if cond.Within > 0 && took > cond.Within {
+		if cond.Timeout > 0 && took > cond.Timeout {
 			part = 0
-			if cond.Blind {
-				part = cond.Within.Seconds() / took.Seconds() // until it times out
+			if cond.CountTimedOut {
+				part = cond.Timeout.Seconds() / took.Seconds() // until it times out
 			}
 		} else {
 			ended++
@@ -73,8 +73,8 @@
 
 // sampleCall simulates one call on idle targets. It adds the slot time to hold and
 // returns the duration of the call.
-func (d *Deployment) sampleCall(rng *rand.Rand, c *Call, cond Condition, hold Hold) time.Duration {
-	took := time.Duration(float64(Draw(rng, c.Work)) * factorOrOne(cond.Slow, c.Service))
+func (d *Deployment) sampleCall(rng *rand.Rand, c *Call, cond Condition, hold SlotTime) time.Duration {
+	took := time.Duration(float64(Draw(rng, c.Work)) * factorOrOne(cond.Slowdown, c.Service))
 	for _, step := range c.Steps {
 		longest := time.Duration(0)
 		for i := range step {
@@ -92,12 +92,12 @@
 	return took
 }
 
-// Sustainable returns the highest rate of the request mix, in requests per second, at
+// SustainableRate returns the highest rate of the request mix, in requests per second, at
 // which no service needs more slots than it has.
-func (d *Deployment) Sustainable() float64 {
-	need := Hold{}
+func (d *Deployment) SustainableRate() float64 {
+	need := SlotTime{}
 	for i := range d.Classes {
-		hold, _ := d.HoldOf(&d.Classes[i], Condition{})
+		hold, _ := d.EstimateSlotTime(&d.Classes[i], Condition{})
 		for s, h := range hold {
 			need[s] += d.Classes[i].Share * h
 		}
@@ -115,15 +115,15 @@
 	return rate
 }
 
-// Best returns the highest possible goodput by class, in requests per second, for a
+// BestGoodput returns the highest possible goodput by class, in requests per second, for a
 // demand by class. It assumes a policy that serves classes in order of importance and,
 // unless cond.Blind is set, knows in advance which requests end in time. Within one
 // importance, tenants have equal shares and lend what they don't need; the classes of
 // one tenant share in proportion to demand.
-func (d *Deployment) Best(demand map[string]float64, cond Condition) map[string]float64 {
+func (d *Deployment) BestGoodput(demand map[string]float64, cond Condition) map[string]float64 {
 	left := map[string]float64{}
 	for _, s := range d.Services {
-		left[s.Name] = float64(s.Targets*s.Slots) * factorOrOne(cond.Part, s.Name)
+		left[s.Name] = float64(s.Targets*s.Slots) * factorOrOne(cond.WorkingFraction, s.Name)
 	}
 	best := map[string]float64{}
 	for _, group := range d.byImportance() {
@@ -139,9 +139,9 @@
 // allocate gives classes their demand, or as much of it as fits in the given share of
 // the remaining slots, and subtracts it from left.
 func (d *Deployment) allocate(classes []*Class, demand map[string]float64, cond Condition, share float64, left, best map[string]float64) {
-	need := Hold{}
+	need := SlotTime{}
 	for _, c := range classes {
-		hold, inTime := d.HoldOf(c, cond)
+		hold, inTime := d.EstimateSlotTime(c, cond)
 		best[c.Name] = demand[c.Name] * inTime
 		for s, h := range hold {
 			need[s] += h * best[c.Name]
--- a/bench/replay/workload/deployment.go
+++ b/bench/replay/workload/deployment.go
@@ -7,16 +7,16 @@
 
 // Deployment is a set of services and the mix of requests that they serve.
 type Deployment struct {
-	Name        string
-	Zones       int           // availability zones
-	ZoneDelay   time.Duration // one-way delay between two zones
-	LocalDelay  time.Duration // one-way delay within a zone
-	ClientDelay time.Duration // one-way delay between a client and its entry node
-	Services    []Service
-	Classes     []Class
-	Deep        string        // the downstream service that slows down or fails in the scenarios
-	Patience    time.Duration // a client does not retry later than this after its first attempt
-	Timeout     time.Duration // of a client, per attempt
+	Name              string
+	Zones             int           // availability zones
+	ZoneDelay         time.Duration // one-way delay between two zones
+	LocalDelay        time.Duration // one-way delay within a zone
+	ClientDelay       time.Duration // one-way delay between a client and its entry node
+	Services          []Service
+	Classes           []Class
+	DownstreamService string        // the downstream service that slows down or fails in the scenarios
+	Patience          time.Duration // a client does not retry later than this after its first attempt
+	Timeout           time.Duration // of a client, per attempt
 }
 
 // Service is a set of targets of the same size, spread evenly over the zones.
@@ -95,7 +95,7 @@
 	lookup := call("archive", ms(35), parallel(withProbability(0.25, call("media", ms(15)))))
 	return &Deployment{
 		Name: tenant, Zones: 4, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(1),
-		Deep: "archive", Patience: 4 * time.Second, Timeout: 2 * time.Second,
+		DownstreamService: "archive", Patience: 4 * time.Second, Timeout: 2 * time.Second,
 		Services: []Service{
 			{Name: "archive", Targets: 6, Slots: 130, Connections: 850},
 			{Name: "notices", Targets: 4, Slots: 190, Connections: 1250},
@@ -122,7 +122,7 @@
 	evidence := call("evidencebox", ms(40))
 	return &Deployment{
 		Name: tenant, Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(8),
-		Deep: "policydesk", Patience: 8 * time.Second, Timeout: 4 * time.Second,
+		DownstreamService: "policydesk", Patience: 8 * time.Second, Timeout: 4 * time.Second,
 		Services: []Service{
 			{Name: "policydesk", Targets: 5, Slots: 170, Connections: 1150},
 			{Name: "settleworks", Targets: 4, Slots: 200, Connections: 1400},
@@ -147,7 +147,7 @@
 	desk := func(c Call) Call { return call("desk", ms(10), parallel(repeated(1, c))) }
 	return &Deployment{
 		Name: "shared", Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(4),
-		Deep: "store", Patience: 3 * time.Second, Timeout: time.Second,
+		DownstreamService: "store", Patience: 3 * time.Second, Timeout: time.Second,
 		Services: []Service{{Name: "store", Targets: 3, Slots: 120, Connections: 800}, {Name: "desk", Targets: 3, Slots: 100, Connections: 700}},
 		Classes: []Class{
 			{"khaosan-read", "khaosan", 40, 0.5, false, desk(call("store", ms(40)))},
@@ -166,7 +166,7 @@
 	const tenant, slotsPerHop = "ladder", 20
 	d := &Deployment{
 		Name: tenant, Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(4),
-		Deep: "s8", Patience: 4 * time.Second, Timeout: 2 * time.Second,
+		DownstreamService: "s8", Patience: 4 * time.Second, Timeout: 2 * time.Second,
 	}
 	chain := Call{}
 	for hop := ladderDepth; hop >= 1; hop-- {
@@ -205,7 +205,7 @@
 	uneven := []float64{0.5, 1, 1, 1.5}
 	return &Deployment{
 		Name: tenant, Zones: 4, ZoneDelay: ms(0.9), LocalDelay: ms(0.2), ClientDelay: ms(3),
-		Deep: "track", Patience: 6 * time.Second, Timeout: 1500 * time.Millisecond,
+		DownstreamService: "track", Patience: 6 * time.Second, Timeout: 1500 * time.Millisecond,
 		Services: []Service{
 			{Name: "desk", Targets: 32, Slots: 96, Connections: 676, Speeds: []float64{0.6, 1, 1.4}},
 			{Name: "settle", Targets: 23, Slots: 109, Connections: 754, Speeds: uneven},
--- a/bench/replay/workload/trace.go
+++ b/bench/replay/workload/trace.go
@@ -14,16 +14,16 @@
 
 // Header is the first line of a trace.
 type Header struct {
-	Format     string        `json:"format"`
-	Deployment string        `json:"deployment"`
-	Scenario   string        `json:"scenario"`
-	Seed       uint64        `json:"seed"`
-	Scale      int           `json:"scale"`           // divisor of the deployment's slots and connections
-	Hard       float64       `json:"hard"`            // fraction of clients that ignore Retry-After
-	Hasty      float64       `json:"hasty,omitempty"` // divisor of the clients' timeout per attempt; 0 counts as 1
-	From       time.Duration `json:"from"`            // start of the trigger phase
-	To         time.Duration `json:"to"`              // end of the trigger phase
-	Lasts      time.Duration `json:"lasts"`
+	Format             string        `json:"format"`
+	Deployment         string        `json:"deployment"`
+	Scenario           string        `json:"scenario"`
+	Seed               uint64        `json:"seed"`
+	Scale              int           `json:"scale"`           // divisor of the deployment's slots and connections
+	AggressiveFraction float64       `json:"hard"`            // fraction of clients that ignore Retry-After
+	TimeoutDivisor     float64       `json:"hasty,omitempty"` // divisor of the clients' timeout per attempt; 0 counts as 1
+	From               time.Duration `json:"from"`            // start of the trigger phase
+	To                 time.Duration `json:"to"`              // end of the trigger phase
+	Duration           time.Duration `json:"lasts"`
 }
 
 // Event is one line of a trace: a client's request, or a fault.
@@ -93,7 +93,7 @@
 		if err != nil {
 			return nil, status.Wrap(status.CodeMalformed, err, "cannot read trace event %d", len(t.Events))
 		}
-		if e.T < last || e.T > t.Header.Lasts || !d.validEvent(&e, targets) {
+		if e.T < last || e.T > t.Header.Duration || !d.validEvent(&e, targets) {
 			return nil, status.New(status.CodeMalformed, "trace event %d at %v is out of order or refers to something that deployment %s doesn't have", len(t.Events), e.T, d.Name)
 		}
 		last = e.T
@@ -105,7 +105,7 @@
 const maxTraceDuration = time.Hour
 
 func (h *Header) valid() bool {
-	return 0 < h.From && h.From < h.To && h.To <= h.Lasts && h.Lasts <= maxTraceDuration
+	return 0 < h.From && h.From < h.To && h.To <= h.Duration && h.Duration <= maxTraceDuration
 }
 
 // targetCounts returns the number of targets by service.
--- a/bench/replay/workload/workload_test.go
+++ b/bench/replay/workload/workload_test.go
@@ -12,7 +12,7 @@
 	"peardrift/internal/status"
 )
 
-var shortLengths = Lengths{time.Second, time.Second, time.Second}
+var shortLengths = PhaseDurations{time.Second, time.Second, time.Second}
 
 func TestTraceRoundTrip(t *testing.T) {
 	is := is.New(t)
@@ -63,22 +63,22 @@
 			t.Errorf("got %v, want about %v", got, want)
 		}
 	}
-	best := d.Best(map[string]float64{"low": 200, "high": 40, "other": 20}, Condition{})
+	best := d.BestGoodput(map[string]float64{"low": 200, "high": 40, "other": 20}, Condition{})
 	near(best["high"], 40)  // first
 	near(best["other"], 20) // less than its half of the remaining 60
 	near(best["low"], 40)   // the rest
-	best = d.Best(map[string]float64{"high": 200}, Condition{Slow: map[string]float64{"s": 2}, Part: map[string]float64{"s": 0.5}})
+	best = d.BestGoodput(map[string]float64{"high": 200}, Condition{Slowdown: map[string]float64{"s": 2}, WorkingFraction: map[string]float64{"s": 0.5}})
 	near(best["high"], 25)
-	best = d.Best(map[string]float64{"high": 10}, Condition{Within: 50 * time.Millisecond})
+	best = d.BestGoodput(map[string]float64{"high": 10}, Condition{Timeout: 50 * time.Millisecond})
 	is.True(best["high"] < 2) // few complete within the timeout
 
 	// The timeout equals the mean service time. Without foresight, requests that time out
 	// hold a slot until then.
-	late := Condition{Within: 100 * time.Millisecond}
-	best = d.Best(map[string]float64{"high": 1000}, late)
-	late.Blind = true
-	blind := d.Best(map[string]float64{"high": 1000}, late)
-	hold, inTime := d.HoldOf(&d.Classes[1], late)
+	late := Condition{Timeout: 100 * time.Millisecond}
+	best = d.BestGoodput(map[string]float64{"high": 1000}, late)
+	late.CountTimedOut = true
+	blind := d.BestGoodput(map[string]float64{"high": 1000}, late)
+	hold, inTime := d.EstimateSlotTime(&d.Classes[1], late)
 	near(blind["high"], 10/hold["s"])
 	near(hold["s"]*inTime, 0.0805) // the mean of a service time truncated at its own mean
 	is.True(blind["high"] < best["high"])
@@ -89,7 +89,7 @@
 	for _, d := range Deployments() {
 		for _, name := range ScenarioNames {
 			s := ScenarioFor(name, d, shortLengths)
-			is.True(s != nil && s.About != "")
+			is.True(s != nil && s.Description != "")
 		}
 		is.True(ScenarioFor("nothing", d, shortLengths) == nil)
 	}
--- a/bench/scale/baseline.go
+++ b/bench/scale/baseline.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Heartbeats is a simple failure detector, for comparison: each member sends heartbeats to
+// HeartbeatDetector is a simple failure detector, for comparison: each member sends heartbeats to
 // its observers, and an observer without a heartbeat for Timeout declares the member dead
 // on its own.
-type Heartbeats struct {
+type HeartbeatDetector struct {
 	Members   int
 	Observers int
 	Period    time.Duration
@@ -19,7 +19,7 @@
 // FalseDeaths runs the baseline for d with the given share of its members frozen at any
 // time, for freeze each, and returns how often a live member was declared dead. An
 // observer that resumes first reads the heartbeats that have arrived.
-func (h Heartbeats) FalseDeaths(d time.Duration, share float64, freeze time.Duration, seed uint64) int {
+func (h HeartbeatDetector) FalseDeaths(d time.Duration, share float64, freeze time.Duration, seed uint64) int {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	const tick = 200 * time.Millisecond
 	heard := make([][]time.Duration, h.Members) // time of the last heartbeat by member and observer
@@ -49,7 +49,7 @@
 }
 
 // sendHeartbeats sends a member's heartbeats if they are due.
-func (h Heartbeats) sendHeartbeats(rng *rand.Rand, heard, frozen, next []time.Duration, i int, now time.Duration) {
+func (h HeartbeatDetector) sendHeartbeats(rng *rand.Rand, heard, frozen, next []time.Duration, i int, now time.Duration) {
 	if frozen[i] > now || next[i] > now {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // declaredDead reports whether a running observer considers the member dead.
-func (h Heartbeats) declaredDead(heard, frozen []time.Duration, i int, now time.Duration) bool {
+func (h HeartbeatDetector) declaredDead(heard, frozen []time.Duration, i int, now time.Duration) bool {
 	for k, at := range heard {
 		observer := (i + (k+1)*(k+1)) % h.Members
 		if frozen[observer] <= now && now-at > h.Timeout {
--- a/bench/scale/config.go
+++ b/bench/scale/config.go
@@ -101,8 +101,8 @@
 }
 
 func (f *Fleet) addConfig(n *Node) {
-	self := configsync.Peer{ID: n.Rec.ID, Region: n.Rec.Region, Addr: n.Rec.ControlAddr}
-	rng := rand.New(rand.NewPCG(uint64(n.Rec.ID), 3))
+	self := configsync.Peer{ID: n.Record.ID, Region: n.Record.Region, Addr: n.Record.ControlAddr}
+	rng := rand.New(rand.NewPCG(uint64(n.Record.ID), 3))
 	n.config = &nodeConfig{
 		state:       configsync.New(configsync.DefaultConfig(), self, rng, f.Now),
 		pendingAsks: make(map[uint64]envelope),
@@ -129,7 +129,7 @@
 	c := n.config
 	if c.peersView != f.shared.view && n.State.Complete() {
 		c.peersView = f.shared.view
-		c.state.SetPeers(f.shared.all, f.shared.near[n.Rec.Region], true)
+		c.state.SetPeers(f.shared.all, f.shared.near[n.Record.Region], true)
 	}
 	for _, done := range c.pendingReads {
 		f.applyConfigActions(n, done())
@@ -283,12 +283,12 @@
 	return len(b), nil
 }
 
-// Busy holds the cost and delay of a period with many configuration changes.
-type Busy struct {
-	Changes int
-	Longest time.Duration // longest time until a change was in force on all nodes; negative if over the limit
-	Cost    Cost
-	Worst   Cost // the ten seconds with the highest cost
+// ChangeCost holds the cost and delay of a period with many configuration changes.
+type ChangeCost struct {
+	Changes  int
+	MaxDelay time.Duration // longest time until a change was in force on all nodes; negative if over the limit
+	Cost     Cost
+	Peak     Cost // the ten seconds with the highest cost
 }
 
 // pendingChange is a change that is not in force on all nodes yet.
@@ -297,10 +297,10 @@
 	acceptedAt time.Duration
 }
 
-// BusyTime accepts a change per interval every for d, of the tenants in turn, and runs
+// MeasureChanges accepts a change per interval every for d, of the tenants in turn, and runs
 // until all changes are in force on all live nodes, for at most limit more.
-func (f *Fleet) BusyTime(d, every, limit time.Duration) (Busy, error) {
-	var b Busy
+func (f *Fleet) MeasureChanges(d, every, limit time.Duration) (ChangeCost, error) {
+	var b ChangeCost
 	var open []pendingChange
 	var err error
 	next := f.Now
@@ -312,20 +312,20 @@
 			b.Changes++
 		}
 		open = f.removeApplied(open, &b)
-	}, &b.Worst)
+	}, &b.Peak)
 	f.RunUntil(limit, 5*Step, func() bool {
 		open = f.removeApplied(open, &b)
 		return len(open) == 0
 	})
 	if len(open) > 0 {
-		b.Longest = -1
+		b.MaxDelay = -1
 	}
 	return b, err
 }
 
 // removeApplied removes the changes that are in force on all live nodes and records their
 // delay.
-func (f *Fleet) removeApplied(open []pendingChange, b *Busy) []pendingChange {
+func (f *Fleet) removeApplied(open []pendingChange, b *ChangeCost) []pendingChange {
 	lowest := make(map[request.Tenant]int64)
 	for _, s := range f.platform.sets {
 		low := s.Version
@@ -339,7 +339,7 @@
 	return slices.DeleteFunc(open, func(a pendingChange) bool {
 		done := a.head.Version <= lowest[a.head.Tenant]
 		if done {
-			b.Longest = max(b.Longest, f.Now-a.acceptedAt)
+			b.MaxDelay = max(b.MaxDelay, f.Now-a.acceptedAt)
 		}
 		return done
 	})
--- a/bench/scale/config_test.go
+++ b/bench/scale/config_test.go
@@ -12,12 +12,12 @@
 // Like TestRunIsDeterministic, with configuration.
 func TestConfigRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	run := func() Busy {
+	run := func() ChangeCost {
 		f := New(member.DefaultConfig(), 40, 7)
 		is.NoErr(f.Configure(3, time.Minute))
-		b, err := f.BusyTime(10*time.Second, 432*time.Millisecond, time.Minute)
+		b, err := f.MeasureChanges(10*time.Second, 432*time.Millisecond, time.Minute)
 		is.NoErr(err)
-		b.Cost.CPU, b.Worst.CPU = 0, 0
+		b.Cost.CPU, b.Peak.CPU = 0, 0
 		return b
 	}
 	is.Equal(run(), run())
--- a/bench/scale/drain_test.go
+++ b/bench/scale/drain_test.go
@@ -51,7 +51,7 @@
 // takes no new work.
 func knowsNotAlive(of *Node) func(*Node) bool {
 	return func(n *Node) bool {
-		m, ok := n.State.Lookup(of.Rec.ID)
+		m, ok := n.State.Lookup(of.Record.ID)
 		return ok && m.Status != member.Alive
 	}
 }
--- a/bench/scale/fleet.go
+++ b/bench/scale/fleet.go
@@ -35,8 +35,8 @@
 	Nodes []*Node
 	Now   time.Duration
 	Loss  float64 // probability that a request or a reply is lost
-	// Cut, if set, reports whether two nodes can't reach each other.
-	Cut func(from, to *Node) bool
+	// Partitioned, if set, reports whether two nodes can't reach each other.
+	Partitioned func(from, to *Node) bool
 
 	byAddr       map[string]*Node
 	outbox       [shards][shards][]envelope
@@ -52,7 +52,7 @@
 // Node is a member with its connections.
 type Node struct {
 	State  *member.State
-	Rec    member.Record
+	Record member.Record
 	Down   bool
 	Frozen time.Duration // the node does nothing until then
 	Bytes  int64         // sent and received, including headers
@@ -144,7 +144,7 @@
 // Add starts a node that knows no other members.
 func (f *Fleet) Add(r member.Record) *Node {
 	n := &Node{
-		Rec: r, index: len(f.Nodes), conns: make(map[string]bool),
+		Record: r, index: len(f.Nodes), conns: make(map[string]bool),
 		rng: rand.New(rand.NewPCG(uint64(r.ID), uint64(r.Incarnation))),
 	}
 	n.State = member.New(f.Cfg, r, n.rng)
@@ -275,7 +275,7 @@
 }
 
 func (f *Fleet) send(n *Node, e envelope) {
-	if e.to == nil || e.to.Down || f.Loss > 0 && n.rng.Float64() < f.Loss || f.Cut != nil && f.Cut(n, e.to) {
+	if e.to == nil || e.to.Down || f.Loss > 0 && n.rng.Float64() < f.Loss || f.Partitioned != nil && f.Partitioned(n, e.to) {
 		return
 	}
 	shard := n.index % shards
--- a/bench/scale/fleet_test.go
+++ b/bench/scale/fleet_test.go
@@ -19,9 +19,9 @@
 		f.Loss = 0.1
 		c := f.Costs(10 * time.Second)
 		c.CPU = 0
-		n := f.Live()
+		n := f.RandomLive()
 		n.Down = true
-		return c, f.Until(time.Minute, Knows(n.Rec.ID, member.Unreachable))
+		return c, f.Until(time.Minute, Knows(n.Record.ID, member.Unreachable))
 	}
 	cost, spread := run()
 	is.True(cost.BytesMean > 0)
@@ -39,7 +39,7 @@
 	is := is.New(t)
 	f := New(member.DefaultConfig(), 90, 3)
 	rest := f.Costs(10 * time.Second)
-	h := f.CutRegion("region-1", 2*time.Minute, 10, time.Minute)
+	h := f.PartitionRegion("region-1", 2*time.Minute, 10, time.Minute)
 	is.Equal(h.Deaths, uint64(0))
 	is.True(h.Agreed.All >= 0)
 	is.True(h.Minute.BytesMean < 1.5*rest.BytesMean)
@@ -52,7 +52,7 @@
 	const d, share, each = time.Minute, 0.02, 5 * time.Second
 	f := New(member.DefaultConfig(), 90, 3)
 	is.Equal(f.Freeze(d, share, each), 0)
-	plain := Heartbeats{Members: 90, Observers: 4, Period: 2 * time.Second, Timeout: 6 * time.Second}
+	plain := HeartbeatDetector{Members: 90, Observers: 4, Period: 2 * time.Second, Timeout: 6 * time.Second}
 	is.True(plain.FalseDeaths(d, share, each, 3) > 0)
 }
 
@@ -66,10 +66,10 @@
 		f := New(member.DefaultConfig(), 90, 5)
 		is.NoErr(f.Configure(tenants, 10*time.Minute))
 		f.KillZone(lost)
-		b, err := f.BusyTime(time.Minute, every, time.Minute)
+		b, err := f.MeasureChanges(time.Minute, every, time.Minute)
 		is.NoErr(err)
-		is.True(b.Longest > 0)
-		is.True(b.Longest <= inForce)
+		is.True(b.MaxDelay > 0)
+		is.True(b.MaxDelay <= inForce)
 		is.True(b.Cost.BytesMean <= limit)
 	}
 }
@@ -88,10 +88,10 @@
 	back := f.ReadsOnReturn("zone-4", limit)
 	for _, r := range []Reads{outage, back} {
 		is.True(r.Ready > 0)
-		is.True(r.Rest > 0)
-		is.True(r.Most <= cfg.PollReads)
+		is.True(r.IdleRate > 0)
+		is.True(r.MaxPerSecond <= cfg.PollReads)
 	}
 	all := f.ReadsOnStart(limit)
 	is.True(all.Ready > 0)
-	is.True(all.Most <= cfg.PlatformStartRate*(tenants+1))
+	is.True(all.MaxPerSecond <= cfg.PlatformStartRate*(tenants+1))
 }
--- a/bench/scale/measure.go
+++ b/bench/scale/measure.go
@@ -139,8 +139,8 @@
 
 func idOf(name string) request.TargetID { return request.TargetIDOf(name) }
 
-// Live returns a random live node.
-func (f *Fleet) Live() *Node {
+// RandomLive returns a random live node.
+func (f *Fleet) RandomLive() *Node {
 	for {
 		if n := f.Nodes[f.rng.IntN(len(f.Nodes))]; !n.Down {
 			return n
@@ -152,7 +152,7 @@
 func (f *Fleet) KillZone(zone string) []*Node {
 	var out []*Node
 	for _, n := range f.Nodes {
-		if n.Rec.Zone == zone && !n.Down {
+		if n.Record.Zone == zone && !n.Down {
 			n.Down = true
 			out = append(out, n)
 		}
--- a/bench/scale/reads.go
+++ b/bench/scale/reads.go
@@ -6,10 +6,10 @@
 // Rows with seed nodes for joining are not counted, since internal/node reads them and
 // not a state machine.
 type Reads struct {
-	Rest  float64       // per second, in the minute before
-	Most  int           // in the second with the most reads
-	Sum   int           // total until the limit
-	Ready time.Duration // until all nodes have the configuration in force; negative if over the limit
+	IdleRate     float64       // per second, in the minute before
+	MaxPerSecond int           // in the second with the most reads
+	Total        int           // total until the limit
+	Ready        time.Duration // until all nodes have the configuration in force; negative if over the limit
 }
 
 // countReads runs the fleet for d and counts the reads per second.
@@ -19,12 +19,12 @@
 	for end := f.Now + d; f.Now < end; {
 		last := f.totalReads()
 		f.Run(time.Second)
-		r.Most = max(r.Most, f.totalReads()-last)
+		r.MaxPerSecond = max(r.MaxPerSecond, f.totalReads()-last)
 		if live, known := f.countKnowing(f.configInForce); r.Ready < 0 && known == live {
 			r.Ready = f.Now - start
 		}
 	}
-	r.Sum = f.totalReads() - before
+	r.Total = f.totalReads() - before
 }
 
 // configInForce reports whether a node has all accepted sets in force.
@@ -53,11 +53,11 @@
 // ReadsOnReturn kills a zone, restarts all its nodes at once after a minute, and counts
 // reads from there on.
 func (f *Fleet) ReadsOnReturn(zone string, limit time.Duration) Reads {
-	r := Reads{Rest: f.idleReadRate()}
+	r := Reads{IdleRate: f.idleReadRate()}
 	lost := f.KillZone(zone)
 	f.Run(time.Minute)
 	for _, n := range lost {
-		rec := n.Rec
+		rec := n.Record
 		rec.Incarnation += 1000
 		f.addConfig(f.startMember(rec))
 	}
@@ -68,7 +68,7 @@
 // ReadsAfterOutage makes platform reads fail for the given time, then accepts a change of
 // each tenant and counts reads from there on.
 func (f *Fleet) ReadsAfterOutage(outage, limit time.Duration) (Reads, error) {
-	r := Reads{Rest: f.idleReadRate()}
+	r := Reads{IdleRate: f.idleReadRate()}
 	f.platform.down = true
 	f.Run(outage)
 	f.platform.down = false
@@ -84,7 +84,7 @@
 // ReadsOnStart resets the configuration of all nodes at once, as at a start of the whole
 // fleet, and counts reads from there on.
 func (f *Fleet) ReadsOnStart(limit time.Duration) Reads {
-	r := Reads{Rest: f.idleReadRate()}
+	r := Reads{IdleRate: f.idleReadRate()}
 	for _, n := range f.Nodes {
 		calls := n.config.platformCalls
 		f.addConfig(n)
--- a/bench/scale/scenario.go
+++ b/bench/scale/scenario.go
@@ -8,13 +8,13 @@
 	"peardrift/internal/core/member"
 )
 
-// Warm is the time that a new fleet runs before measurements.
-const Warm = 10 * time.Second
+// WarmUp is the time that a new fleet runs before measurements.
+const WarmUp = 10 * time.Second
 
 // New returns a fleet that has run for Warm.
 func New(cfg member.Config, members int, seed uint64) *Fleet {
 	f := NewFleet(cfg, TargetLayout(members), seed)
-	f.Run(Warm)
+	f.Run(WarmUp)
 	return f
 }
 
@@ -44,7 +44,7 @@
 	c := f.measureCosts(d, func() {
 		for ; next <= f.Now; next += every {
 			n++
-			f.Live().State.PutFact(f.Now, member.Fact{
+			f.RandomLive().State.PutFact(f.Now, member.Fact{
 				Kind: member.ConfigHead, Key: uint64(n % tenants), Version: uint64(n), Value: make([]byte, 40),
 			})
 			if followed == 0 && f.Now-start >= d/2 {
@@ -60,7 +60,7 @@
 
 // replaceMember makes one member leave and another one join in its place.
 func (f *Fleet) replaceMember(i int) {
-	old := f.Live()
+	old := f.RandomLive()
 	old.State.Depart(f.Now)
 	f.Run(2 * time.Second)
 	old.Down = true
@@ -75,7 +75,7 @@
 	n := f.Add(r)
 	var seeds []member.Peer
 	for range 3 {
-		seeds = append(seeds, member.Peer{ControlAddr: f.randomJoinedNode(n).Rec.ControlAddr})
+		seeds = append(seeds, member.Peer{ControlAddr: f.randomJoinedNode(n).Record.ControlAddr})
 	}
 	n.State.Join(seeds, nil)
 	return n
@@ -83,29 +83,29 @@
 
 func (f *Fleet) randomJoinedNode(except *Node) *Node {
 	for {
-		if n := f.Live(); n != except && n.State.Joined() {
+		if n := f.RandomLive(); n != except && n.State.Joined() {
 			return n
 		}
 	}
 }
 
-// SpreadOf holds the spread of three kinds of updates.
-type SpreadOf struct{ Leave, Head, Death Spread }
+// UpdateSpreads holds the spread of three kinds of updates.
+type UpdateSpreads struct{ Leave, Head, Death Spread }
 
 // Spreads measures how fast a leave, a configuration head and a death spread. Each figure
 // is the worst of the trials.
-func (f *Fleet) Spreads(trials int, limit time.Duration) SpreadOf {
-	var out SpreadOf
+func (f *Fleet) Spreads(trials int, limit time.Duration) UpdateSpreads {
+	var out UpdateSpreads
 	for i := range trials {
-		n := f.Live()
+		n := f.RandomLive()
 		n.State.Leave(f.Now)
-		out.Leave.mergeWorst(f.Until(limit, Knows(n.Rec.ID, member.Leaving)))
+		out.Leave.mergeWorst(f.Until(limit, Knows(n.Record.ID, member.Leaving)))
 		version := uint64(f.Now)
-		f.Live().State.PutFact(f.Now, member.Fact{Kind: member.ConfigHead, Key: 1, Version: version, Value: make([]byte, 16)})
+		f.RandomLive().State.PutFact(f.Now, member.Fact{Kind: member.ConfigHead, Key: 1, Version: version, Value: make([]byte, 16)})
 		out.Head.mergeWorst(f.Until(limit, KnowsFact(member.ConfigHead, 1, version)))
 		n = f.nextAlive(i)
 		n.Down = true
-		out.Death.mergeWorst(f.Until(limit, Knows(n.Rec.ID, member.Unreachable)))
+		out.Death.mergeWorst(f.Until(limit, Knows(n.Record.ID, member.Unreachable)))
 	}
 	return out
 }
@@ -114,7 +114,7 @@
 func (f *Fleet) nextAlive(from int) *Node {
 	for i := from; ; i++ {
 		n := f.Nodes[i%len(f.Nodes)]
-		if m, _ := n.State.Lookup(n.Rec.ID); !n.Down && m.Status == member.Alive {
+		if m, _ := n.State.Lookup(n.Record.ID); !n.Down && m.Status == member.Alive {
 			return n
 		}
 	}
@@ -132,19 +132,19 @@
 	return max(a, b)
 }
 
-// Loss holds the cost of losing a whole zone at once.
-type Loss struct {
+// ZoneLoss holds the cost of losing a whole zone at once.
+type ZoneLoss struct {
 	Dead   int
 	Minute Cost   // over the minute after the loss
-	Worst  Cost   // the ten seconds of it with the highest cost
+	Peak   Cost   // the ten seconds of it with the highest cost
 	Head   Spread // of a configuration head put 15 s after the loss
 	Known  Spread // until a node knows of all deaths
 }
 
-// LoseZone kills all nodes of a zone and measures the effects.
-func (f *Fleet) LoseZone(zone string, limit time.Duration) Loss {
+// MeasureZoneLoss kills all nodes of a zone and measures the effects.
+func (f *Fleet) MeasureZoneLoss(zone string, limit time.Duration) ZoneLoss {
 	dead := f.KillZone(zone)
-	l := Loss{Dead: len(dead), Known: Spread{-1, -1, -1}, Head: Spread{-1, -1, -1}}
+	l := ZoneLoss{Dead: len(dead), Known: Spread{-1, -1, -1}, Head: Spread{-1, -1, -1}}
 	start := f.Now
 	known := f.knowsAll(dead, member.Unreachable, member.Dead)
 	const headAt = 15 * time.Second
@@ -156,7 +156,7 @@
 			f.recordSpread(&l.Head, start+headAt, KnowsFact(member.ConfigHead, 1, 1<<62))
 		}
 		f.recordSpread(&l.Known, start, known)
-	}, &l.Worst)
+	}, &l.Peak)
 	for f.Now-start < limit && l.Known.All < 0 {
 		f.Run(10 * Step)
 		f.recordSpread(&l.Known, start, known)
@@ -172,7 +172,7 @@
 	return func(n *Node) bool {
 		i := done[n.index]
 		for i < len(nodes) {
-			m, ok := n.State.Lookup(nodes[i].Rec.ID)
+			m, ok := n.State.Lookup(nodes[i].Record.ID)
 			if !ok || !slices.Contains(want, m.Status) {
 				break
 			}
@@ -224,20 +224,20 @@
 	return n
 }
 
-// Healing holds the cost of a region partition and its healing.
-type Healing struct {
+// PartitionHealing holds the cost of a region partition and its healing.
+type PartitionHealing struct {
 	Deaths  uint64 // deaths declared during the partition
 	Changes int    // changes made during the partition, on both sides
 	Minute  Cost   // over the minute after healing
-	Worst   Cost   // the ten seconds of it with the highest cost
+	Peak    Cost   // the ten seconds of it with the highest cost
 	Agreed  Spread // until a node knows all changes of both sides
 }
 
-// CutRegion partitions one region from the others for d, makes changes on both sides,
+// PartitionRegion partitions one region from the others for d, makes changes on both sides,
 // and heals the partition.
-func (f *Fleet) CutRegion(region string, d time.Duration, changes int, limit time.Duration) Healing {
+func (f *Fleet) PartitionRegion(region string, d time.Duration, changes int, limit time.Duration) PartitionHealing {
 	before := f.Deaths()
-	f.Cut = func(a, b *Node) bool { return (a.Rec.Region == region) != (b.Rec.Region == region) }
+	f.Partitioned = func(a, b *Node) bool { return (a.Record.Region == region) != (b.Record.Region == region) }
 	var left []*Node
 	for range changes {
 		n := f.nextAlive(f.rng.IntN(len(f.Nodes)))
@@ -245,11 +245,11 @@
 		left = append(left, n)
 		f.Run(d / time.Duration(changes))
 	}
-	h := Healing{Deaths: f.Deaths() - before, Changes: len(left), Agreed: Spread{-1, -1, -1}}
-	f.Cut = nil
+	h := PartitionHealing{Deaths: f.Deaths() - before, Changes: len(left), Agreed: Spread{-1, -1, -1}}
+	f.Partitioned = nil
 	start := f.Now
 	knows := f.knowsAll(left, member.Leaving)
-	h.Minute = f.measureCosts(time.Minute, func() { f.recordSpread(&h.Agreed, start, knows) }, &h.Worst)
+	h.Minute = f.measureCosts(time.Minute, func() { f.recordSpread(&h.Agreed, start, knows) }, &h.Peak)
 	for f.Now-start < limit && h.Agreed.All < 0 {
 		f.Run(10 * Step)
 		f.recordSpread(&h.Agreed, start, knows)
@@ -257,62 +257,62 @@
 	return h
 }
 
-// Return holds the cost of the return of a lost zone to the members that stayed.
-type Return struct {
-	In     Spread // until the returning members have joined
+// ZoneReturn holds the cost of the return of a lost zone to the members that stayed.
+type ZoneReturn struct {
+	Joined Spread // until the returning members have joined
 	Known  Spread // until a node that stayed has all of them as alive
 	Minute Cost
-	Worst  Cost
+	Peak   Cost
 }
 
-// ReturnZone restarts the nodes that LoseZone killed, all at once, with their old records
+// MeasureZoneReturn restarts the nodes that LoseZone killed, all at once, with their old records
 // and a new incarnation.
-func (f *Fleet) ReturnZone(limit time.Duration) Return {
+func (f *Fleet) MeasureZoneReturn(limit time.Duration) ZoneReturn {
 	var back []*Node
 	for _, n := range f.Nodes[:len(f.Nodes):len(f.Nodes)] {
-		if n.Down && f.byAddr[n.Rec.ControlAddr] == n {
-			r := n.Rec
+		if n.Down && f.byAddr[n.Record.ControlAddr] == n {
+			r := n.Record
 			r.Incarnation += 1000
 			back = append(back, f.startMember(r))
 		}
 	}
-	ret := Return{In: Spread{-1, -1, -1}, Known: Spread{-1, -1, -1}}
+	ret := ZoneReturn{Joined: Spread{-1, -1, -1}, Known: Spread{-1, -1, -1}}
 	start := f.Now
 	all := f.knowsAll(back, member.Alive)
 	first := back[0].index
 	knows := func(n *Node) bool { return n.index >= first || all(n) }
 	in := func(n *Node) bool { return n.State.Joined() }
 	ret.Minute = f.measureCosts(time.Minute, func() {
-		f.recordSpread(&ret.In, start, in)
+		f.recordSpread(&ret.Joined, start, in)
 		f.recordSpread(&ret.Known, start, knows)
-	}, &ret.Worst)
+	}, &ret.Peak)
 	for f.Now-start < limit && ret.Known.All < 0 {
 		f.Run(10 * Step)
-		f.recordSpread(&ret.In, start, in)
+		f.recordSpread(&ret.Joined, start, in)
 		f.recordSpread(&ret.Known, start, knows)
 	}
 	return ret
 }
 
-// Joining holds the delays of the join of one member.
-type Joining struct {
-	In       time.Duration // until a peer has accepted it
+// JoinDelays holds the delays of the join of one member.
+type JoinDelays struct {
+	Joined   time.Duration // until a peer has accepted it
 	Complete time.Duration // until it has the complete state
 	Known    Spread        // until the other members have its record
 	Bytes    int64         // sent and received until complete
 }
 
 // JoinOne starts one new member.
-func (f *Fleet) JoinOne(limit time.Duration) Joining {
+func (f *Fleet) JoinOne(limit time.Duration) JoinDelays {
 	r := f.Record(len(f.Nodes))
 	r.Name = fmt.Sprintf("new-%05d", len(f.Nodes))
 	n := f.startMember(r)
 	start := f.Now
-	j := Joining{In: -1, Complete: -1, Known: Spread{-1, -1, -1}}
+	j := JoinDelays{Joined: -1, Complete: -1, Known: Spread{-1, -1, -1}}
 	for f.Now-start < limit && (j.Complete < 0 || j.Known.All < 0) {
 		f.Run(5 * Step)
-		if j.In < 0 && n.State.Joined() {
-			j.In = f.Now - start
+		if j.Joined < 0 && n.State.Joined() {
+			j.Joined = f.Now - start
 		}
 		if j.Complete < 0 && n.State.Complete() {
 			j.Complete, j.Bytes = f.Now-start, n.Bytes
@@ -324,7 +324,7 @@
 
 func knowsRecord(of *Node) func(*Node) bool {
 	return func(n *Node) bool {
-		m, ok := n.State.Lookup(of.Rec.ID)
+		m, ok := n.State.Lookup(of.Record.ID)
 		return ok && m.Status == member.Alive && m.Record != nil
 	}
 }
--- a/bench/standin/client/attempt.go
+++ b/bench/standin/client/attempt.go
@@ -25,8 +25,8 @@
 
 // attempt sends a request once and classifies the answer.
 func (r *runner) attempt(ctx context.Context, c Class, mark, key string, n int) (a Attempt) {
-	a = Attempt{Class: c.Name, Mark: mark, N: n, At: time.Now(), Result: Unknown}
-	defer func() { a.Took = time.Since(a.At) }()
+	a = Attempt{Class: c.Name, RequestMark: mark, N: n, At: time.Now(), Result: Unknown}
+	defer func() { a.Latency = time.Since(a.At) }()
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	req, err := r.newRequest(ctx, c, mark, key)
@@ -56,7 +56,7 @@
 		a.retryAfter = time.Duration(s) * time.Second
 	}
 	a.Result = reportedResult(resp)
-	if a.Result == Completed && c.Dated && a.Code == string(status.CodeAnswerNotKept) {
+	if a.Result == Completed && c.KeyUUIDv7 && a.Code == string(status.CodeAnswerNotKept) {
 		return a // an earlier attempt completed; shared rows don't keep its answer
 	}
 	if a.Result == Completed {
@@ -84,7 +84,7 @@
 
 // idempotencyKey returns the key that all attempts at a request share.
 func idempotencyKey(c Class, mark string) string {
-	if c.Dated {
+	if c.KeyUUIDv7 {
 		return uuid.Must(uuid.NewV7()).String()
 	}
 	return "key-" + mark
--- a/bench/standin/client/client.go
+++ b/bench/standin/client/client.go
@@ -22,13 +22,13 @@
 	r := &runner{
 		cfg:      cfg,
 		rec:      newRecorder(cfg),
-		http:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxOpen, DisableCompression: true}},
-		inFlight: make(chan struct{}, cfg.MaxOpen),
+		http:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cfg.MaxInFlight, DisableCompression: true}},
+		inFlight: make(chan struct{}, cfg.MaxInFlight),
 	}
 	defer r.http.CloseIdleConnections()
 	var wg sync.WaitGroup
 	for i, c := range cfg.Classes {
-		if len(c.Phases)+len(c.Times) > 0 {
+		if len(c.Phases)+len(c.ArrivalTimes) > 0 {
 			wg.Go(func() { r.openLoop(ctx, i, c) })
 		}
 		for range c.Workers {
@@ -66,7 +66,7 @@
 				r.request(ctx, c, due)
 			})
 		default:
-			r.rec.updateClass(c.Name, func(s *Stats) { s.Overrun++ })
+			r.rec.updateClass(c.Name, func(s *Stats) { s.Unsent++ })
 		}
 	}
 }
@@ -107,7 +107,7 @@
 
 // pastPatience reports whether no attempt may start this long after the arrival.
 func (c Class) pastPatience(elapsed time.Duration) bool {
-	return c.Patience > 0 && elapsed >= c.Patience
+	return c.RetryWindow > 0 && elapsed >= c.RetryWindow
 }
 
 // sleep waits for d or until ctx is done.
--- a/bench/standin/client/client_test.go
+++ b/bench/standin/client/client_test.go
@@ -47,7 +47,7 @@
 }
 
 func answerTo(r *http.Request) target.Answer {
-	return target.Answer{Service: r.Host, Path: r.URL.Path, Mark: r.Header.Get("X-Mark"), Size: 100}
+	return target.Answer{Service: r.Host, Path: r.URL.Path, RequestMark: r.Header.Get("X-Mark"), Size: 100}
 }
 
 func TestResults(t *testing.T) {
@@ -69,7 +69,7 @@
 	}{
 		{"whole", respondWith(target.Answer.Encode), Completed},
 		{"fragment", respondWith(func(a target.Answer) []byte { return a.Encode()[:90] }), Partial},
-		{"another's", respondWith(func(a target.Answer) []byte { a.Mark = "x"; return a.Encode() }), Wrong},
+		{"another's", respondWith(func(a target.Answer) []byte { a.RequestMark = "x"; return a.Encode() }), Wrong},
 		{"another path's", respondWith(func(a target.Answer) []byte { a.Path = "/x"; return a.Encode() }), Wrong},
 		{"one byte", respondWith(func(a target.Answer) []byte { b := a.Encode(); b[len(b)-3] ^= 1; return b }), Wrong},
 		{"broken", func(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +107,7 @@
 		_, _ = w.Write(a.Encode())
 	})
 	is.Equal(len(slices.Compact(slices.Clone(keys))), 1)
-	is.Equal(keys[0], "key-"+got[0].Mark)
+	is.Equal(keys[0], "key-"+got[0].RequestMark)
 	is.Equal([]bool{got[0].Final, got[1].Final, got[2].Final}, []bool{false, false, true})
 	is.Equal(stats.ByResult[Completed], int64(1))
 	is.Equal(stats.Attempts, int64(3))
@@ -144,7 +144,7 @@
 func TestNoAttemptAfterPatience(t *testing.T) {
 	is := is.New(t)
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	got, stats := runOneRequest(t, Class{Attempts: 1000, Backoff: time.Hour, Patience: time.Minute}, refuse)
+	got, stats := runOneRequest(t, Class{Attempts: 1000, Backoff: time.Hour, RetryWindow: time.Minute}, refuse)
 	is.Equal(len(got), 1)
 	is.True(got[0].Final)
 	is.Equal(stats.ByResult[Refused], int64(1))
@@ -157,7 +157,7 @@
 	is.NoErr(ln.Close())
 	var got Attempt
 	_, err = Run(t.Context(), Config{URLs: []string{"http://" + ln.Addr().String()}, Observe: func(a Attempt) { got = a },
-		Classes: []Class{{Name: "reads", Times: []time.Duration{0}}}})
+		Classes: []Class{{Name: "reads", ArrivalTimes: []time.Duration{0}}}})
 	is.NoErr(err)
 	is.Equal(got.Code, string(status.CodeConnectFailed))
 	is.Equal(got.Result, Unknown)
@@ -166,7 +166,7 @@
 func TestTimesReplacePhases(t *testing.T) {
 	is := is.New(t)
 	times := []time.Duration{time.Second, 3 * time.Second}
-	c := Class{Times: times, Phases: []Phase{{For: time.Second, Rate: 1000}}}
+	c := Class{ArrivalTimes: times, Phases: []Phase{{Duration: time.Second, Rate: 1000}}}
 	is.Equal(slices.Collect(c.arrivals(rand.New(rand.NewPCG(1, 1)))), times)
 }
 
@@ -203,5 +203,5 @@
 		is.Equal(st.ByResult[Completed], st.Sent)
 	}
 	is.Equal(s.Counters().Finished, report["reads"].Sent+report["uploads"].Sent)
-	is.Equal(s.Counters().Twice(" /"), nil)
+	is.Equal(s.Counters().RepeatedKeys(" /"), nil)
 }
--- a/bench/standin/client/config.go
+++ b/bench/standin/client/config.go
@@ -16,9 +16,9 @@
 	Duration time.Duration
 	// Seed seeds arrivals, backoff and request marks.
 	Seed uint64
-	// MaxOpen bounds the open-loop requests in flight; arrivals above it are
+	// MaxInFlight bounds the open-loop requests in flight; arrivals above it are
 	// counted in Stats.Overrun and not sent. Default 10,000.
-	MaxOpen int
+	MaxInFlight int
 	// Observe, if set, is called after each attempt, concurrently.
 	Observe func(Attempt)
 	Classes []Class
@@ -26,19 +26,19 @@
 
 // Class is one request class and the behaviour of its callers.
 type Class struct {
-	Name   string
-	Method string // default GET
-	Host   string // the service, as "feed.khaosan"
-	Path   string
-	Body   int  // size of the request body in bytes
-	Key    bool // send an Idempotency-Key
-	Dated  bool // use a version 7 UUID as the key
+	Name      string
+	Method    string // default GET
+	Host      string // the service, as "feed.khaosan"
+	Path      string
+	Body      int  // size of the request body in bytes
+	Key       bool // send an Idempotency-Key
+	KeyUUIDv7 bool // use a version 7 UUID as the key
 
 	// Phases are the consecutive arrival phases of an open loop.
 	Phases []Phase
-	// Times are an open loop's arrivals as offsets from the start, in ascending
+	// ArrivalTimes are an open loop's arrivals as offsets from the start, in ascending
 	// order, for example of a recorded trace. They replace Phases.
-	Times []time.Duration
+	ArrivalTimes []time.Duration
 	// Workers is the number of closed-loop callers; each sends its next request
 	// when the previous one is done.
 	Workers int
@@ -57,17 +57,17 @@
 	// MaxBackoff caps the upper end of the range that a delay is drawn from;
 	// 0: no cap.
 	MaxBackoff time.Duration
-	// Patience is the time after a request's arrival from which no attempt
+	// RetryWindow is the time after a request's arrival from which no attempt
 	// starts; 0: no bound.
-	Patience time.Duration
+	RetryWindow time.Duration
 	// HonourRetryAfter waits at least as long as the Retry-After header asks.
 	HonourRetryAfter bool
 }
 
 // Phase is a period of Poisson arrivals.
 type Phase struct {
-	For  time.Duration
-	Rate float64 // mean arrivals per second
+	Duration time.Duration
+	Rate     float64 // mean arrivals per second
 }
 
 const (
@@ -78,7 +78,7 @@
 
 func (c Config) withDefaults() Config {
 	c.Duration = positiveOr(c.Duration, defaultDuration)
-	c.MaxOpen = positiveOr(c.MaxOpen, defaultMaxOpen)
+	c.MaxInFlight = positiveOr(c.MaxInFlight, defaultMaxOpen)
 	classes := make([]Class, 0, len(c.Classes))
 	for _, cl := range c.Classes {
 		cl.Timeout = positiveOr(cl.Timeout, defaultTimeout)
@@ -101,8 +101,8 @@
 
 // arrivals yields the arrivals of the class's open loop as offsets from the start.
 func (c Class) arrivals(rng *rand.Rand) iter.Seq[time.Duration] {
-	if len(c.Times) > 0 {
-		return slices.Values(c.Times)
+	if len(c.ArrivalTimes) > 0 {
+		return slices.Values(c.ArrivalTimes)
 	}
 	return arrivals(c.Phases, rng)
 }
@@ -112,7 +112,7 @@
 	return func(yield func(time.Duration) bool) {
 		var begin time.Duration
 		for _, p := range phases {
-			end := begin + p.For
+			end := begin + p.Duration
 			// A Poisson process is memoryless: each phase can start afresh.
 			for at := begin; p.Rate > 0; {
 				at += time.Duration(rng.ExpFloat64() / p.Rate * float64(time.Second))
--- a/bench/standin/client/report.go
+++ b/bench/standin/client/report.go
@@ -22,15 +22,15 @@
 
 // Attempt is one attempt at a request.
 type Attempt struct {
-	Class  string
-	Mark   string
-	N      int  // 1 for the first
-	Final  bool // last attempt at the request
-	At     time.Time
-	Took   time.Duration
-	Status int    // HTTP status; 0: no answer
-	Code   string // error code of the answer; connect-failed if no connection was made
-	Result Result
+	Class       string
+	RequestMark string
+	N           int  // 1 for the first
+	Final       bool // last attempt at the request
+	At          time.Time
+	Latency     time.Duration
+	Status      int    // HTTP status; 0: no answer
+	Code        string // error code of the answer; connect-failed if no connection was made
+	Result      Result
 	// Degraded reports that the answer of a completed request lacks those of
 	// optional calls.
 	Degraded bool
@@ -48,12 +48,12 @@
 // Stats are the counters of one class. Each request counts once, by the result of
 // its last attempt.
 type Stats struct {
-	Sent      int64
-	Overrun   int64 // arrivals not sent because of Config.MaxOpen
-	Attempts  int64
-	Degraded  int64
-	ByResult  map[Result]int64
-	FirstFail error // the first corrupt answer or broken connection
+	Sent       int64
+	Unsent     int64 // arrivals not sent because of Config.MaxOpen
+	Attempts   int64
+	Degraded   int64
+	ByResult   map[Result]int64
+	FirstError error // the first corrupt answer or broken connection
 	// Latency of completed requests in µs since their arrival, including earlier
 	// attempts and backoff.
 	Latency *hdrhistogram.Histogram
@@ -96,8 +96,8 @@
 		if a.Degraded {
 			s.Degraded++
 		}
-		if a.Err != nil && s.FirstFail == nil {
-			s.FirstFail = a.Err
+		if a.Err != nil && s.FirstError == nil {
+			s.FirstError = a.Err
 		}
 		if a.Result == Completed {
 			_ = s.Latency.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
--- a/bench/standin/httpd/conns.go
+++ b/bench/standin/httpd/conns.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Conns is a listener that tracks its open connections, so that a stand-in can
+// TrackedListener is a listener that tracks its open connections, so that a stand-in can
 // reset them or make them drop all traffic.
-type Conns struct {
+type TrackedListener struct {
 	net.Listener
 	maxOpen     int
 	connectCost time.Duration
@@ -22,12 +22,12 @@
 	resetNew atomic.Bool // reset every new connection
 }
 
-func newConns(ln net.Listener, limit int, cost time.Duration) *Conns {
-	return &Conns{Listener: ln, maxOpen: limit, connectCost: cost, open: make(map[*conn]struct{})}
+func newConns(ln net.Listener, limit int, cost time.Duration) *TrackedListener {
+	return &TrackedListener{Listener: ln, maxOpen: limit, connectCost: cost, open: make(map[*conn]struct{})}
 }
 
 // Accept implements net.Listener; connections above the limit are reset.
-func (l *Conns) Accept() (net.Conn, error) {
+func (l *TrackedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (l *Conns) add(c *conn) bool {
+func (l *TrackedListener) add(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.resetNew.Load() || l.maxOpen > 0 && len(l.open) >= l.maxOpen {
@@ -52,13 +52,13 @@
 	return true
 }
 
-func (l *Conns) remove(c *conn) {
+func (l *TrackedListener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
 }
 
-func (l *Conns) openConns() []*conn {
+func (l *TrackedListener) openConns() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]*conn, 0, len(l.open))
@@ -68,24 +68,24 @@
 	return out
 }
 
-// Open returns the number of open connections.
-func (l *Conns) Open() int { return len(l.openConns()) }
+// OpenCount returns the number of open connections.
+func (l *TrackedListener) OpenCount() int { return len(l.openConns()) }
 
 // Rejected returns the number of connections reset on accept, because of the
 // limit or during Close.
-func (l *Conns) Rejected() int64 { return l.rejected.Load() }
+func (l *TrackedListener) Rejected() int64 { return l.rejected.Load() }
 
 // Reset resets all open connections, as a process crash does.
-func (l *Conns) Reset() {
+func (l *TrackedListener) Reset() {
 	for _, c := range l.openConns() {
 		c.reset()
 	}
 }
 
-// Silence makes the currently open connections drop all traffic for good, except
+// Blackhole makes the currently open connections drop all traffic for good, except
 // the one with the remote address except: received bytes are discarded, and
 // neither answers nor FINs are sent. Later connections work.
-func (l *Conns) Silence(except string) {
+func (l *TrackedListener) Blackhole(except string) {
 	for _, c := range l.openConns() {
 		c.silent.Store(c.RemoteAddr().String() != except)
 	}
@@ -93,7 +93,7 @@
 
 // ResetPeer resets the connection with the remote address addr and reports
 // whether it was open.
-func (l *Conns) ResetPeer(addr string) bool {
+func (l *TrackedListener) ResetPeer(addr string) bool {
 	for _, c := range l.openConns() {
 		if c.RemoteAddr().String() == addr {
 			c.reset()
@@ -105,7 +105,7 @@
 
 type conn struct {
 	net.Conn
-	listener    *Conns
+	listener    *TrackedListener
 	silent      atomic.Bool
 	readStarted atomic.Bool
 	once        sync.Once
--- a/bench/standin/httpd/httpd.go
+++ b/bench/standin/httpd/httpd.go
@@ -35,13 +35,13 @@
 	Listen string
 	// MaxConns bounds the open connections; those above it are reset. 0: no bound.
 	MaxConns int
-	// ConnectCost delays the first read of each connection. 0: none.
-	ConnectCost time.Duration
+	// ConnectDelay delays the first read of each connection. 0: none.
+	ConnectDelay time.Duration
 }
 
 // Server is one HTTP/1.1 listener. Its methods may be called from any goroutine.
 type Server struct {
-	Conns *Conns
+	Conns *TrackedListener
 	h     *server.Hertz
 	done  chan error
 }
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, status.Wrap(status.CodeListen, err, "listen on %s", cfg.Listen)
 	}
-	conns := newConns(ln, cfg.MaxConns, cfg.ConnectCost)
+	conns := newConns(ln, cfg.MaxConns, cfg.ConnectDelay)
 	h := server.New(
 		server.WithListener(conns),
 		server.WithTransport(standard.NewTransporter),
--- a/bench/standin/httpd/httpd_test.go
+++ b/bench/standin/httpd/httpd_test.go
@@ -34,9 +34,9 @@
 	}
 	is.True(errors.Is(err, syscall.ECONNRESET))
 	is.Equal(s.Conns.Rejected(), int64(1))
-	is.Equal(s.Conns.Open(), 1)
+	is.Equal(s.Conns.OpenCount(), 1)
 	is.NoErr(s.Close())
-	is.Equal(s.Conns.Open(), 0)
+	is.Equal(s.Conns.OpenCount(), 0)
 }
 
 func TestStartFailsIfPortInUse(t *testing.T) {
--- a/bench/standin/platform/faults.go
+++ b/bench/standin/platform/faults.go
@@ -11,9 +11,9 @@
 	// DelayApplyMS delays the effect of each call, which takes place even if the
 	// client has disconnected.
 	DelayApplyMS int `json:"delay_apply_ms"`
-	// LoseAnswerEvery N resets the connection of each Nth write since the faults
+	// DropReplyEvery N resets the connection of each Nth write since the faults
 	// were set, after it has taken effect; 0: none.
-	LoseAnswerEvery int `json:"lose_answer_every"`
+	DropReplyEvery int `json:"lose_answer_every"`
 	// RefuseWrites rejects writes with the service's access-denied error.
 	RefuseWrites bool `json:"refuse_writes"`
 	// Throttle rejects each call with the service's throttling error.
@@ -75,7 +75,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.writesSinceSet++
-	if n := l.faults.LoseAnswerEvery; n == 0 || l.writesSinceSet%n != 0 {
+	if n := l.faults.DropReplyEvery; n == 0 || l.writesSinceSet%n != 0 {
 		return false
 	}
 	l.counts.Lost++
--- a/bench/standin/platform/platform_test.go
+++ b/bench/standin/platform/platform_test.go
@@ -154,7 +154,7 @@
 		{"down", platform.Faults{Down: true}, port.ErrAmbiguous, port.ErrAmbiguous, port.ErrUnavailable, false},
 		{"throttled", platform.Faults{Throttle: true}, port.ErrUnavailable, port.ErrAmbiguous, port.ErrUnavailable, false},
 		{"writes refused", platform.Faults{RefuseWrites: true}, port.ErrUnavailable, port.ErrUnavailable, nil, false},
-		{"answer lost", platform.Faults{LoseAnswerEvery: 1}, port.ErrAmbiguous, port.ErrAmbiguous, nil, true},
+		{"answer lost", platform.Faults{DropReplyEvery: 1}, port.ErrAmbiguous, port.ErrAmbiguous, nil, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is, e := is.New(t), start(t)
@@ -176,7 +176,7 @@
 
 // A delayed write takes effect after its caller timed out, so a read in between
 // does not see it. Cancelling a call does not cancel its write.
-func TestWriteTakesEffectAfterItsCallerLeft(t *testing.T) {
+func TestDelayedWriteTakesEffectAfterCallerTimeout(t *testing.T) {
 	is, e := is.New(t), start(t)
 	e.SetFaults(platform.Faults{DelayApplyMS: 300})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/bench/standin/target/answer.go
+++ b/bench/standin/target/answer.go
@@ -21,14 +21,14 @@
 // Answer is the body of a completed run. Its encoding is deterministic and Fill
 // is derived from the other fields, so that a receiver can rebuild and compare it.
 type Answer struct {
-	Service  string   `json:"service"`
-	Path     string   `json:"path"`
-	Mark     string   `json:"mark"`
-	Received int64    `json:"received"` // bytes of the request's body
-	Digest   uint64   `json:"digest"`   // xxhash of the request's body
-	Size     int      `json:"size"`
-	Calls    []Result `json:"calls"`
-	Fill     string   `json:"fill"`
+	Service     string   `json:"service"`
+	Path        string   `json:"path"`
+	RequestMark string   `json:"mark"`
+	Received    int64    `json:"received"` // bytes of the request's body
+	Digest      uint64   `json:"digest"`   // xxhash of the request's body
+	Size        int      `json:"size"`
+	Calls       []Result `json:"calls"`
+	Fill        string   `json:"fill"`
 }
 
 // Result is one call that a run made.
@@ -43,7 +43,7 @@
 
 // Encode returns the answer's bytes, with Fill set.
 func (a Answer) Encode() []byte {
-	a.Fill = fill(a.Service, a.Path, a.Mark, a.Size)
+	a.Fill = fill(a.Service, a.Path, a.RequestMark, a.Size)
 	b, err := json.Marshal(a)
 	if err != nil {
 		panic(err) // plain strings and numbers always marshal
@@ -83,10 +83,10 @@
 }
 
 func (a Answer) verify(mark string) error {
-	if a.Mark != mark {
-		return status.New(CodeAnswer, "%s answered mark %q, not %q", a.Service, a.Mark, mark)
+	if a.RequestMark != mark {
+		return status.New(CodeAnswer, "%s answered mark %q, not %q", a.Service, a.RequestMark, mark)
 	}
-	if a.Fill != fill(a.Service, a.Path, a.Mark, a.Size) {
+	if a.Fill != fill(a.Service, a.Path, a.RequestMark, a.Size) {
 		return status.New(CodeAnswer, "the fill bytes of %s belong to another answer", a.Service)
 	}
 	for _, r := range a.Calls {
--- a/bench/standin/target/calls.go
+++ b/bench/standin/target/calls.go
@@ -75,7 +75,7 @@
 	defer c.mu.Unlock()
 	made := make([]Call, 0, len(calls))
 	for _, call := range calls {
-		if call.Chance == 0 || c.rng.Float64() < call.Chance {
+		if call.Probability == 0 || c.rng.Float64() < call.Probability {
 			made = append(made, call)
 		}
 	}
--- a/bench/standin/target/config.go
+++ b/bench/standin/target/config.go
@@ -59,12 +59,12 @@
 	// HealthLag is the delay after the start of a drain until /healthz reports it
 	// and new requests are refused.
 	HealthLag time.Duration `yaml:"health_lag"`
-	// HealthLies makes /healthz always answer 200.
-	HealthLies bool `yaml:"health_lies"`
+	// AlwaysHealthy makes /healthz always answer 200.
+	AlwaysHealthy bool `yaml:"health_lies"`
 	// LoadLag is the age of the values that /load reports.
 	LoadLag time.Duration `yaml:"load_lag"`
-	// LoadLie, if set, is the utilization that /load always reports.
-	LoadLie *float64 `yaml:"load_lie"`
+	// FixedUtilization, if set, is the utilization that /load always reports.
+	FixedUtilization *float64 `yaml:"load_lie"`
 	// RunsFile, if set, is a file to which each run appends a tab-separated line
 	// when it starts: service, path, key, mark. It outlives the process, so that
 	// the runs of a killed target are counted.
@@ -107,8 +107,8 @@
 	Path    string `yaml:"path"`
 	// Key sends an Idempotency-Key derived from that of the request.
 	Key bool `yaml:"key"`
-	// Chance is the probability that the call is made, 0 to 1; 0: always.
-	Chance float64 `yaml:"chance"`
+	// Probability is the probability that the call is made, 0 to 1; 0: always.
+	Probability float64 `yaml:"chance"`
 	// Required fails the request when the call fails.
 	Required bool `yaml:"required"`
 	// Attempts is the maximum number of attempts; default 1.
--- a/bench/standin/target/counters.go
+++ b/bench/standin/target/counters.go
@@ -13,9 +13,9 @@
 	Finished  int64 `json:"finished"`
 	Cancelled int64 `json:"cancelled"`
 	Failed    int64 `json:"failed"`
-	// Useless counts runs that finished after their client had disconnected or
+	// FinishedLate counts runs that finished after their client had disconnected or
 	// their deadline had passed.
-	Useless int64 `json:"useless"`
+	FinishedLate int64 `json:"useless"`
 	// Shed counts requests answered 503 without a run.
 	Shed int64 `json:"shed"`
 	// Abandoned counts requests cancelled before they got a slot.
@@ -31,8 +31,8 @@
 	RejectedConns int64 `json:"rejected_conns"`
 }
 
-// Twice returns the keys of a route that ran more than once.
-func (c Counters) Twice(route string) []string {
+// RepeatedKeys returns the keys of a route that ran more than once.
+func (c Counters) RepeatedKeys(route string) []string {
 	var out []string
 	for k, n := range c.Runs[route] {
 		if n > 1 {
--- a/bench/standin/target/handler.go
+++ b/bench/standin/target/handler.go
@@ -48,7 +48,7 @@
 }
 
 func (s *Server) health(c *app.RequestContext) {
-	if s.drainVisible(time.Now()) && !s.cfg.HealthLies {
+	if s.drainVisible(time.Now()) && !s.cfg.AlwaysHealthy {
 		c.String(http.StatusServiceUnavailable, "draining")
 		return
 	}
@@ -61,7 +61,7 @@
 		s.Drain()
 	case "/control/silence":
 		// Except the connection that carries this answer.
-		s.http.Conns.Silence(c.RemoteAddr().String())
+		s.http.Conns.Blackhole(c.RemoteAddr().String())
 	case "/control/slow":
 		var arg struct {
 			Factor float64 `json:"factor"`
@@ -70,7 +70,7 @@
 			c.String(http.StatusBadRequest, "factor must be a number above 0")
 			return
 		}
-		s.Slow(arg.Factor)
+		s.SetSlowdown(arg.Factor)
 	}
 	c.Status(http.StatusNoContent)
 }
@@ -182,7 +182,7 @@
 		switch {
 		case err == nil && late:
 			c.Finished++
-			c.Useless++
+			c.FinishedLate++
 		case err == nil:
 			c.Finished++
 		case ctx.Err() != nil:
@@ -211,13 +211,13 @@
 		return nil, err
 	}
 	return Answer{
-		Service:  s.cfg.Service,
-		Path:     j.path,
-		Mark:     j.propagated.mark,
-		Received: j.received,
-		Digest:   j.digest,
-		Size:     j.route.Size,
-		Calls:    results,
+		Service:     s.cfg.Service,
+		Path:        j.path,
+		RequestMark: j.propagated.mark,
+		Received:    j.received,
+		Digest:      j.digest,
+		Size:        j.route.Size,
+		Calls:       results,
 	}.Encode(), nil
 }
 
--- a/bench/standin/target/server.go
+++ b/bench/standin/target/server.go
@@ -69,9 +69,9 @@
 	}
 	s.serviceTimes.startCold(time.Now(), s.cfg.ColdFor)
 	h, err := httpd.Start(httpd.Config{
-		Listen:      s.cfg.Listen,
-		MaxConns:    s.cfg.MaxConns,
-		ConnectCost: s.cfg.ConnectCost,
+		Listen:       s.cfg.Listen,
+		MaxConns:     s.cfg.MaxConns,
+		ConnectDelay: s.cfg.ConnectCost,
 	}, s.serve)
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 func (s *Server) Counters() Counters {
 	c := s.count.snapshot()
 	c.Queued = int(s.queued.Load())
-	c.OpenConns = s.http.Conns.Open()
+	c.OpenConns = s.http.Conns.OpenCount()
 	c.RejectedConns = s.http.Conns.Rejected()
 	return c
 }
@@ -145,11 +145,11 @@
 	s.drainStart.CompareAndSwap(nil, &now)
 }
 
-// Slow multiplies service times by factor from the next run on; 1 is normal.
-func (s *Server) Slow(factor float64) { s.serviceTimes.setFactor(factor) }
+// SetSlowdown multiplies service times by factor from the next run on; 1 is normal.
+func (s *Server) SetSlowdown(factor float64) { s.serviceTimes.setFactor(factor) }
 
-// Silence makes the currently open connections drop all traffic; new ones work.
-func (s *Server) Silence() { s.http.Conns.Silence("") }
+// Blackhole makes the currently open connections drop all traffic; new ones work.
+func (s *Server) Blackhole() { s.http.Conns.Blackhole("") }
 
 // Crash has the same effect as a request with the crash mark.
 func (s *Server) Crash() {
@@ -204,8 +204,8 @@
 // reportedLoad returns the load that /load reports.
 func (s *Server) reportedLoad(now time.Time) load {
 	switch {
-	case s.cfg.LoadLie != nil:
-		u := *s.cfg.LoadLie
+	case s.cfg.FixedUtilization != nil:
+		u := *s.cfg.FixedUtilization
 		return load{InFlight: int(u * float64(cap(s.slots))), Slots: cap(s.slots), Utilization: u}
 	case s.cfg.LoadLag > 0:
 		v := s.loadReadings.at(now, s.cfg.LoadLag)
--- a/bench/standin/target/target_test.go
+++ b/bench/standin/target/target_test.go
@@ -111,7 +111,7 @@
 	cfg.ServiceTime = time.Microsecond
 	cfg.WorkFile = filepath.Join(t.TempDir(), "work")
 	cfg.Direct = map[string][]string{"archive.khaosan": {archive.URL()}}
-	cfg.Routes = []target.Route{{Prefix: "/", Calls: []target.Call{{Service: "archive.khaosan", Path: "/x", Chance: 0.5}}}}
+	cfg.Routes = []target.Route{{Prefix: "/", Calls: []target.Call{{Service: "archive.khaosan", Path: "/x", Probability: 0.5}}}}
 	feed := start(t, cfg)
 	const runs = 100
 	for range runs {
@@ -178,7 +178,7 @@
 		go func() { _, _, _ = do(ctx, "GET", s.URL()+"/", nil, "") }()
 		waitForCounters(t, s, func(c target.Counters) bool { return c.InFlight == 1 })
 		cancel()
-		waitForCounters(t, s, func(c target.Counters) bool { return c.Useless == 1 })
+		waitForCounters(t, s, func(c target.Counters) bool { return c.FinishedLate == 1 })
 	})
 }
 
@@ -247,7 +247,7 @@
 		want float64
 	}{
 		{"true", func(*target.Config) {}, 0.5},
-		{"lying", func(c *target.Config) { c.LoadLie = &lie }, 0.25},
+		{"lying", func(c *target.Config) { c.FixedUtilization = &lie }, 0.25},
 		{"lagging", func(c *target.Config) { c.LoadLag = hugeServiceTime }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -303,7 +303,7 @@
 	code, _, err := do(t.Context(), "GET", s.URL()+"/", nil, "")
 	is.NoErr(err)
 	is.Equal(code, 200)
-	s.Silence()
+	s.Blackhole()
 
 	ctx, cancel := context.WithCancel(t.Context())
 	var reused bool
--- a/internal/adapter/rpc/claims.go
+++ b/internal/adapter/rpc/claims.go
@@ -34,7 +34,7 @@
 // Submit is called by net/rpc. It blocks as long as the op's sender waits for
 // the answer.
 func (s *ClaimsService) Submit(in *sharedrows.Op, out *sharedrows.Answer) error {
-	s.meter.Waive(opOverheadBytes + len(in.Row) + len(in.Value))
+	s.meter.Exclude(opOverheadBytes + len(in.Row) + len(in.Value))
 	*out = s.serve(context.Background(), in)
 	return nil
 }
@@ -58,8 +58,8 @@
 	return &ClaimPeers{pool: NewPool(cfg, &Meter{})}
 }
 
-// SetCount sets the number of nodes in the fleet.
-func (p *ClaimPeers) SetCount(n int) { p.oneShot.Store(n > maxPooledNodes) }
+// SetNodeCount sets the number of nodes in the fleet.
+func (p *ClaimPeers) SetNodeCount(n int) { p.oneShot.Store(n > maxPooledNodes) }
 
 // Submit implements shared.Peers.
 func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *sharedrows.Op) (sharedrows.Answer, error) {
--- a/internal/adapter/rpc/claims_test.go
+++ b/internal/adapter/rpc/claims_test.go
@@ -42,13 +42,13 @@
 		return answer
 	})
 	for _, nodes := range []int{maxPooledNodes, maxPooledNodes + 1} {
-		p.SetCount(nodes)
+		p.SetNodeCount(nodes)
 		ans, err := p.Submit(timeout(t, 10*time.Second), addr, &want)
 		is.NoErr(err)
 		is.Equal(ans, answer)
 		is.Equal(<-got, want)
 	}
-	is.True(meter.Total() > int64(meter.Take())+200) // claims are excluded from the membership budget
+	is.True(meter.Total() > int64(meter.TakeBytes())+200) // claims are excluded from the membership budget
 }
 
 // Guards against a data race or a mixed answer: the answer arrives as its sender
--- a/internal/adapter/rpc/gossip.go
+++ b/internal/adapter/rpc/gossip.go
@@ -38,22 +38,22 @@
 	return nil
 }
 
-// Carrier executes the actions of a member.State.
-type Carrier struct {
+// ActionExecutor executes the actions of a member.State.
+type ActionExecutor struct {
 	pool   *Pool
 	submit func(func()) error
 	post   func(func(s *member.State, now time.Duration))
 }
 
-// NewCarrier returns a Carrier. submit runs a function on another goroutine and
+// NewActionExecutor returns a Carrier. submit runs a function on another goroutine and
 // fails if none is available (such as Submit of an ants pool); post runs a
 // function with the current time on the goroutine that owns the State.
-func NewCarrier(pool *Pool, submit func(func()) error, post func(func(*member.State, time.Duration))) *Carrier {
-	return &Carrier{pool: pool, submit: submit, post: post}
+func NewActionExecutor(pool *Pool, submit func(func()) error, post func(func(*member.State, time.Duration))) *ActionExecutor {
+	return &ActionExecutor{pool: pool, submit: submit, post: post}
 }
 
-// Do executes actions. It doesn't block; outcomes are posted later.
-func (c *Carrier) Do(actions []member.Action) {
+// Execute executes actions. It doesn't block; outcomes are posted later.
+func (c *ActionExecutor) Execute(actions []member.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case member.Exchange:
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *Carrier) exchange(x member.Exchange) {
+func (c *ActionExecutor) exchange(x member.Exchange) {
 	// If no goroutine is available, the exchange is dropped; State counts an
 	// exchange without an outcome as failed after a timeout.
 	_ = c.submit(func() {
@@ -83,11 +83,11 @@
 	})
 }
 
-func (c *Carrier) fail(to member.Peer) {
+func (c *ActionExecutor) fail(to member.Peer) {
 	c.post(func(s *member.State, now time.Duration) { s.HandleFailure(now, to) })
 }
 
-func (c *Carrier) disconnect(d member.Disconnect) {
+func (c *ActionExecutor) disconnect(d member.Disconnect) {
 	if err := c.submit(func() { c.pool.Drop(d.Peer.ControlAddr) }); err != nil {
 		c.pool.Drop(d.Peer.ControlAddr) // otherwise the unused connection would stay open
 	}
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -98,8 +98,8 @@
 	is.NoErr(p.Call(timeout(t, 10*time.Second), addr, exchangeMethod, in, out))
 	is.Equal(in, out)
 	is.True(meter.Total() > int64(2*in.Size()*8/10))
-	is.True(meter.Take() > 0)
-	is.Equal(meter.Take(), 0)
+	is.True(meter.TakeBytes() > 0)
+	is.Equal(meter.TakeBytes(), 0)
 }
 
 func sampleMessage(n int) *member.Message {
@@ -183,12 +183,12 @@
 	})
 	outcomes := make(chan func(*member.State, time.Duration), 2)
 	p := newPool(t, DefaultConfig())
-	c := NewCarrier(p,
+	c := NewActionExecutor(p,
 		func(f func()) error { go f(); return nil },
 		func(f func(*member.State, time.Duration)) { outcomes <- f })
 	s := member.New(member.DefaultConfig(), member.Record{ID: 5, ControlAddr: "127.0.0.1:1", Incarnation: 1}, nil)
 	probe := &member.Message{Kind: member.Probe, From: 5, Incarnation: 1}
-	c.Do([]member.Action{
+	c.Execute([]member.Action{
 		member.Exchange{To: member.Peer{ControlAddr: addr}, Msg: probe, Timeout: 5 * time.Second, Once: true},
 		member.Exchange{To: member.Peer{ControlAddr: "127.0.0.1:1"}, Msg: probe, Timeout: 5 * time.Second},
 	})
--- a/internal/adapter/tallymetrics/node.go
+++ b/internal/adapter/tallymetrics/node.go
@@ -44,7 +44,7 @@
 type Counters struct {
 	ControlBytes  tally.Counter // bytes of control traffic sent and received, headers included
 	ConfigChanges tally.Counter // configuration versions that took effect
-	StoreRewinds  tally.Counter // times the platform's store was restored from an older copy
+	StoreRestores tally.Counter // times the platform's store was restored from an older copy
 	TargetCrashes tally.Counter // times this node's target went down with requests in flight
 }
 
@@ -52,7 +52,7 @@
 	return Counters{
 		ControlBytes:  s.Counter("control_bytes_total"),
 		ConfigChanges: s.Counter("config_changes_total"),
-		StoreRewinds:  s.Counter("store_rewinds_total"),
+		StoreRestores: s.Counter("store_rewinds_total"),
 		TargetCrashes: s.Counter("target_crashes_total"),
 	}
 }
