--- a/internal/adapter/zaplog/fields.go
+++ b/internal/adapter/zaplog/fields.go
@@ -27,9 +27,9 @@
 // Level is the field of the admission threshold, as an importance.
 func Level(l request.Level) zap.Field { return zap.Float64("refused_below", l.AsImportance()) }
 
-// Known is the field of the admission threshold, as an importance, that an entry
+// CalleeLevel is the field of the admission threshold, as an importance, that an entry
 // hop knew of its callee and the services downstream of it.
-func Known(l request.Level) zap.Field { return zap.Float64("known_below", l.AsImportance()) }
+func CalleeLevel(l request.Level) zap.Field { return zap.Float64("known_below", l.AsImportance()) }
 
 // Service is the field of a service.
 func Service(s request.Service) zap.Field { return zap.String("service", string(s)) }
@@ -61,8 +61,8 @@
 // Text is a field whose value comes from outside, truncated to 256 bytes.
 func Text(name, value string) zap.Field { return zap.String(name, truncate(value)) }
 
-// Failure adds the fields "code" and "error" of an error.
-func Failure(err error) zap.Field { return zap.Inline(errorFields{err}) }
+// Error adds the fields "code" and "error" of an error.
+func Error(err error) zap.Field { return zap.Inline(errorFields{err}) }
 
 type errorFields struct{ error }
 
--- a/internal/adapter/zaplog/zaplog_test.go
+++ b/internal/adapter/zaplog/zaplog_test.go
@@ -47,7 +47,7 @@
 	log.Debug("below the level")
 	log.Warn("call failed", Request(request.ID{1}), Service("feed.khaosan"), Class("read"), Tenant("khaosan"),
 		Target(7), Outcome(request.Failed), Key("person@example"), Text("path", strings.Repeat("é\n", 5000)),
-		Failure(status.New(status.CodeOverloaded, "busy")), zap.Any("settings", s))
+		Error(status.New(status.CodeOverloaded, "busy")), zap.Any("settings", s))
 	is.NoErr(closeLog())
 	b, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -73,7 +73,7 @@
 	var out bytes.Buffer
 	log, closeLog := newLogger(&out, zapcore.InfoLevel, 100)
 	log.Info("all", Request(request.ID{1}), Service("s.t"), Class("c"), Tenant("t"), Target(7),
-		Organisation("o"), Detail("d"), Name("n"), Version(1), Level(1), Known(1), Outcome(request.Failed), Key("k"), Failure(status.New(status.CodeInternal, "x")))
+		Organisation("o"), Detail("d"), Name("n"), Version(1), Level(1), CalleeLevel(1), Outcome(request.Failed), Key("k"), Error(status.New(status.CodeInternal, "x")))
 	log.Info("too long", zap.String("x", strings.Repeat("x", maxLineBytes)))
 	is.NoErr(closeLog())
 	var documented []string
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -28,7 +28,7 @@
 // Nodes calls nodes at their control addresses. Implementations must be safe for
 // concurrent use.
 type Nodes interface {
-	Head(ctx context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error)
+	NotifyHead(ctx context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error)
 	Status(ctx context.Context, addr string) (adminapi.StatusReply, error)
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -29,7 +29,7 @@
 
 const liveNode = "127.0.0.1:1"
 
-func (f *fakeNodes) Head(_ context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error) {
+func (f *fakeNodes) NotifyHead(_ context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error) {
 	if addr != liveNode {
 		return adminapi.HeadReply{}, status.New(status.CodeConnectionLost, "no node at %s", addr)
 	}
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -59,8 +59,8 @@
 // Close closes the connections.
 func (n *RPCNodes) Close() { n.pool.Close() }
 
-// Head implements Nodes.
-func (n *RPCNodes) Head(ctx context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error) {
+// NotifyHead implements Nodes.
+func (n *RPCNodes) NotifyHead(ctx context.Context, addr string, args adminapi.HeadArgs) (adminapi.HeadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	var reply adminapi.HeadReply
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -122,7 +122,7 @@
 func (c *applyCommand) notifyNodes(args adminapi.HeadArgs) []notification {
 	out := make([]notification, len(c.Nodes))
 	forEachNode(c.Nodes, func(i int, addr string) {
-		reply, err := c.env.Nodes.Head(c.ctx, addr, args)
+		reply, err := c.env.Nodes.NotifyHead(c.ctx, addr, args)
 		out[i] = notification{Addr: addr, InForce: reply.InForce}
 		if err != nil {
 			out[i].Error = err.Error()
--- a/internal/core/claim/batch/layout.go
+++ b/internal/core/claim/batch/layout.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"peardrift/internal/core/claim"
-	"peardrift/internal/mpack"
+	"peardrift/internal/msgpackutil"
 	"peardrift/internal/status"
 )
 
@@ -132,7 +132,7 @@
 // status.CodeProtocol on any other value.
 func DecodeLayouts(b []byte) (Layouts, error) {
 	var v encodedLayouts
-	if err := mpack.Unmarshal(b, &v); err != nil {
+	if err := msgpackutil.Unmarshal(b, &v); err != nil {
 		return nil, status.Wrap(status.CodeProtocol, err, "decode claim layouts")
 	}
 	if v.Format != layoutsFormat {
--- a/internal/core/claim/batch/row.go
+++ b/internal/core/claim/batch/row.go
@@ -7,7 +7,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"peardrift/internal/mpack"
+	"peardrift/internal/msgpackutil"
 	"peardrift/internal/status"
 )
 
@@ -40,7 +40,7 @@
 // any other value.
 func Decode(b []byte) (map[string]Entry, error) {
 	var v encodedRow
-	if err := mpack.Unmarshal(b, &v); err != nil {
+	if err := msgpackutil.Unmarshal(b, &v); err != nil {
 		return nil, status.Wrap(status.CodeProtocol, err, "decode a claim row")
 	}
 	if v.Format != rowFormat {
--- a/internal/core/claim/row.go
+++ b/internal/core/claim/row.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"peardrift/internal/core/request"
-	"peardrift/internal/mpack"
+	"peardrift/internal/msgpackutil"
 	"peardrift/internal/status"
 )
 
@@ -109,7 +109,7 @@
 // that Encode did not write.
 func Decode(version int64, token string, b []byte) (Row, error) {
 	var v encodedRow
-	if err := mpack.Unmarshal(b, &v); err != nil {
+	if err := msgpackutil.Unmarshal(b, &v); err != nil {
 		return Row{}, status.Wrap(status.CodeProtocol, err, "decode a claim")
 	}
 	if v.Format != rowFormat {
--- a/internal/core/configset/encode.go
+++ b/internal/core/configset/encode.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"peardrift/internal/core/request"
-	"peardrift/internal/mpack"
+	"peardrift/internal/msgpackutil"
 	"peardrift/internal/status"
 )
 
@@ -129,7 +129,7 @@
 	if len(body) > MaxEncoded {
 		return status.New(status.CodeTooLarge, "encoding has %d bytes, at most %d are allowed", len(body), MaxEncoded)
 	}
-	if err := mpack.Unmarshal(body, v); err != nil {
+	if err := msgpackutil.Unmarshal(body, v); err != nil {
 		return status.Wrap(status.CodeProtocol, err, "cannot decode set")
 	}
 	return nil
--- a/internal/core/configset/validate.go
+++ b/internal/core/configset/validate.go
@@ -11,20 +11,20 @@
 
 // Limits of a set.
 const (
-	MaxServices    = 4096
-	MaxClasses     = 128 // per service
-	MaxCalls       = 256 // per service
-	MaxAllow       = 256 // per service
-	MaxNameLength  = 40
-	MaxTenantName  = 32 // so that a head fits in the value of one gossiped fact
-	MaxPathLength  = 512
-	MaxSlots       = 100_000
-	MaxConnections = 1_000_000
-	MaxAttempts    = 16
-	MinDeadline    = time.Millisecond
-	MaxDeadline    = time.Hour
-	MaxRemember    = 30 * 24 * time.Hour
-	MaxBodyLimit   = int64(4) << 30
+	MaxServices     = 4096
+	MaxClasses      = 128 // per service
+	MaxCalls        = 256 // per service
+	MaxAllow        = 256 // per service
+	MaxNameLength   = 40
+	MaxTenantName   = 32 // so that a head fits in the value of one gossiped fact
+	MaxPathLength   = 512
+	MaxSlots        = 100_000
+	MaxConnections  = 1_000_000
+	MaxAttempts     = 16
+	MinDeadline     = time.Millisecond
+	MaxDeadline     = time.Hour
+	MaxKeyRetention = 30 * 24 * time.Hour
+	MaxBodyLimit    = int64(4) << 30
 )
 
 // allowedMethods are the methods that a class may name.
@@ -175,8 +175,8 @@
 	switch {
 	case !c.AtMostOnce && c.KeyRetention != 0:
 		v.report(field.withKey("remember"), "is only for atMostOnce classes")
-	case c.AtMostOnce && c.KeyRetention > MaxRemember:
-		v.report(field.withKey("remember"), "must be at most %v", MaxRemember)
+	case c.AtMostOnce && c.KeyRetention > MaxKeyRetention:
+		v.report(field.withKey("remember"), "must be at most %v", MaxKeyRetention)
 	case c.AtMostOnce && c.KeyRetention < c.Deadline:
 		v.report(field.withKey("remember"), "must be at least the deadline of %v, or a key is forgotten while its request runs",
 			c.Deadline)
--- a/internal/core/configwatch/message.go
+++ b/internal/core/configwatch/message.go
@@ -35,9 +35,9 @@
 // Wait. The caller reports the outcome with HandlePlatformReply or HandleFailure
 // within Limit.
 type PollPlatform struct {
-	ID          uint64
-	After       int64
-	Wait, Limit time.Duration
+	ID            uint64
+	After         int64
+	Wait, Timeout time.Duration
 }
 
 // PollPeer sends Request to a peer. The caller reports the outcome with HandleReply
@@ -46,7 +46,7 @@
 	ID      uint64
 	To      Peer
 	Request PollRequest
-	Limit   time.Duration
+	Timeout time.Duration
 }
 
 // SendReply sends Reply, with the set if Version is above Have, to the child whose
--- a/internal/core/configwatch/simulation_test.go
+++ b/internal/core/configwatch/simulation_test.go
@@ -153,7 +153,7 @@
 func (n *node) pollPlatform(a PollPlatform) {
 	sim := n.sim
 	sim.platformCalls++
-	n.schedule(a.Limit, func() { n.runActions(n.state.HandleFailure(sim.Now, a.ID)) })
+	n.schedule(a.Timeout, func() { n.runActions(n.state.HandleFailure(sim.Now, a.ID)) })
 	sim.After(oneWay, func() {
 		p := &sim.platform
 		switch {
@@ -189,7 +189,7 @@
 
 func (n *node) pollPeer(a PollPeer) {
 	sim := n.sim
-	n.schedule(a.Limit, func() { n.runActions(n.state.HandleFailure(sim.Now, a.ID)) })
+	n.schedule(a.Timeout, func() { n.runActions(n.state.HandleFailure(sim.Now, a.ID)) })
 	to := sim.byID[a.To.ID]
 	to.schedule(oneWay, func() {
 		if to.isolated || n.isolated {
--- a/internal/core/configwatch/state.go
+++ b/internal/core/configwatch/state.go
@@ -123,7 +123,7 @@
 func (s *State) pollPlatform(now time.Duration) {
 	s.platformPoll = s.newPoll(now, s.cfg.PollTimeout)
 	s.nextPlatformPoll = now + s.cfg.MinPollInterval
-	s.emit(PollPlatform{ID: s.platformPoll.id, After: s.version, Wait: s.cfg.PollWait, Limit: s.cfg.PollTimeout})
+	s.emit(PollPlatform{ID: s.platformPoll.id, After: s.version, Wait: s.cfg.PollWait, Timeout: s.cfg.PollTimeout})
 }
 
 func (s *State) pollPeer(now time.Duration) {
@@ -133,7 +133,7 @@
 	}
 	s.parent = p
 	s.peerPoll = s.newPoll(now, s.cfg.PeerTimeout)
-	s.emit(PollPeer{ID: s.peerPoll.id, To: p, Request: PollRequest{Version: s.version}, Limit: s.cfg.PeerTimeout})
+	s.emit(PollPeer{ID: s.peerPoll.id, To: p, Request: PollRequest{Version: s.version}, Timeout: s.cfg.PeerTimeout})
 }
 
 func (s *State) newPoll(now, limit time.Duration) poll {
--- a/internal/mpack/mpack.go
+++ b/internal/msgpackutil/mpack.go
@@ -1,6 +1,6 @@
 // Package mpack decodes untrusted MessagePack: rows and objects of the platform,
 // and data that peers forward in their messages.
-package mpack
+package msgpackutil
 
 import "github.com/vmihailenco/msgpack/v5"
 
--- a/internal/mpack/mpack_test.go
+++ b/internal/msgpackutil/mpack_test.go
@@ -1,4 +1,4 @@
-package mpack
+package msgpackutil
 
 import (
 	"runtime"
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -21,6 +21,6 @@
 		}
 		return true
 	})
-	n.claimPeers.SetCount(len(ms))
+	n.claimPeers.SetNodeCount(len(ms))
 	n.rows.SetMembers(ms)
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -73,7 +73,7 @@
 	for _, f := range s.Facts(member.ConfigHead) {
 		h, err := configsync.HeadOf(f.Key, f.Version, f.Value)
 		if err != nil {
-			c.log.Warn("gossiped head", zaplog.Failure(err))
+			c.log.Warn("gossiped head", zaplog.Error(err))
 			continue
 		}
 		c.execute(c.state.Learn(c.now(), h))
@@ -165,7 +165,7 @@
 	case status.CodeConnectionLost, status.CodeDeadlineExceeded: // from a peer
 		level = zap.DebugLevel
 	}
-	c.log.Log(level, "configuration not fetched", zaplog.Failure(err))
+	c.log.Log(level, "configuration not fetched", zaplog.Error(err))
 }
 
 func (c *configManager) ask(ctx context.Context, a configsync.AskPeer) (func() []configsync.Action, error) {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -29,7 +29,7 @@
 	events  chan func()
 	done    chan struct{}
 	state   *member.State
-	carrier *rpc.Carrier
+	carrier *rpc.ActionExecutor
 	meter   *rpc.Meter
 	config  *configManager
 	limiter *limiter
@@ -128,10 +128,10 @@
 
 func (c *control) tick() {
 	c.logStall(c.now())
-	spent := c.meter.Take()
+	spent := c.meter.TakeBytes()
 	c.node.metrics.Counters.ControlBytes.Inc(int64(spent))
 	c.state.Spend(spent)
-	c.carrier.Do(c.state.Tick(c.now()))
+	c.carrier.Execute(c.state.Tick(c.now()))
 	c.config.learnGossiped(c.state)
 	c.config.tick()
 	c.engine.SetConfigStale(c.config.watch.isStale())
@@ -291,7 +291,7 @@
 // announceDeparture tells peers that the node is gone.
 func (c *control) announceDeparture() {
 	c.state.Depart(c.now())
-	c.carrier.Do(c.state.Tick(c.now()))
+	c.carrier.Execute(c.state.Tick(c.now()))
 }
 
 // retire reports the node as not ready, so that load balancers stop sending callers.
@@ -308,6 +308,6 @@
 	}
 	c.leaving = true
 	c.state.Leave(c.now())
-	c.carrier.Do(c.state.Tick(c.now()))
+	c.carrier.Execute(c.state.Tick(c.now()))
 	c.publish()
 }
--- a/internal/node/integration.go
+++ b/internal/node/integration.go
@@ -59,7 +59,7 @@
 }
 
 // logRefusedReport logs a report that was rejected.
-func (n *Node) logRefusedReport(err error) { n.log.Warn("report refused", zaplog.Failure(err)) }
+func (n *Node) logRefusedReport(err error) { n.log.Warn("report refused", zaplog.Error(err)) }
 
 // handleOtherInstance records that another instance answers at the target's address.
 func (n *Node) handleOtherInstance(instance string) {
--- a/internal/node/limitgrants.go
+++ b/internal/node/limitgrants.go
@@ -104,7 +104,7 @@
 	case err != nil:
 		s.avoidUntil[m.ID], s.knownHolder = now+avoidDuration, 0
 		s.nextAsk = now
-		l.log.Debug("rate limits not asked", zaplog.Target(m.ID), zaplog.Failure(err))
+		l.log.Debug("rate limits not asked", zaplog.Target(m.ID), zaplog.Error(err))
 	case !r.Divides:
 		l.handleRedirect(s, m, now, r)
 	default:
@@ -170,7 +170,7 @@
 // waive excludes a request and its reply from the control budget, because callers'
 // requests wait for them.
 func (l *limiter) waive(req *ratelimit.GrantRequest, r *ratelimit.GrantReply) {
-	l.meter.Waive(askBytes + needBytes/2*(len(req.Needs)+len(r.Grants)))
+	l.meter.Exclude(askBytes + needBytes/2*(len(req.Needs)+len(r.Grants)))
 }
 
 // returnGrants returns all grants that this node holds.
--- a/internal/node/limitrows.go
+++ b/internal/node/limitrows.go
@@ -184,7 +184,7 @@
 	}
 	return func() {
 		if err != nil {
-			l.log.Warn("rate limits' row not read", zap.Int("shard", s.n), zaplog.Failure(err))
+			l.log.Warn("rate limits' row not read", zap.Int("shard", s.n), zaplog.Error(err))
 			s.lease.HandleFailure(l.now())
 			return
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,7 +101,7 @@
 // logFailures returns a function that logs failures of a component that handles no
 // requests.
 func (n *Node) logFailures(part string) func(error) {
-	return func(err error) { n.log.Warn(part, zaplog.Failure(err)) }
+	return func(err error) { n.log.Warn(part, zaplog.Error(err)) }
 }
 
 // poolSize is the maximum number of concurrent tasks that block on remote calls.
@@ -244,7 +244,7 @@
 		targetLifetime: lifetime.New(), targetUp: n.integration != nil,
 	}
 	c.state = member.New(n.memberConfig(), n.record(), rand.New(rand.NewPCG(rand.Uint64(), uint64(n.self.ID))))
-	c.carrier = rpc.NewCarrier(n.calls, n.pool.Submit, func(f func(*member.State, time.Duration)) {
+	c.carrier = rpc.NewActionExecutor(n.calls, n.pool.Submit, func(f func(*member.State, time.Duration)) {
 		c.post(func() { f(c.state, c.now()) })
 	})
 	rec := n.record()
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -67,7 +67,7 @@
 		fields = append(fields, zaplog.Level(h.Level))
 	}
 	if h.Kind == dataplane.HopEntry {
-		fields = append(fields, zaplog.Known(h.KnownLevel))
+		fields = append(fields, zaplog.CalleeLevel(h.KnownLevel))
 	}
 	if h.Queued > 0 {
 		fields = append(fields, zap.Duration("queued", h.Queued))
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -27,7 +27,7 @@
 	t.OnRestore(func(r port.Restore) {
 		n.log.Warn("store came back from a copy", zap.Int64("from_era", r.FromEra), zap.Int64("to_era", r.ToEra),
 			zap.Int64("before", r.Before), zap.Int64("after", r.After))
-		n.metrics.Counters.StoreRewinds.Inc(1)
+		n.metrics.Counters.StoreRestores.Inc(1)
 		n.control.limiter.restores.Add(1)
 		select {
 		case restores <- r:
@@ -38,7 +38,7 @@
 		rejoin(ctx, restores, rejoinJitter, func() error {
 			_, _, err := n.newSeedStore().join(ctx)
 			if err != nil {
-				n.log.Warn("no nodes from the platform", zaplog.Failure(err))
+				n.log.Warn("no nodes from the platform", zaplog.Error(err))
 			}
 			return err
 		})
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -93,7 +93,7 @@
 			n.joinThrough(found)
 		}
 		if err != nil {
-			n.log.Warn("no nodes from the platform", zaplog.Failure(err))
+			n.log.Warn("no nodes from the platform", zaplog.Error(err))
 			round = 0
 		} else if round > 0 && len(found) >= enoughSeeds || round >= maxJoinRounds {
 			return
@@ -205,10 +205,10 @@
 		_ = s.Shutdown(ctx)
 	}
 	if err := n.claims.Close(ctx); err != nil {
-		n.log.Error("claims not settled", zaplog.Failure(err))
+		n.log.Error("claims not settled", zaplog.Error(err))
 	}
 	if err := n.rows.Close(ctx); err != nil {
-		n.log.Error("other nodes' claims not written", zaplog.Failure(err))
+		n.log.Error("other nodes' claims not written", zaplog.Error(err))
 	}
 }
 
@@ -257,7 +257,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	if err := n.tracer.Close(ctx); err != nil {
-		n.log.Warn("traces not exported", zaplog.Failure(err))
+		n.log.Warn("traces not exported", zaplog.Error(err))
 	}
 	_ = n.metrics.Close()
 	_ = n.closeLog()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -22,8 +22,8 @@
 
 // WatchArgs is a child's request for the next version.
 type WatchArgs struct {
-	Ask  configwatch.PollRequest
-	Base int64 // base version of a delta; 0 for the whole set
+	Request configwatch.PollRequest
+	Base    int64 // base version of a delta; 0 for the whole set
 }
 
 // WatchReply is the reply to WatchArgs.
@@ -134,7 +134,7 @@
 		case configwatch.PollPlatform:
 			_ = w.submit(func() { w.pollPlatform(a) })
 		case configwatch.PollPeer:
-			args := WatchArgs{Ask: a.Request, Base: w.conf.state.DeltaBase(w.tenant)}
+			args := WatchArgs{Request: a.Request, Base: w.conf.state.DeltaBase(w.tenant)}
 			_ = w.submit(func() { w.pollPeer(a, args) })
 		case configwatch.SendReply:
 			w.sendReply(a)
@@ -143,7 +143,7 @@
 }
 
 func (w *watcher) pollPlatform(a configwatch.PollPlatform) {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	change, err := w.sets.Next(ctx, a.After, a.Wait)
 	w.post(func() {
@@ -164,7 +164,7 @@
 }
 
 func (w *watcher) pollPeer(a configwatch.PollPeer, args WatchArgs) {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	var reply WatchReply
 	err := w.calls.Call(ctx, a.To.Addr, methodNext, &args, &reply)
@@ -190,7 +190,7 @@
 	}
 	w.lastAskID++
 	w.pending[w.lastAskID] = pendingNext{args: args, ch: ch}
-	w.execute(w.core.HandlePoll(w.now(), w.lastAskID, args.Ask))
+	w.execute(w.core.HandlePoll(w.now(), w.lastAskID, args.Request))
 	return ch
 }
 
@@ -218,7 +218,7 @@
 	if set != nil {
 		size += len(set.Delta) + len(set.Whole)
 	}
-	w.meter.Waive(size)
+	w.meter.Exclude(size)
 }
 
 // logPlatform logs that the platform stopped answering, or for how long it had not
@@ -229,7 +229,7 @@
 	}
 	if err != nil {
 		w.lostAt = time.Now()
-		w.log.Warn("store lost", zaplog.Failure(err))
+		w.log.Warn("store lost", zaplog.Error(err))
 		return
 	}
 	w.log.Info("store regained", zap.Duration("after", time.Since(w.lostAt)))
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -33,21 +33,21 @@
 	p := rpc.NewPool(rpc.DefaultConfig(), called)
 	defer p.Close()
 	ask := func() {
-		args := WatchArgs{Ask: configwatch.PollRequest{Version: 12345}, Base: 12345}
+		args := WatchArgs{Request: configwatch.PollRequest{Version: 12345}, Base: 12345}
 		is.NoErr(p.Call(context.Background(), ln.Addr().String(), methodNext, &args, &WatchReply{}))
 	}
 	ask() // opens the connection
 	for _, m := range []*rpc.Meter{served, called} {
-		m.Take()
+		m.TakeBytes()
 		before := m.Total()
 		ask()
 		cost := int(m.Total() - before)
 		const more = 9
 		for range more {
 			ask()
-			m.Waive(nextBytes)
+			m.Exclude(nextBytes)
 		}
-		left := m.Take() // the cost of the one request that was not waived
+		left := m.TakeBytes() // the cost of the one request that was not waived
 		is.True(left > cost/2 && left < cost*3/2)
 	}
 }
