--- a/bench/e2e/cluster_test.go
+++ b/bench/e2e/cluster_test.go
@@ -35,7 +35,7 @@
 	links         hostLinks
 }
 
-// hostLinks are the network links of a host, by connecting and accepting side.
+// hostLinks are the proxies around a host, by connecting and accepting side.
 type hostLinks struct {
 	entry  *faultproxy.Proxy // callers to the node's caller listener
 	node   *faultproxy.Proxy // other nodes to the node's peer listener
--- a/bench/e2e/cut_test.go
+++ b/bench/e2e/cut_test.go
@@ -246,7 +246,7 @@
 	return min(size, 400)
 }
 
-// measure returns the number of bytes that a query transfers over a link.
+// measure returns the number of bytes that a query transfers through a proxy.
 func (c *cluster) measure(l *faultproxy.Proxy, w faultproxy.Direction, q query) int {
 	c.restore(l, q, "measure")
 	if err := l.Disarm(); err != nil {
@@ -275,7 +275,7 @@
 	return nil
 }
 
-// restore disarms the link and waits until a query completes again.
+// restore disarms the proxy and waits until a query completes again.
 func (c *cluster) restore(l *faultproxy.Proxy, q query, mark string) {
 	c.t.Helper()
 	if err := l.Disarm(); err != nil {
--- a/bench/e2e/payments_test.go
+++ b/bench/e2e/payments_test.go
@@ -118,7 +118,7 @@
 	})
 }
 
-// cutPoint is a hop of a payment, with the links to both targets.
+// cutPoint is a hop of a payment, with the proxies on the way to both targets.
 type cutPoint struct {
 	name  string
 	links []*faultproxy.Proxy
--- a/bench/faults/doc.go
+++ b/bench/faults/doc.go
@@ -3,9 +3,9 @@
 // targets ran.
 //
 // A Lab is a running fleet: three services with two targets each, and nodes that
-// reach each other over links that can be broken. A Scenario injects one failure
-// under load. It returns its measurements as a Row and a violated guarantee as an
-// error. Pass or fail depends on counts and outcomes only; times are just printed.
+// reach each other through proxies that can break connections. A Scenario injects one
+// failure under load. It returns its measurements as a Row and a violated guarantee as
+// an error. Pass or fail depends on counts and outcomes only; times are just printed.
 package faults
 
 import "peardrift/internal/status"
--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -17,7 +17,7 @@
 // Lab is a running fleet. Use it from one goroutine; call Close at the end.
 type Lab struct {
 	Fleet *harness.Fleet
-	// Links holds, by host name, the link through which other nodes reach its node.
+	// Links holds, by host name, the proxy through which other nodes reach its node.
 	Links map[string]*faultproxy.Proxy
 
 	set     string // directory of the configuration set
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// Close ends all processes and links.
+// Close ends all processes and proxies.
 func (l *Lab) Close() {
 	l.Fleet.Close()
 	for _, ln := range l.Links {
--- a/bench/faults/process.go
+++ b/bench/faults/process.go
@@ -83,7 +83,7 @@
 	l.Links[h.Name].Break(faultproxy.Kill)
 }
 
-// startNode restarts a host's node and lets connections through its link again.
+// startNode restarts a host's node and lets connections through its proxy again.
 func (l *Lab) startNode(ctx context.Context, h *harness.Host) error {
 	l.Links[h.Name].Break(faultproxy.Kill) // in case the node exited by itself
 	if err := l.Fleet.StartNode(h); err != nil {
--- a/bench/harness/fleet.go
+++ b/bench/harness/fleet.go
@@ -23,7 +23,7 @@
 	Name, Zone, Service string
 	Target, Node        *Process
 	Addr                Addrs
-	Program             string // target binary; empty: Bins.Target
+	Program             string // target binary; empty: Binaries.Target
 	targetFile          string
 	nodeFile            string
 }
@@ -232,7 +232,7 @@
 	return urls
 }
 
-// Close kills all processes and removes the fleet's files, unless Keep is set.
+// Close kills all processes and removes the fleet's files, unless KeepFiles is set.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if !f.closed {
--- a/bench/overload/overload.go
+++ b/bench/overload/overload.go
@@ -11,9 +11,9 @@
 type Outcome struct {
 	Case          *Case
 	Nodes, Direct *Measured // nil if not run
-	// Predicted and Uncontrolled are the replay's results for the same trace: with the
-	// controls that a node has (admission levels are checked at the entry only), and
-	// without control.
+	// Predicted and PredictedWithoutControl are the replay's results for the same
+	// trace: with the controls that a node has (admission levels are checked at the
+	// entry only), and without control.
 	Predicted, PredictedWithoutControl *replay.Result
 }
 
--- a/bench/overload/size.go
+++ b/bench/overload/size.go
@@ -54,7 +54,7 @@
 type Case struct {
 	Deployment *workload.Deployment
 	Trace      *workload.Trace
-	// Owner maps a service to its tenant if that isn't Dep.Name.
+	// Owner maps a service to its tenant if that isn't Deployment.Name.
 	Owner map[string]string
 }
 
--- a/bench/replay/core.go
+++ b/bench/replay/core.go
@@ -135,7 +135,8 @@
 	return x
 }
 
-// earlyWork identifies a request's class and tenant to a node's early.Chain.
+// earlyWork identifies a request's class and tenant to a node's
+// earlyrefusal.Chain.
 func earlyWork(t *rootRequest) earlyrefusal.WorkKey {
 	return earlyrefusal.WorkKey{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
 }
--- a/bench/replay/policy.go
+++ b/bench/replay/policy.go
@@ -19,7 +19,7 @@
 	Description   string
 	Gate          GateKind
 	CorePick      bool // routing core; else the less loaded of two random targets
-	CoreRetry     bool // allowance per request and budget; else HopTries at each hop
+	CoreRetry     bool // allowance per request and budget; else HopAttempts at each hop
 	HopAttempts   int  // attempts a hop makes without CoreRetry
 	Early         bool // callers refuse by the admission levels that they learned
 	EarlyEntry    bool // early refusal only at the entry node, not for child calls
--- a/bench/replay/recorder.go
+++ b/bench/replay/recorder.go
@@ -54,8 +54,8 @@
 	latencySum   time.Duration // of served users that arrived before the trigger phase
 }
 
-// amplification counts attempts at the deployment's Deep service, and how many of them
-// exceed one per call.
+// amplification counts attempts at the deployment's DownstreamService, and how many of
+// them exceed one per call.
 type amplification struct {
 	attempts int
 	extra    int
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -15,14 +15,14 @@
 	NormalGoodput    float64   // mean goodput before the trigger phase
 	TriggerGoodput   float64   // mean goodput in the trigger phase
 	BestGoodput      float64   // highest mean goodput that the slots allow in the trigger phase
-	BlindBestGoodput float64   // Best without knowing in advance which requests will end in time
+	BlindBestGoodput float64   // BestGoodput without knowing in advance which requests will end in time
 	Recovery         time.Duration
 	Recovered        bool
 	MeanLatency      time.Duration // mean response time before the trigger phase
 	WastedFraction   float64       // fraction of slot time spent on requests that did not complete
 	RefusedImportant int           // number of refused calls of important classes
 	Inverted         int           // those refused while the service completed a less important call
-	AttemptsPerCall  float64       // at the Deep service, per first attempt of a call
+	AttemptsPerCall  float64       // at the DownstreamService, per first attempt of a call
 	MaxExtraAttempts int           // most attempts of one root request beyond one per call, over all services
 	Counts           map[string]int
 }
@@ -146,7 +146,8 @@
 	return 1
 }
 
-// FractionOfBest returns the goodput in the trigger phase as a fraction of Best.
+// FractionOfBest returns the goodput in the trigger phase as a fraction of
+// BestGoodput.
 func (r *Result) FractionOfBest() float64 {
 	if r.BestGoodput == 0 {
 		return 1
@@ -154,7 +155,8 @@
 	return r.TriggerGoodput / r.BestGoodput
 }
 
-// FractionOfBlindBest returns the goodput in the trigger phase as a fraction of Blind.
+// FractionOfBlindBest returns the goodput in the trigger phase as a fraction of
+// BlindBestGoodput.
 func (r *Result) FractionOfBlindBest() float64 {
 	if r.BlindBestGoodput == 0 {
 		return 1
@@ -168,7 +170,7 @@
 	return r.leastImportant(func(c *ClassResult) float64 { return c.Served })
 }
 
-// ImportantServedFirst is like Important for requests served at the first attempt.
+// ImportantServedFirst is like ImportantServed for requests served at the first attempt.
 func (r *Result) ImportantServedFirst() float64 {
 	return r.leastImportant(func(c *ClassResult) float64 { return c.ServedFirst })
 }
--- a/bench/replay/target.go
+++ b/bench/replay/target.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// recordServices records the services that a request calls in the node's early.Chain,
-// each once.
+// recordServices records the services that a request calls in the node's
+// earlyrefusal.Chain, each once.
 func (n *node) recordServices(a *attempt) {
 	for _, c := range a.children {
 		o := n.outbound(c.spec.Service)
--- a/bench/replay/workload/capacity.go
+++ b/bench/replay/workload/capacity.go
@@ -42,10 +42,10 @@
 	capacitySeed    = 1
 )
 
-// EstimateSlotTime estimates by sampling the slot time per completed request of a class without
-// queueing, which is the minimum. Requests that exceed cond.Within are left out or, if
-// cond.Blind is set, add the slot time until they time out. The second result is the
-// fraction of requests that end in time.
+// EstimateSlotTime estimates by sampling the slot time per completed request of a class
+// without queueing, which is the minimum. Requests that exceed cond.Timeout are left out
+// or, if cond.CountTimedOut is set, add the slot time until they time out. The second
+// result is the fraction of requests that end in time.
 func (d *Deployment) EstimateSlotTime(c *Class, cond Condition) (SlotTime, float64) {
 	rng := rand.New(rand.NewPCG(capacitySeed, uint64(c.Importance)))
 	hold, ended := SlotTime{}, 0
@@ -117,9 +117,9 @@
 
 // BestGoodput returns the highest possible goodput by class, in requests per second, for a
 // demand by class. It assumes a policy that serves classes in order of importance and,
-// unless cond.Blind is set, knows in advance which requests end in time. Within one
-// importance, tenants have equal shares and lend what they don't need; the classes of
-// one tenant share in proportion to demand.
+// unless cond.CountTimedOut is set, knows in advance which requests end in time. Within
+// one importance, tenants have equal shares and lend what they don't need; the classes
+// of one tenant share in proportion to demand.
 func (d *Deployment) BestGoodput(demand map[string]float64, cond Condition) map[string]float64 {
 	left := map[string]float64{}
 	for _, s := range d.Services {
--- a/bench/replay/workload/scenario.go
+++ b/bench/replay/workload/scenario.go
@@ -133,8 +133,8 @@
 
 const replacementOverlap = 2 * time.Second
 
-// lossFaults crashes all targets of the Deep service but one, and starts new ones at the
-// end of the trigger phase.
+// lossFaults crashes all targets of the DownstreamService but one, and starts new ones at
+// the end of the trigger phase.
 func (d *Deployment) lossFaults(l PhaseDurations) []Event {
 	var out []Event
 	for i := range d.Services {
--- a/bench/scale/config.go
+++ b/bench/scale/config.go
@@ -111,7 +111,7 @@
 	n.State.SetPiggybackHandler(n.config)
 }
 
-// Request, Answer and Take piggyback configuration messages on heartbeats.
+// Request, Reply and HandleReply piggyback configuration messages on heartbeats.
 func (c *nodeConfig) Request(room int) []byte { return c.state.PiggybackQuery(room) }
 
 func (c *nodeConfig) Reply(question []byte, room int) []byte {
@@ -149,7 +149,8 @@
 	f.applyConfigActions(n, c.state.Tick(f.Now))
 }
 
-// sharedPeers holds one node's view of the members as the peer lists that inforce takes.
+// sharedPeers holds one node's view of the members as the peer lists that configsync
+// takes.
 type sharedPeers struct {
 	view *member.View
 	all  []configsync.Peer
--- a/bench/scale/fleet_test.go
+++ b/bench/scale/fleet_test.go
@@ -76,7 +76,7 @@
 
 // Guards against overloading the platform when each node reads for itself: after an outage
 // of two minutes, and when all nodes of a zone or of the fleet start at once. The last
-// case is bounded by inforce.Config.ColdReads.
+// case is bounded by configsync.Config.PlatformStartRate.
 func TestPlatformReadsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const tenants, limit = 5, time.Minute
--- a/bench/scale/scenario.go
+++ b/bench/scale/scenario.go
@@ -11,7 +11,7 @@
 // WarmUp is the time that a new fleet runs before measurements.
 const WarmUp = 10 * time.Second
 
-// New returns a fleet that has run for Warm.
+// New returns a fleet that has run for WarmUp.
 func New(cfg member.Config, members int, seed uint64) *Fleet {
 	f := NewFleet(cfg, TargetLayout(members), seed)
 	f.Run(WarmUp)
@@ -265,8 +265,8 @@
 	Peak   Cost
 }
 
-// MeasureZoneReturn restarts the nodes that LoseZone killed, all at once, with their old records
-// and a new incarnation.
+// MeasureZoneReturn restarts the nodes that MeasureZoneLoss killed, all at once, with
+// their old records and a new incarnation.
 func (f *Fleet) MeasureZoneReturn(limit time.Duration) ZoneReturn {
 	var back []*Node
 	for _, n := range f.Nodes[:len(f.Nodes):len(f.Nodes)] {
--- a/bench/standin/client/client.go
+++ b/bench/standin/client/client.go
@@ -48,7 +48,7 @@
 	nextURL    atomic.Uint64 // attempts so far, for round robin over the URLs
 }
 
-// openLoop sends each request when it is due, up to MaxOpen requests in flight.
+// openLoop sends each request when it is due, up to MaxInFlight requests in flight.
 func (r *runner) openLoop(ctx context.Context, i int, c Class) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/bench/standin/client/config.go
+++ b/bench/standin/client/config.go
@@ -17,7 +17,7 @@
 	// Seed seeds arrivals, backoff and request marks.
 	Seed uint64
 	// MaxInFlight bounds the open-loop requests in flight; arrivals above it are
-	// counted in Stats.Overrun and not sent. Default 10,000.
+	// counted in Stats.Unsent and not sent. Default 10,000.
 	MaxInFlight int
 	// Observe, if set, is called after each attempt, concurrently.
 	Observe func(Attempt)
--- a/bench/standin/client/report.go
+++ b/bench/standin/client/report.go
@@ -49,7 +49,7 @@
 // its last attempt.
 type Stats struct {
 	Sent       int64
-	Unsent     int64 // arrivals not sent because of Config.MaxOpen
+	Unsent     int64 // arrivals not sent because of Config.MaxInFlight
 	Attempts   int64
 	Degraded   int64
 	ByResult   map[Result]int64
--- a/bench/standin/target/calls.go
+++ b/bench/standin/target/calls.go
@@ -30,7 +30,7 @@
 	count      *counters
 
 	mu  sync.Mutex
-	rng *rand.Rand // decides whether calls with a Chance are made
+	rng *rand.Rand // decides whether calls with a Probability are made
 }
 
 func newCaller(cfg Config, count *counters) *caller {
@@ -69,7 +69,7 @@
 	return results, nil
 }
 
-// drawCalls randomly selects the calls that a run makes, by their Chance.
+// drawCalls randomly selects the calls that a run makes, by their Probability.
 func (c *caller) drawCalls(calls []Call) []Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/adapter/rpc/claims.go
+++ b/internal/adapter/rpc/claims.go
@@ -26,7 +26,7 @@
 }
 
 // NewClaimsService returns a service that passes ops to serve, on net/rpc's
-// goroutines. Their bytes are excluded from the meter's Take.
+// goroutines. Their bytes are excluded from the meter's TakeBytes.
 func NewClaimsService(serve func(context.Context, *sharedrows.Op) sharedrows.Answer, meter *Meter) *ClaimsService {
 	return &ClaimsService{serve: serve, meter: meter}
 }
@@ -61,7 +61,7 @@
 // SetNodeCount sets the number of nodes in the fleet.
 func (p *ClaimPeers) SetNodeCount(n int) { p.oneShot.Store(n > maxPooledNodes) }
 
-// Submit implements shared.Peers.
+// Submit implements sharedrows.Peers.
 func (p *ClaimPeers) Submit(ctx context.Context, addr string, op *sharedrows.Op) (sharedrows.Answer, error) {
 	call := p.pool.Call
 	if p.oneShot.Load() {
--- a/internal/adapter/rpc/doc.go
+++ b/internal/adapter/rpc/doc.go
@@ -2,11 +2,12 @@
 // MessagePack codec over long-lived TCP connections.
 //
 // A Server answers calls of other processes: Register adds services, Serve
-// accepts connections. A Pool calls other nodes. A Carrier executes the actions
-// of a member.State over a Pool and passes outcomes back to the goroutine that
-// owns the State; GossipService is the receiving side. ClaimPeers sends claim
-// operations to the nodes that batch their rows; ClaimsService receives them. A
-// Meter counts the bytes on the wire of all of these.
+// accepts connections. A Pool calls other nodes. An ActionExecutor
+// executes the actions of a member.State over a Pool and passes outcomes back to
+// the goroutine that owns the State; GossipService is the receiving side.
+// ClaimPeers sends claim operations to the nodes that batch their rows;
+// ClaimsService receives them. A Meter counts the bytes on the wire of all of
+// these.
 //
 // All types are safe for concurrent use. Failures are *status.Error:
 // connection-lost when a peer can't be reached or closed the connection,
--- a/internal/adapter/rpc/gossip.go
+++ b/internal/adapter/rpc/gossip.go
@@ -45,9 +45,10 @@
 	post   func(func(s *member.State, now time.Duration))
 }
 
-// NewActionExecutor returns a Carrier. submit runs a function on another goroutine and
-// fails if none is available (such as Submit of an ants pool); post runs a
-// function with the current time on the goroutine that owns the State.
+// NewActionExecutor returns an executor that sends calls over pool. submit runs a
+// function on another goroutine and fails if none is available (such as Submit of an
+// ants pool); post runs a function with the current time on the goroutine that owns
+// the State.
 func NewActionExecutor(pool *Pool, submit func(func()) error, post func(func(*member.State, time.Duration))) *ActionExecutor {
 	return &ActionExecutor{pool: pool, submit: submit, post: post}
 }
--- a/internal/adapter/rpc/meter.go
+++ b/internal/adapter/rpc/meter.go
@@ -35,13 +35,13 @@
 // Calls returns the number of calls answered or made since the start.
 func (m *Meter) Calls() int64 { return m.calls.Load() }
 
-// TakeBytes returns the bytes counted since the last Take; pass them to
+// TakeBytes returns the bytes counted since its last call; pass them to
 // member.State.Spend.
 func (m *Meter) TakeBytes() int { return max(0, int(m.sinceTake.Swap(0))) }
 
 // Exclude excludes an answered call, given the bytes of its request and reply,
-// from what Take returns. Calls on behalf of tenants' traffic must not use up the
-// bandwidth budget of membership gossip.
+// from what TakeBytes returns. Calls on behalf of tenants' traffic must not use up
+// the bandwidth budget of membership gossip.
 func (m *Meter) Exclude(bytes int) {
 	m.sinceTake.Add(-int64(bytes + (2*packets(bytes)+1)*packetHeaderBytes))
 }
--- a/internal/adapter/yamlset/decode.go
+++ b/internal/adapter/yamlset/decode.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// integer decodes whole numbers of 32 bits; confset checks tighter bounds.
+// integer decodes whole numbers of 32 bits; configset checks tighter bounds.
 func (d *decoder) integer(dst *int) func(ast.Node, string) {
 	return func(n ast.Node, field string) {
 		v, ok := wholeNumber(n)
--- a/internal/core/configwatch/message.go
+++ b/internal/core/configwatch/message.go
@@ -33,7 +33,7 @@
 
 // PollPlatform polls the platform for a version above After, waiting there up to
 // Wait. The caller reports the outcome with HandlePlatformReply or HandleFailure
-// within Limit.
+// within Timeout.
 type PollPlatform struct {
 	ID            uint64
 	After         int64
@@ -41,7 +41,7 @@
 }
 
 // PollPeer sends Request to a peer. The caller reports the outcome with HandleReply
-// or HandleFailure within Limit.
+// or HandleFailure within Timeout.
 type PollPeer struct {
 	ID      uint64
 	To      Peer
--- a/internal/msgpackutil/mpack.go
+++ b/internal/msgpackutil/mpack.go
@@ -1,4 +1,4 @@
-// Package mpack decodes untrusted MessagePack: rows and objects of the platform,
+// Package msgpackutil decodes untrusted MessagePack: rows and objects of the platform,
 // and data that peers forward in their messages.
 package msgpackutil
 
