--- a/bench/cmd/claims/main.go
+++ b/bench/cmd/claims/main.go
@@ -33,7 +33,7 @@
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|")
 	var boundErr error
 	for _, rate := range o.Rates {
-		ownRows := measurement{}
+		singleRows := measurement{}
 		for _, sharedRows := range []bool{false, true} {
 			if !sharedRows && o.Skip {
 				continue
@@ -44,9 +44,9 @@
 			}
 			fmt.Println(r)
 			if boundErr == nil {
-				boundErr = r.check(ownRows, o.Bound)
+				boundErr = r.check(singleRows, o.Bound)
 			}
-			ownRows = r
+			singleRows = r
 		}
 	}
 	return boundErr
--- a/bench/cmd/claims/measure.go
+++ b/bench/cmd/claims/measure.go
@@ -57,18 +57,18 @@
 		quantile(r.claimLatencies, 0.5), quantile(r.claimLatencies, 0.99), quantile(r.answerLatencies, 0.5), quantile(r.answerLatencies, 0.99))
 }
 
-// check compares the cost with shared rows to own, the previous measurement with a row per
-// claim. Calls may fail in own, since a row per claim can't sustain every rate.
-func (r measurement) check(own measurement, bound float64) error {
+// check compares the cost with shared rows to single, the previous measurement with a row
+// per claim. Calls may fail in single, since a row per claim can't sustain every rate.
+func (r measurement) check(single measurement, bound float64) error {
 	if !r.sharedRows {
 		return nil
 	}
 	if r.failed > 0 {
 		return status.New(CodeOverBound, "at %g calls/s %d of %d calls did not complete", r.rate, r.failed, r.calls)
 	}
-	if own.calls > 0 && r.writesPerCall() > bound*own.writesPerCall() {
+	if single.calls > 0 && r.writesPerCall() > bound*single.writesPerCall() {
 		return status.New(CodeOverBound, "at %g calls/s a call costs %.2f writes, more than %.2f times %.2f",
-			r.rate, r.writesPerCall(), bound, own.writesPerCall())
+			r.rate, r.writesPerCall(), bound, single.writesPerCall())
 	}
 	return nil
 }
--- a/bench/cmd/slopes/sections.go
+++ b/bench/cmd/slopes/sections.go
@@ -22,7 +22,7 @@
 	{"memory", "Memory of one node's membership, each state with its own records (bytes)", printMemory},
 	{"cost", "Cost a node and second, at rest, on an ordinary day's churn (2 x 2,138 changes a day at any size), and with ten times the mean of configuration heads (2.3 a second)", printCost},
 	{"spread", "Seconds until news is known to 50 / 99 / 100% of the members (worst of the trials)", printSpread},
-	{"busy", "A busy minute, ten times the mean of changes, with membership and configuration under one budget; at rest and from a zone's loss on", printBusy},
+	{"busy", "A busy minute, ten times the mean of changes, with membership and configuration under one budget; at rest and from a zone's loss on", printChanges},
 	{"zone", "A zone (1/9 of the members) lost at once, and back at once", printZone},
 	{"reads", "What the configuration reads of the platform, rows and objects, 5 tenants", printReads},
 	{"region", "A region apart, with changes on both sides, and healed", printRegion},
@@ -133,7 +133,7 @@
 	}
 }
 
-func printBusy(o *options) {
+func printChanges(o *options) {
 	t := newTable("members", "tenants", "zone lost", "changes", "longest until in force everywhere", "bytes/s mean", "p99", "max", "processor us/s", "dearest 10 s, mean")
 	for _, n := range o.Sizes {
 		for _, c := range []struct {
@@ -148,13 +148,13 @@
 			if c.lost {
 				f.KillZone("zone-4")
 			}
-			b, err := f.MeasureChanges(o.duration(20*time.Second, time.Minute), headInterval, time.Minute)
+			cost, err := f.MeasureChanges(o.duration(20*time.Second, time.Minute), headInterval, time.Minute)
 			if err != nil {
 				t.row(n, c.tenants, c.lost, err)
 				continue
 			}
-			row := append([]any{n, c.tenants, c.lost, b.Changes, seconds(b.MaxDelay)}, costCells(b.Cost)...)
-			t.row(append(row, fmt.Sprintf("%.0f", b.Peak.BytesMean))...)
+			row := append([]any{n, c.tenants, c.lost, cost.Changes, seconds(cost.MaxDelay)}, costCells(cost.Cost)...)
+			t.row(append(row, fmt.Sprintf("%.0f", cost.Peak.BytesMean))...)
 		}
 	}
 }
--- a/bench/e2e/cancel_test.go
+++ b/bench/e2e/cancel_test.go
@@ -69,7 +69,7 @@
 func (c *cluster) sendAndCancel(q query, mark string, after time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+c.hosts[0].links.entry.Addr()+q.path, nil)
+	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+c.hosts[0].proxies.entry.Addr()+q.path, nil)
 	if err != nil {
 		return
 	}
--- a/bench/e2e/cluster_test.go
+++ b/bench/e2e/cluster_test.go
@@ -32,11 +32,11 @@
 	nodes         *hertzhttp.Server
 	egress        *hertzhttp.Server
 	entry         *hertzhttp.Server
-	links         hostLinks
+	proxies       hostProxies
 }
 
-// hostLinks are the proxies around a host, by connecting and accepting side.
-type hostLinks struct {
+// hostProxies are the proxies around a host, by connecting and accepting side.
+type hostProxies struct {
 	entry  *faultproxy.Proxy // callers to the node's caller listener
 	node   *faultproxy.Proxy // other nodes to the node's peer listener
 	target *faultproxy.Proxy // the node to its target's listener
@@ -73,8 +73,8 @@
 	h := &host{name: name, svc: request.Service(cfg.Service)}
 	var relay relayHandler
 	h.egress = c.listen(relay.serve)
-	h.links.egress = c.link(h.egress.Addr())
-	cfg.Node = "http://" + h.links.egress.Addr()
+	h.proxies.egress = c.startProxy(h.egress.Addr())
+	cfg.Node = "http://" + h.proxies.egress.Addr()
 	h.target = target.New(cfg)
 	if err := h.target.Start(); err != nil {
 		c.t.Fatal(err)
@@ -87,15 +87,15 @@
 
 // addNode starts a node for the target at an address.
 func (c *cluster) addNode(h *host, target string, cl dataplane.Claims) {
-	h.links.target = c.link(target)
+	h.proxies.target = c.startProxy(target)
 	if cl == nil {
 		cl = noClaims{}
 	}
 	h.engine = c.engine(h, cl)
 	h.nodes = c.listen(h.engine.ServeNode)
-	h.links.node = c.link(h.nodes.Addr())
+	h.proxies.node = c.startProxy(h.nodes.Addr())
 	h.entry = c.listen(h.engine.ServeCaller)
-	h.links.entry = c.link(h.entry.Addr())
+	h.proxies.entry = c.startProxy(h.entry.Addr())
 	c.hosts = append(c.hosts, h)
 }
 
@@ -103,7 +103,7 @@
 	self := dataplane.Self{
 		Name: h.name, ID: request.TargetIDOf(h.name), Service: h.svc, Tenant: "khaosan",
 		Place:  route.Locality{Caller: uint64(request.TargetIDOf(h.name)), Region: "r", Zone: "z"},
-		Target: h.links.target.Addr(),
+		Target: h.proxies.target.Addr(),
 	}
 	dc := dataplane.DefaultConfig()
 	if c.tuneEngine != nil {
@@ -127,7 +127,7 @@
 	return dataplane.New(dc, self, peers, local, cl, c.observer)
 }
 
-func (c *cluster) link(to string) *faultproxy.Proxy {
+func (c *cluster) startProxy(to string) *faultproxy.Proxy {
 	l, err := faultproxy.Listen(to)
 	if err != nil {
 		c.t.Fatal(err)
@@ -163,7 +163,7 @@
 		info, _ := c.index.Service(h.svc)
 		peers[h.svc] = append(peers[h.svc], dataplane.Peer{
 			Target: route.Target{ID: request.TargetIDOf(h.name), Incarnation: 1, Region: "r", Zone: "z", Slots: info.Slots, Conns: info.Connections},
-			Addr:   h.links.node.Addr(),
+			Addr:   h.proxies.node.Addr(),
 		})
 	}
 	v := dataplane.View{
--- a/bench/e2e/cut_test.go
+++ b/bench/e2e/cut_test.go
@@ -40,7 +40,7 @@
 	if q.chunked {
 		body = struct{ io.Reader }{body}
 	}
-	req, err := http.NewRequest(q.method, "http://"+entry.links.entry.Addr()+q.path, body)
+	req, err := http.NewRequest(q.method, "http://"+entry.proxies.entry.Addr()+q.path, body)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -150,8 +150,8 @@
 
 // hop is a connection on the path of a query.
 type hop struct {
-	name string
-	link *faultproxy.Proxy
+	name  string
+	proxy *faultproxy.Proxy
 }
 
 // Guards against a request that ran being reported as not run, a partial or wrong
@@ -177,11 +177,11 @@
 			c.tuneEngine = retryBrokenPeersAtOnce
 			c.startChain(tt.size)
 			for _, hop := range tt.hops(c.hosts[0], c.hosts[1], c.hosts[2]) {
-				for _, w := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
-					for _, how := range []faultproxy.Fault{faultproxy.Reset, faultproxy.CloseGracefully, faultproxy.Kill} {
-						t.Run(fmt.Sprintf("%s/%s/%s", hop.name, w, how), func(t *testing.T) {
+				for _, d := range []faultproxy.Direction{faultproxy.Request, faultproxy.Answer} {
+					for _, fault := range []faultproxy.Fault{faultproxy.Reset, faultproxy.CloseGracefully, faultproxy.Kill} {
+						t.Run(fmt.Sprintf("%s/%s/%s", hop.name, d, fault), func(t *testing.T) {
 							c.t = t
-							if err := c.testCuts(hop.link, w, how, tt.q); err != nil {
+							if err := c.testCuts(hop.proxy, d, fault, tt.q); err != nil {
 								t.Fatal(err)
 							}
 						})
@@ -194,29 +194,29 @@
 
 func wholeChain(feed, archive, media *host) []hop {
 	return []hop{
-		{"caller to entry", feed.links.entry}, {"entry to node", feed.links.node},
-		{"node to target", feed.links.target}, {"target to node", feed.links.egress},
-		{"second node", archive.links.node}, {"second target", archive.links.target},
-		{"third node", media.links.node}, {"third target", media.links.target},
+		{"caller to entry", feed.proxies.entry}, {"entry to node", feed.proxies.node},
+		{"node to target", feed.proxies.target}, {"target to node", feed.proxies.egress},
+		{"second node", archive.proxies.node}, {"second target", archive.proxies.target},
+		{"third node", media.proxies.node}, {"third target", media.proxies.target},
 	}
 }
 
 func oneService(feed, _, media *host) []hop {
 	return []hop{
-		{"caller to entry", feed.links.entry}, {"entry to node", media.links.node}, {"node to target", media.links.target},
+		{"caller to entry", feed.proxies.entry}, {"entry to node", media.proxies.node}, {"node to target", media.proxies.target},
 	}
 }
 
 // testCuts sends the query repeatedly, with a cut at a later offset each time, and
 // returns the first violation.
-func (c *cluster) testCuts(l *faultproxy.Proxy, w faultproxy.Direction, how faultproxy.Fault, q query) error {
+func (c *cluster) testCuts(p *faultproxy.Proxy, d faultproxy.Direction, fault faultproxy.Fault, q query) error {
 	const cuts = 4
-	size := c.measure(l, w, q)
+	size := c.measure(p, d, q)
 	hits := 0
 	for _, at := range cutOffsets(size, estimateHeadSize(q, size), cuts) {
-		mark := fmt.Sprintf("%s-%s-%s-%d", c.t.Name(), w, how, at)
+		mark := fmt.Sprintf("%s-%s-%s-%d", c.t.Name(), d, fault, at)
 		before := c.totalRuns()
-		cutDone := l.Arm(faultproxy.Cut{Direction: w, After: at, Fault: how})
+		cutDone := p.Arm(faultproxy.Cut{Direction: d, After: at, Fault: fault})
 		to, err := c.sendQuery(c.hosts[0], q, mark)
 		c.waitIdle()
 		select {
@@ -230,7 +230,7 @@
 		if err != nil {
 			return fmt.Errorf("cut after byte %d: %w", at, err)
 		}
-		c.restore(l, q, mark+"-after")
+		c.restore(p, q, mark+"-after")
 	}
 	if hits == 0 {
 		c.t.Fatal("no cut hit a connection")
@@ -247,16 +247,16 @@
 }
 
 // measure returns the number of bytes that a query transfers through a proxy.
-func (c *cluster) measure(l *faultproxy.Proxy, w faultproxy.Direction, q query) int {
-	c.restore(l, q, "measure")
-	if err := l.Disarm(); err != nil {
+func (c *cluster) measure(p *faultproxy.Proxy, d faultproxy.Direction, q query) int {
+	c.restore(p, q, "measure")
+	if err := p.Disarm(); err != nil {
 		c.t.Fatal(err)
 	}
 	if _, err := c.sendQuery(c.hosts[0], q, c.t.Name()+"-measure"); err != nil {
 		c.t.Fatal(err)
 	}
 	c.waitIdle()
-	return l.PassedBytes(w)
+	return p.PassedBytes(d)
 }
 
 // checkOutcome checks the result reported to the caller against the runs.
@@ -276,9 +276,9 @@
 }
 
 // restore disarms the proxy and waits until a query completes again.
-func (c *cluster) restore(l *faultproxy.Proxy, q query, mark string) {
+func (c *cluster) restore(p *faultproxy.Proxy, q query, mark string) {
 	c.t.Helper()
-	if err := l.Disarm(); err != nil {
+	if err := p.Disarm(); err != nil {
 		c.t.Fatal(err)
 	}
 	n := 0
--- a/bench/e2e/framing_test.go
+++ b/bench/e2e/framing_test.go
@@ -74,7 +74,7 @@
 	c := newCluster(t, threeServices())
 	c.addHost("media-1", chainConfig("media.khaosan", 500_000), nil)
 	c.publish()
-	c.hosts[0].links.target.Arm(faultproxy.Cut{Direction: faultproxy.Answer, After: 250_000, Fault: faultproxy.Reset})
+	c.hosts[0].proxies.target.Arm(faultproxy.Cut{Direction: faultproxy.Answer, After: 250_000, Fault: faultproxy.Reset})
 	to, err := c.sendQuery(c.hosts[0], query{method: http.MethodPost, host: "media.khaosan", path: "/pay", keyed: true, body: 10}, "broken")
 	is.NoErr(err)
 	is.Equal(to.outcome, "unknown")
@@ -114,7 +114,7 @@
 	c.observer = seen
 	c.addHost("media-1", chainConfig("media.khaosan", 1_000_000), nil)
 	c.publish()
-	c.hosts[0].links.target.Arm(faultproxy.Cut{Direction: faultproxy.Answer, After: 500_000, Fault: faultproxy.Reset})
+	c.hosts[0].proxies.target.Arm(faultproxy.Cut{Direction: faultproxy.Answer, After: 500_000, Fault: faultproxy.Reset})
 	to, err := c.sendQuery(c.hosts[0], query{method: http.MethodGet, host: "media.khaosan", path: "/m"}, "broken")
 	is.NoErr(err)
 	is.Equal(to.outcome, "") // the caller saw the connection break
--- a/bench/e2e/payments_test.go
+++ b/bench/e2e/payments_test.go
@@ -120,17 +120,17 @@
 
 // cutPoint is a hop of a payment, with the proxies on the way to both targets.
 type cutPoint struct {
-	name  string
-	links []*faultproxy.Proxy
+	name    string
+	proxies []*faultproxy.Proxy
 	// answerKept reports that the target's node has the answer despite a cut at this
 	// hop, so that repeats must eventually get its outcome.
 	answerKept bool
 }
 
 func (p *payments) cutPoints() []cutPoint {
-	a, b := p.hosts[1].links, p.hosts[2].links
+	a, b := p.hosts[1].proxies, p.hosts[2].proxies
 	return []cutPoint{
-		{"caller to entry", []*faultproxy.Proxy{p.hosts[0].links.entry}, true},
+		{"caller to entry", []*faultproxy.Proxy{p.hosts[0].proxies.entry}, true},
 		{"entry to node", []*faultproxy.Proxy{a.node, b.node}, true},
 		{"node to target", []*faultproxy.Proxy{a.target, b.target}, false},
 	}
@@ -139,14 +139,14 @@
 // cutAndResend sends a key with a cut armed at a hop, disarms it and resends the key
 // through all entry nodes.
 func (p *payments) cutAndResend(pl cutPoint, cut faultproxy.Cut, key string) error {
-	for _, l := range pl.links {
+	for _, l := range pl.proxies {
 		l.Arm(cut)
 	}
 	_, err := p.sendAndCheck(p.hosts[0], key)
 	if err != nil {
 		return err
 	}
-	for _, l := range pl.links {
+	for _, l := range pl.proxies {
 		if err := l.Disarm(); err != nil {
 			return err
 		}
--- a/bench/e2e/scripted_test.go
+++ b/bench/e2e/scripted_test.go
@@ -142,7 +142,7 @@
 	c.publish()
 	for _, chunked := range []bool{false, true} {
 		for _, after := range []int{20_000, 100_000, 399_000} {
-			cutDone := h.links.entry.Arm(faultproxy.Cut{After: after})
+			cutDone := h.proxies.entry.Arm(faultproxy.Cut{After: after})
 			q := query{method: "POST", host: "media.khaosan", path: "/m", body: whole, chunked: chunked}
 			if to, err := c.sendQuery(h, q, "cut"); err != nil || to.outcome == "completed" {
 				t.Fatal(to.outcome, err)
--- a/bench/e2e/shared_test.go
+++ b/bench/e2e/shared_test.go
@@ -95,7 +95,7 @@
 		b.t.Fatal(err)
 	}
 	go func() { _ = server.Serve(ln) }()
-	b.control, b.rows = append(b.control, b.link(ln.Addr().String())), append(b.rows, rows)
+	b.control, b.rows = append(b.control, b.startProxy(ln.Addr().String())), append(b.rows, rows)
 	runner := claims.New(rows, pool, claims.DefaultConfig(), zap.NewNop(), tally.NoopScope)
 	b.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/bench/e2e/silent_test.go
+++ b/bench/e2e/silent_test.go
@@ -53,9 +53,9 @@
 				t.Parallel()
 				is := is.New(t)
 				c := startChainWithoutDeadlines(t, tt.size)
-				l := c.hosts[2].links.node
+				l := c.hosts[2].proxies.node
 				if peerKind == "target" {
-					l = c.hosts[2].links.target
+					l = c.hosts[2].proxies.target
 				}
 				c.restore(l, tt.q, "before")
 				before := c.totalRuns()
@@ -86,7 +86,7 @@
 		wg.Go(func() { _, _ = c.sendQuery(c.hosts[0], q, fmt.Sprint("warm-", n)) })
 	}
 	wg.Wait()
-	c.hosts[2].links.node.Break(faultproxy.Blackhole)
+	c.hosts[2].proxies.node.Break(faultproxy.Blackhole)
 	lost := 0
 	for n := range 20 {
 		to, err := c.sendQuery(c.hosts[0], q, fmt.Sprint("mark-", n))
@@ -115,7 +115,7 @@
 		wg.Go(func() { _, _ = c.sendQuery(c.hosts[0], q, fmt.Sprint("warm-", n)) })
 	}
 	wg.Wait()
-	l := c.hosts[2].links.target
+	l := c.hosts[2].proxies.target
 	l.Break(faultproxy.Blackhole)
 	silent := l.OpenConns()
 	stuck := make(chan struct{})
@@ -179,7 +179,7 @@
 			c := newCluster(t, threeServicesWithin(noDeadline))
 			c.tuneEngine = func(dc *dataplane.Config) { dc.UploadTimeout, dc.AbandonAfter = noDeadline, testAbandonAfter }
 			c.startChain(32 << 20)
-			cutDone := c.hosts[2].links.node.Arm(tt.cut)
+			cutDone := c.hosts[2].proxies.node.Arm(tt.cut)
 			to, err := c.sendQuery(c.hosts[0], tt.q, "lost")
 			is.NoErr(err)
 			is.True(to.outcome != "completed" && to.outcome != "refused")
--- a/bench/e2e/unsafe_transport_test.go
+++ b/bench/e2e/unsafe_transport_test.go
@@ -45,7 +45,7 @@
 			c.tuneEngine, c.wrapTransport = retryBrokenPeersAtOnce, wrap
 			c.startChain(300)
 			q := query{method: "POST", host: "media.khaosan", path: "/pay", keyed: true, body: 300}
-			for _, l := range []*faultproxy.Proxy{c.hosts[2].links.node, c.hosts[2].links.target} {
+			for _, l := range []*faultproxy.Proxy{c.hosts[2].proxies.node, c.hosts[2].proxies.target} {
 				err := c.testCuts(l, faultproxy.Answer, faultproxy.Reset, q)
 				if err == nil {
 					t.Fatal("no violation detected")
--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -109,11 +109,11 @@
 	if err := l.writeSet(l.set, configSet); err != nil {
 		return err
 	}
-	var linkErr error
+	var proxyErr error
 	l.Fleet.TuneNode = func(h *harness.Host, s *settings.Settings) {
 		ln, err := faultproxy.Listen(h.Addr.Nodes)
 		if err != nil {
-			linkErr = err
+			proxyErr = err
 			return
 		}
 		l.Links[h.Name] = ln
@@ -126,8 +126,8 @@
 		c.Dist, c.RunsFile = target.DistFixed, filepath.Join(l.Fleet.Dir, h.Name+runsSuffix)
 		c.AlwaysHealthy = h.Name == drainHost // a drain must be noticed without the health endpoint
 	}
-	if err := l.Fleet.Add(deployment()); err != nil || linkErr != nil {
-		return firstError(err, linkErr)
+	if err := l.Fleet.Add(deployment()); err != nil || proxyErr != nil {
+		return firstError(err, proxyErr)
 	}
 	if err := l.Fleet.Start(); err != nil {
 		return err
--- a/bench/harness/wait.go
+++ b/bench/harness/wait.go
@@ -34,15 +34,15 @@
 func (f *Fleet) WaitReady(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, h := range f.Hosts {
-		ended := false
+		exited := false
 		ready := func() bool {
-			ended = h.Node.Exited()
-			return ended || status2xx("http://"+h.Addr.Ops+"/ready")
+			exited = h.Node.Exited()
+			return exited || status2xx("http://"+h.Addr.Ops+"/ready")
 		}
 		if err := f.waitUntil(time.Until(end), ready); err != nil {
 			return status.Wrap(CodeHarness, err, "%s is not ready, see %s", h.Name, h.Node.Log)
 		}
-		if ended {
+		if exited {
 			return status.New(CodeHarness, "%s exited with code %d, see %s", h.Name, h.Node.ExitCode(), h.Node.Log)
 		}
 	}
--- a/bench/latency/load.go
+++ b/bench/latency/load.go
@@ -80,7 +80,7 @@
 type endpoint struct{ addr, service string }
 
 // run sends requests with Poisson arrivals for a time and waits for all responses.
-func (g *generator) run(ctx context.Context, w route, rate float64, length time.Duration, seed uint64) *Sample {
+func (g *generator) run(ctx context.Context, w route, rate float64, duration time.Duration, seed uint64) *Sample {
 	s := &Sample{Latency: newHistogram(), LatencyFromDue: newHistogram(), SendDelay: newHistogram(), Failed: make(map[status.Code]int)}
 	defer s.measureCPU()()
 	var mu sync.Mutex
@@ -92,12 +92,12 @@
 			var at time.Duration
 			for ctx.Err() == nil {
 				at += time.Duration(rng.ExpFloat64() / rate * pacerCount * float64(time.Second))
-				if at >= length {
+				if at >= duration {
 					return
 				}
 				time.Sleep(time.Until(start.Add(at)))
-				late := time.Since(start.Add(at))
-				wg.Go(func() { g.request(ctx, w, s, &mu, late) })
+				sendDelay := time.Since(start.Add(at))
+				wg.Go(func() { g.request(ctx, w, s, &mu, sendDelay) })
 			}
 		})
 	}
@@ -105,7 +105,7 @@
 	return s
 }
 
-func (g *generator) request(ctx context.Context, w route, s *Sample, mu *sync.Mutex, late time.Duration) {
+func (g *generator) request(ctx context.Context, w route, s *Sample, mu *sync.Mutex, sendDelay time.Duration) {
 	if g.inFlight.Add(1) > maxInFlight {
 		g.inFlight.Add(-1)
 		mu.Lock()
@@ -116,18 +116,18 @@
 	defer g.inFlight.Add(-1)
 	began := time.Now()
 	code := g.send(ctx, w.endpoints[g.next.Add(1)%uint64(len(w.endpoints))], w.path)
-	took := time.Since(began)
+	latency := time.Since(began)
 	mu.Lock()
 	defer mu.Unlock()
 	s.Sent++
-	_ = s.SendDelay.RecordValue(clampMicros(late))
+	_ = s.SendDelay.RecordValue(clampMicros(sendDelay))
 	if code != "" {
 		s.Failed[code]++
 		return
 	}
 	s.Completed++
-	_ = s.Latency.RecordValue(clampMicros(took))
-	_ = s.LatencyFromDue.RecordValue(clampMicros(late + took))
+	_ = s.Latency.RecordValue(clampMicros(latency))
+	_ = s.LatencyFromDue.RecordValue(clampMicros(sendDelay + latency))
 }
 
 func clampMicros(d time.Duration) int64 {
--- a/bench/latency/stack.go
+++ b/bench/latency/stack.go
@@ -19,15 +19,15 @@
 // Stack is a chain of nodes with lean targets in this process, plus the same chain of
 // targets without nodes.
 type Stack struct {
-	dir      string
-	platform *platform.Server
-	targets  []*LeanTarget
-	stop     context.CancelFunc
-	kill     context.CancelFunc
-	nodes    sync.WaitGroup
-	gen      *generator
-	through  endpoint
-	direct   endpoint
+	dir          string
+	platform     *platform.Server
+	targets      []*LeanTarget
+	stop         context.CancelFunc
+	kill         context.CancelFunc
+	nodes        sync.WaitGroup
+	gen          *generator
+	throughNodes endpoint
+	direct       endpoint
 }
 
 // startTimeout is the timeout for the start of a stack.
@@ -78,7 +78,7 @@
 		}
 		ops = append(ops, set.Listen.Ops)
 		// Requests enter at the node of the last service, so that no node calls itself.
-		s.through = endpoint{set.Listen.Callers, firstService()}
+		s.throughNodes = endpoint{set.Listen.Callers, firstService()}
 	}
 	if err := s.applySet(); err != nil {
 		return err
@@ -213,7 +213,7 @@
 // SendThroughNodes sends a request through the nodes. It returns an empty code if the request
 // completed, else the code of the failure.
 func (s *Stack) SendThroughNodes(path string) status.Code {
-	return s.gen.send(context.Background(), s.through, path)
+	return s.gen.send(context.Background(), s.throughNodes, path)
 }
 
 // SendDirect sends the same request to the targets without nodes.
--- a/bench/overload/guarantees.go
+++ b/bench/overload/guarantees.go
@@ -18,45 +18,45 @@
 }
 
 // Err returns an error with all counts if any guarantee was violated, else nil.
-func (b Violations) Err() error {
-	if b == (Violations{}) {
+func (v Violations) Err() error {
+	if v == (Violations{}) {
 		return nil
 	}
 	return status.New(CodeGuaranteeViolated, "%d ran more than once, %d were refused but ran, %d wrong and %d partial answers, %d completed without a run",
-		b.DuplicateRuns, b.FalseRefusals, b.WrongAnswers, b.PartialAnswers, b.CompletedWithoutRun)
+		v.DuplicateRuns, v.FalseRefusals, v.WrongAnswers, v.PartialAnswers, v.CompletedWithoutRun)
 }
 
 // checkGuarantees compares the outcomes that callers saw with the runs at targets.
-func (l *Lab) checkGuarantees(p *playback) (b Violations, err error) {
+func (l *Lab) checkGuarantees(p *playback) (v Violations, err error) {
 	begun, err := l.startedRuns(p.nodes)
 	if err != nil {
-		return b, err
+		return v, err
 	}
 	work, err := l.finishedRuns(p.nodes)
 	if err != nil {
-		return b, err
+		return v, err
 	}
 	for mark, as := range p.attempts {
 		class := l.Case.Deployment.Class(as[0].Class)
 		own := begun[[2]string{l.Case.fullName(class.Root.Service), mark}]
 		if class.AtMostOnce && own > 1 {
-			b.DuplicateRuns++
+			v.DuplicateRuns++
 		}
 		if falselyRefused(as, work[mark]) {
-			b.FalseRefusals++
+			v.FalseRefusals++
 		}
 		for _, a := range as {
 			switch {
 			case a.Result == client.Wrong:
-				b.WrongAnswers++
+				v.WrongAnswers++
 			case a.Result == client.Partial:
-				b.PartialAnswers++
+				v.PartialAnswers++
 			case a.Result == client.Completed && own == 0:
-				b.CompletedWithoutRun++
+				v.CompletedWithoutRun++
 			}
 		}
 	}
-	return b, nil
+	return v, nil
 }
 
 // falselyRefused reports whether a run began while the caller had seen only refusals,
--- a/bench/overload/measure.go
+++ b/bench/overload/measure.go
@@ -28,17 +28,17 @@
 
 // tally accumulates the measurements of one run.
 type tally struct {
-	l         *Lab
-	header    workload.Header
-	out       *Measured
-	classes   map[string]*series
-	useful    time.Duration
-	useless   time.Duration
-	held      time.Duration // slot time before the trigger at targets that make no calls
-	expected  time.Duration // expected slot time of the same runs by their settings
-	needed    float64       // calls of the deep service that completed requests need
-	refused   map[int]map[string]int
-	completed map[int]map[string]bool
+	l                *Lab
+	header           workload.Header
+	out              *Measured
+	classes          map[string]*series
+	useful           time.Duration
+	wasted           time.Duration
+	slotTime         time.Duration // slot time before the trigger at targets that make no calls
+	expectedSlotTime time.Duration // expected slot time of the same runs by their settings
+	needed           float64       // calls of the DownstreamService that completed requests need
+	refused          map[int]map[string]int
+	completed        map[int]map[string]bool
 }
 
 // series counts a class's requests per replay.Bin.
@@ -46,7 +46,7 @@
 
 // measure checks the guarantees on a played trace and computes its measurements.
 func (l *Lab) measure(p *playback) (*Measured, error) {
-	broken, err := l.checkGuarantees(p)
+	violations, err := l.checkGuarantees(p)
 	if err != nil {
 		return nil, err
 	}
@@ -54,27 +54,27 @@
 	if err != nil {
 		return nil, err
 	}
-	t := l.newTally(broken)
+	t := l.newTally(violations)
 	for mark, as := range p.attempts {
 		t.addRequest(p.start, as)
 		t.addSlotTime(as, work[mark])
 		t.addSlotRatio(p.start, as[0].Class, work[mark])
 	}
 	t.finish()
-	if t.expected > 0 {
-		t.out.SlotTimeRatio = t.held.Seconds() / t.expected.Seconds()
+	if t.expectedSlotTime > 0 {
+		t.out.SlotTimeRatio = t.slotTime.Seconds() / t.expectedSlotTime.Seconds()
 	}
 	if t.needed > 0 {
-		t.out.SentPerNeeded = float64(p.deep) / t.needed
+		t.out.SentPerNeeded = float64(p.downstreamRequests) / t.needed
 	}
 	return t.out, nil
 }
 
-func (l *Lab) newTally(b Violations) *tally {
+func (l *Lab) newTally(violations Violations) *tally {
 	h := l.Case.Trace.Header
 	t := &tally{l: l, header: h, classes: make(map[string]*series),
 		refused: make(map[int]map[string]int), completed: make(map[int]map[string]bool),
-		out: &Measured{Violations: b, Results: make(map[client.Result]int), Codes: make(map[string]int)}}
+		out: &Measured{Violations: violations, Results: make(map[client.Result]int), Codes: make(map[string]int)}}
 	n := binOf(h.Duration+l.Case.Deployment.Patience+l.Case.Deployment.Timeout) + 1
 	for _, c := range l.Case.Deployment.Classes {
 		t.classes[c.Name] = &series{make([]int, n), make([]int, n), make([]int, n), make([]int, n)}
@@ -138,7 +138,7 @@
 }
 
 // addSlotTime splits the slot time of a request's runs into useful, which belongs to the
-// attempt that completed, and useless.
+// attempt that completed, and wasted.
 func (t *tally) addSlotTime(as []client.Attempt, runs []run) {
 	for _, r := range runs {
 		k := 0
@@ -146,9 +146,9 @@
 			k++
 		}
 		if as[k].Result == client.Completed {
-			t.useful += r.held
+			t.useful += r.slotTime
 		} else {
-			t.useless += r.held
+			t.wasted += r.slotTime
 		}
 	}
 }
@@ -162,8 +162,8 @@
 		if call == nil || len(call.Steps) > 0 || r.began.Sub(start) >= t.header.From {
 			continue
 		}
-		t.held += r.held
-		t.expected += call.Work
+		t.slotTime += r.slotTime
+		t.expectedSlotTime += call.Work
 	}
 }
 
@@ -193,8 +193,8 @@
 		}
 	}
 	r.Recovery, r.Recovered = replay.Recovery(r.Goodput, to, r.NormalGoodput)
-	if total := t.useful + t.useless; total > 0 {
-		r.WastedFraction = float64(t.useless) / float64(total)
+	if total := t.useful + t.wasted; total > 0 {
+		r.WastedFraction = float64(t.wasted) / float64(total)
 	}
 	t.inversions()
 }
--- a/bench/overload/overload_test.go
+++ b/bench/overload/overload_test.go
@@ -28,8 +28,8 @@
 	is.NoErr(err)
 	bins, err := harness.Build(root, t.TempDir())
 	is.NoErr(err)
-	lengths := workload.PhaseDurations{Before: time.Second, During: 4 * time.Second, After: time.Second}
-	c, err := NewCase("kalahari", "worst", Size{Targets: 2, Slots: 16, Stretch: 1}, lengths, 1)
+	durations := workload.PhaseDurations{Before: time.Second, During: 4 * time.Second, After: time.Second}
+	c, err := NewCase("kalahari", "worst", Size{Targets: 2, Slots: 16, Stretch: 1}, durations, 1)
 	is.NoErr(err)
 	l, err := Open(t.Context(), bins, c)
 	is.NoErr(err)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestSlotTimeSplitIntoUsefulAndUseless(t *testing.T) {
+func TestSlotTimeSplitIntoUsefulAndWasted(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	as := []client.Attempt{
@@ -75,10 +75,10 @@
 	}
 	tl := &tally{}
 	tl.addSlotTime(as, []run{
-		{began: start, held: 3 * time.Second},
-		{began: start.Add(time.Second), held: 5 * time.Second},
+		{began: start, slotTime: 3 * time.Second},
+		{began: start.Add(time.Second), slotTime: 5 * time.Second},
 	})
-	is.Equal(tl.useless, 3*time.Second)
+	is.Equal(tl.wasted, 3*time.Second)
 	is.Equal(tl.useful, 5*time.Second)
 }
 
@@ -119,11 +119,11 @@
 						continue
 					}
 					for _, call := range r.Calls {
-						chance := call.Probability
-						if chance == 0 {
-							chance = 1
+						probability := call.Probability
+						if probability == 0 {
+							probability = 1
 						}
-						n += chance * count(call.Service)
+						n += probability * count(call.Service)
 					}
 				}
 			}
--- a/bench/overload/play.go
+++ b/bench/overload/play.go
@@ -30,12 +30,12 @@
 
 // playback records the attempts of a played trace.
 type playback struct {
-	start    time.Time
-	nodes    bool
-	mu       sync.Mutex
-	attempts map[string][]client.Attempt // by mark, in order
-	deep     int64                       // requests sent to the deep service's targets
-	dump     *Dump
+	start              time.Time
+	nodes              bool
+	mu                 sync.Mutex
+	attempts           map[string][]client.Attempt // by mark, in order
+	downstreamRequests int64                       // requests sent to the DownstreamService's targets
+	dump               *Dump
 }
 
 func (p *playback) observe(a client.Attempt) {
@@ -52,7 +52,7 @@
 func (l *Lab) play(ctx context.Context, nodes bool) (*playback, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	before, err := l.deepArrivals(nodes)
+	before, err := l.downstreamArrivals(nodes)
 	if err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 	if err := errors.Join(err, <-faults, l.awaitIdle(ctx, nodes)); err != nil {
 		return nil, err
 	}
-	after, err := l.deepArrivals(nodes)
-	p.deep = after - before
+	after, err := l.downstreamArrivals(nodes)
+	p.downstreamRequests = after - before
 	return p, err
 }
 
@@ -213,9 +213,9 @@
 	return c, callControl(ctx, http.MethodGet, "http://"+h.Addr.Target+"/control/counters", nil, &c)
 }
 
-// deepArrivals counts the requests sent to the deep service's targets so far. A restarted
-// target counts from its restart.
-func (l *Lab) deepArrivals(nodes bool) (n int64, err error) {
+// downstreamArrivals counts the requests sent to the DownstreamService's targets so far. A
+// restarted target counts from its restart.
+func (l *Lab) downstreamArrivals(nodes bool) (n int64, err error) {
 	for _, h := range l.hosts(l.Case.Deployment.DownstreamService, nodes) {
 		c, err := fetchCounters(context.Background(), h)
 		if err != nil {
--- a/bench/overload/runs.go
+++ b/bench/overload/runs.go
@@ -15,9 +15,9 @@
 
 // run is one finished run at a target.
 type run struct {
-	service string
-	began   time.Time
-	held    time.Duration // how long it held its slot
+	service  string
+	began    time.Time
+	slotTime time.Duration // how long it held its slot
 }
 
 // finishedRuns returns the finished runs at all targets by mark, in order of their start.
@@ -28,9 +28,9 @@
 			return
 		}
 		began, err := strconv.ParseInt(v[3], 10, 64)
-		held, err2 := strconv.ParseInt(v[4], 10, 64)
+		slotTime, err2 := strconv.ParseInt(v[4], 10, 64)
 		if err == nil && err2 == nil {
-			out[v[2]] = append(out[v[2]], run{service: v[0], began: time.UnixMicro(began), held: time.Duration(held) * time.Microsecond})
+			out[v[2]] = append(out[v[2]], run{service: v[0], began: time.UnixMicro(began), slotTime: time.Duration(slotTime) * time.Microsecond})
 		}
 	})
 	for _, rs := range out {
--- a/bench/replay/core.go
+++ b/bench/replay/core.go
@@ -130,14 +130,13 @@
 		limit:    g.node.target.slots,
 	}
 	if g.node.sim.policy.ChainLevel {
-		x.chainLevel = g.node.chain.Level(g.node.sim.now, earlyWork(a.call.root))
+		x.chainLevel = g.node.chain.Level(g.node.sim.now, workKey(a.call.root))
 	}
 	return x
 }
 
-// earlyWork identifies a request's class and tenant to a node's
-// earlyrefusal.Chain.
-func earlyWork(t *rootRequest) earlyrefusal.WorkKey {
+// workKey identifies a request's class and tenant to a node's earlyrefusal.Chain.
+func workKey(t *rootRequest) earlyrefusal.WorkKey {
 	return earlyrefusal.WorkKey{Class: request.Class(t.class.Name), Tenant: request.Tenant(t.class.Tenant)}
 }
 
--- a/bench/replay/node.go
+++ b/bench/replay/node.go
@@ -57,7 +57,7 @@
 func (n *node) admit(a *attempt) {
 	a.admitted = true
 	n.sim.recorder.countDecision(decisionAdmit)
-	n.chain.RecordRequest(n.sim.now, earlyWork(a.call.root))
+	n.chain.RecordRequest(n.sim.now, workKey(a.call.root))
 	n.submit(a)
 }
 
--- a/bench/replay/outcomes_test.go
+++ b/bench/replay/outcomes_test.go
@@ -15,14 +15,14 @@
 // Test runs use a fifth of the reference deployments' slots, and short phases.
 const testScale = 5
 
-var testLengths = workload.PhaseDurations{Before: 3 * time.Second, During: 5 * time.Second, After: 5 * time.Second}
+var testPhaseDurations = workload.PhaseDurations{Before: 3 * time.Second, During: 5 * time.Second, After: 5 * time.Second}
 
 func replay(t *testing.T, deployment, scenario, policy string, seed uint64) *Result {
 	t.Helper()
-	return replayWithLengths(t, testLengths, deployment, scenario, policy, seed)
+	return replayWithDurations(t, testPhaseDurations, deployment, scenario, policy, seed)
 }
 
-func replayWithLengths(t *testing.T, l workload.PhaseDurations, deployment, scenario, policy string, seed uint64) *Result {
+func replayWithDurations(t *testing.T, l workload.PhaseDurations, deployment, scenario, policy string, seed uint64) *Result {
 	t.Helper()
 	d := workload.Deployments()[deployment].Scaled(testScale)
 	p, ok := PolicyFor(policy)
@@ -38,7 +38,7 @@
 // docs/OVERLOAD.md shows.
 type outcomeBounds struct {
 	deployment, scenario string
-	ofBest               float64 // at least
+	fractionOfBest       float64 // at least
 	important            float64 // at least
 	wasted               float64 // at most
 	recovery             time.Duration
@@ -66,7 +66,7 @@
 			r := replay(t, b.deployment, b.scenario, "peardrift", 1)
 			t.Logf("of best %.3f, important %.3f, useless %.3f, recovery %v, extra %d",
 				r.FractionOfBest(), r.ImportantServed(), r.WastedFraction, r.Recovery, r.MaxExtraAttempts)
-			is.True(r.FractionOfBest() >= b.ofBest)                       // goodput in the trigger phase
+			is.True(r.FractionOfBest() >= b.fractionOfBest)               // goodput in the trigger phase
 			is.True(r.ImportantServed() >= b.important)                   // important classes served
 			is.True(r.WastedFraction <= b.wasted)                         // slot time wasted
 			is.True(r.Recovered && r.Recovery <= b.recovery)              // after the trigger phase
@@ -84,7 +84,7 @@
 			is := is.New(t)
 			d := workload.Chatty().Scaled(4)
 			p := platformPolicy()
-			r := Run(d, workload.Generate(d, workload.ScenarioFor("crowd", d, testLengths), seed+1), p, seed+1)
+			r := Run(d, workload.Generate(d, workload.ScenarioFor("crowd", d, testPhaseDurations), seed+1), p, seed+1)
 			lookup := r.Classes["lookup"]
 			t.Logf("asked %.0f/s, completed %.0f/s, failed %.0f/s, useless %.3f", lookup.Demand, lookup.Completed, lookup.Failed, r.WastedFraction)
 			is.True(lookup.Failed <= 0.8*lookup.Demand)  // attempts that failed after work, per user
@@ -122,12 +122,12 @@
 func TestFullPolicyOutperformsBaselines(t *testing.T) {
 	for _, deployment := range []string{"khaosan", "kalahari"} {
 		l := workload.PhaseDurations{Before: 2 * time.Second, During: 9 * time.Second, After: 3 * time.Second}
-		full := replayWithLengths(t, l, deployment, "worst", "peardrift", 1)
+		full := replayWithDurations(t, l, deployment, "worst", "peardrift", 1)
 		for _, b := range Baselines() {
 			t.Run(deployment+"-"+b.Name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				r := replayWithLengths(t, l, deployment, "worst", b.Name, 1)
+				r := replayWithDurations(t, l, deployment, "worst", b.Name, 1)
 				t.Logf("goodput %.0f of %.0f, extra %d", r.TriggerGoodput, full.TriggerGoodput, r.MaxExtraAttempts)
 				is.True(r.TriggerGoodput < 0.95*full.TriggerGoodput)
 				is.True(r.MaxExtraAttempts > full.MaxExtraAttempts)
--- a/bench/replay/policy.go
+++ b/bench/replay/policy.go
@@ -39,22 +39,22 @@
 // fullPolicy enables all parts of peardrift.
 func fullPolicy() Policy {
 	return Policy{
-		Name: "peardrift", Description: "all parts", Gate: GateCore, CorePick: true, CoreRetry: true, HopAttempts: baselineTries,
+		Name: "peardrift", Description: "all parts", Gate: GateCore, CorePick: true, CoreRetry: true, HopAttempts: baselineAttempts,
 		Early: true, ChainLevel: true, Allowance: true, ServiceBudget: true, Deadlines: true, Cancel: true,
 		ChainOrder: true, DeepFirst: true, Queue: true, Level: true, Order: true,
 	}
 }
 
-// baselineTries is the number of attempts per hop of the baselines; 3 is a common default.
-const baselineTries = 3
+// baselineAttempts is the number of attempts per hop of the baselines; 3 is a common default.
+const baselineAttempts = 3
 
 // Baselines are the policies that peardrift is compared with.
 func Baselines() []Policy {
 	return []Policy{
-		{Name: "none", Description: "no admission control, three attempts per hop", HopAttempts: baselineTries},
-		{Name: "static", Description: "a fixed limit and three attempts per hop", Gate: GateStatic, HopAttempts: baselineTries},
+		{Name: "none", Description: "no admission control, three attempts per hop", HopAttempts: baselineAttempts},
+		{Name: "static", Description: "a fixed limit and three attempts per hop", Gate: GateStatic, HopAttempts: baselineAttempts},
 		{Name: "adaptive", Description: "an adaptive limit and three attempts per hop, deadlines and cancellation, no priorities",
-			Gate: GateAdaptive, HopAttempts: baselineTries, Deadlines: true, Cancel: true},
+			Gate: GateAdaptive, HopAttempts: baselineAttempts, Deadlines: true, Cancel: true},
 	}
 }
 
--- a/bench/replay/recorder.go
+++ b/bench/replay/recorder.go
@@ -32,16 +32,16 @@
 
 // recorder collects the measurements of a run.
 type recorder struct {
-	sim          *simulation
-	header       workload.Header
-	classes      map[string]*classSeries
-	usefulTime   time.Duration
-	wastedTime   time.Duration
-	counts       [decisionCount]int
-	refusedCalls map[serviceWindow]map[uint8]int // count of refused calls by importance
-	minCompleted map[serviceWindow]uint8         // lowest importance that completed
-	deepService  amplification
-	condition    workload.Condition
+	sim               *simulation
+	header            workload.Header
+	classes           map[string]*classSeries
+	usefulTime        time.Duration
+	wastedTime        time.Duration
+	counts            [decisionCount]int
+	refusedCalls      map[serviceWindow]map[uint8]int // count of refused calls by importance
+	minCompleted      map[serviceWindow]uint8         // lowest importance that completed
+	downstreamService amplification
+	condition         workload.Condition
 }
 
 // classSeries counts what happened to the users of one class, per bin.
@@ -118,14 +118,14 @@
 	extra := c.root.addAttempt(c)
 	if extra {
 		c.root.extraAttempts++
-		rec.deepService.maxExtra = max(rec.deepService.maxExtra, c.root.extraAttempts)
+		rec.downstreamService.maxExtra = max(rec.downstreamService.maxExtra, c.root.extraAttempts)
 	}
 	if to.spec.Name != rec.sim.deployment.DownstreamService {
 		return
 	}
-	rec.deepService.attempts++
+	rec.downstreamService.attempts++
 	if extra {
-		rec.deepService.extra++
+		rec.downstreamService.extra++
 	}
 }
 
--- a/bench/replay/result.go
+++ b/bench/replay/result.go
@@ -59,9 +59,9 @@
 		demand[name] = meanRate(rec.classes[name].arrived, from, to)
 	}
 	best := d.BestGoodput(demand, rec.condition)
-	blind := rec.condition
-	blind.CountTimedOut = true
-	for _, x := range d.BestGoodput(demand, blind) {
+	blindCondition := rec.condition
+	blindCondition.CountTimedOut = true
+	for _, x := range d.BestGoodput(demand, blindCondition) {
 		r.BlindBestGoodput += x
 	}
 	before := 0
@@ -90,9 +90,9 @@
 		r.WastedFraction = float64(rec.wastedTime) / float64(all)
 	}
 	r.RefusedImportant, r.Inverted = rec.inversions()
-	r.MaxExtraAttempts = rec.deepService.maxExtra
-	if needed := rec.deepService.attempts - rec.deepService.extra; needed > 0 {
-		r.AttemptsPerCall = float64(rec.deepService.attempts) / float64(needed)
+	r.MaxExtraAttempts = rec.downstreamService.maxExtra
+	if needed := rec.downstreamService.attempts - rec.downstreamService.extra; needed > 0 {
+		r.AttemptsPerCall = float64(rec.downstreamService.attempts) / float64(needed)
 	}
 	return r
 }
--- a/bench/replay/target.go
+++ b/bench/replay/target.go
@@ -111,7 +111,7 @@
 		o := n.outbound(c.spec.Service)
 		if a.calledServices&o.service.bit() == 0 {
 			a.calledServices |= o.service.bit()
-			n.chain.RecordCall(n.sim.now, earlyWork(c.root), o.key(c))
+			n.chain.RecordCall(n.sim.now, workKey(c.root), o.key(c))
 		}
 	}
 }
--- a/bench/replay/workload/capacity.go
+++ b/bench/replay/workload/capacity.go
@@ -48,7 +48,7 @@
 // result is the fraction of requests that end in time.
 func (d *Deployment) EstimateSlotTime(c *Class, cond Condition) (SlotTime, float64) {
 	rng := rand.New(rand.NewPCG(capacitySeed, uint64(c.Importance)))
-	hold, ended := SlotTime{}, 0
+	slotTime, ended := SlotTime{}, 0
 	for range capacitySamples {
 		one := SlotTime{}
 		took := d.sampleCall(rng, &c.Root, cond, one)
@@ -62,18 +62,18 @@
 			ended++
 		}
 		for s, h := range one {
-			hold[s] += part * h
+			slotTime[s] += part * h
 		}
 	}
-	for s := range hold {
-		hold[s] /= float64(max(1, ended))
+	for s := range slotTime {
+		slotTime[s] /= float64(max(1, ended))
 	}
-	return hold, float64(ended) / capacitySamples
+	return slotTime, float64(ended) / capacitySamples
 }
 
-// sampleCall simulates one call on idle targets. It adds the slot time to hold and
+// sampleCall simulates one call on idle targets. It adds the slot time to slotTime and
 // returns the duration of the call.
-func (d *Deployment) sampleCall(rng *rand.Rand, c *Call, cond Condition, hold SlotTime) time.Duration {
+func (d *Deployment) sampleCall(rng *rand.Rand, c *Call, cond Condition, slotTime SlotTime) time.Duration {
 	took := time.Duration(float64(Draw(rng, c.Work)) * factorOrOne(cond.Slowdown, c.Service))
 	for _, step := range c.Steps {
 		longest := time.Duration(0)
@@ -82,13 +82,13 @@
 				if step[i].Chance < 1 && rng.Float64() >= step[i].Chance {
 					continue
 				}
-				sub := d.sampleCall(rng, &step[i].Call, cond, hold) + 2*d.LocalDelay
+				sub := d.sampleCall(rng, &step[i].Call, cond, slotTime) + 2*d.LocalDelay
 				longest = max(longest, sub)
 			}
 		}
 		took += longest
 	}
-	hold[c.Service] += took.Seconds()
+	slotTime[c.Service] += took.Seconds()
 	return took
 }
 
@@ -97,8 +97,8 @@
 func (d *Deployment) SustainableRate() float64 {
 	need := SlotTime{}
 	for i := range d.Classes {
-		hold, _ := d.EstimateSlotTime(&d.Classes[i], Condition{})
-		for s, h := range hold {
+		slotTime, _ := d.EstimateSlotTime(&d.Classes[i], Condition{})
+		for s, h := range slotTime {
 			need[s] += d.Classes[i].Share * h
 		}
 	}
@@ -141,9 +141,9 @@
 func (d *Deployment) allocate(classes []*Class, demand map[string]float64, cond Condition, share float64, left, best map[string]float64) {
 	need := SlotTime{}
 	for _, c := range classes {
-		hold, inTime := d.EstimateSlotTime(c, cond)
+		slotTime, inTime := d.EstimateSlotTime(c, cond)
 		best[c.Name] = demand[c.Name] * inTime
-		for s, h := range hold {
+		for s, h := range slotTime {
 			need[s] += h * best[c.Name]
 		}
 	}
--- a/bench/replay/workload/scenario.go
+++ b/bench/replay/workload/scenario.go
@@ -43,14 +43,14 @@
 // Parameters of the scenarios. NormalLoad, SurgeLoad and crowdLoad are fractions of the
 // sustainable rate; SurgeLoad is the load for which the overload goals are stated.
 const (
-	NormalLoad      = 0.6
-	SurgeLoad       = 2.0
-	crowdLoad       = 2.3
-	crowdAggressive = 0.2
-	slowFactor      = 4
-	shrinkDivisor   = 6
-	hastyDivisor    = 4
-	floodFactor     = 10
+	NormalLoad          = 0.6
+	SurgeLoad           = 2.0
+	crowdLoad           = 2.3
+	crowdAggressive     = 0.2
+	slowFactor          = 4
+	shrinkDivisor       = 6
+	shortTimeoutDivisor = 4
+	floodFactor         = 10
 )
 
 // PhaseDurations are the durations of the phases before, during and after the trigger.
@@ -95,13 +95,13 @@
 		return &Scenario{Name: name, Description: "a node of the entry service loses its state during the surge", Phases: surge, AggressiveFraction: 1,
 			Faults: []Event{{T: l.During / 2, Fault: Restart, Service: entry}}}
 	case "lost":
-		return &Scenario{Name: name, Description: "most targets of a deep service crash during the surge", Phases: surge, Faults: d.lossFaults(l), AggressiveFraction: 1}
+		return &Scenario{Name: name, Description: "most targets of a deep service crash during the surge", Phases: surge, Faults: d.crashFaults(l), AggressiveFraction: 1}
 	case "shrink":
 		return &Scenario{Name: name, Description: "a deep service runs fewer concurrent requests than it declares", Phases: surge, AggressiveFraction: 1,
 			Faults: []Event{{Fault: Shrink, Service: d.DownstreamService, Factor: shrinkDivisor}, {T: l.During, Fault: Shrink, Service: d.DownstreamService, Factor: 1}}}
 	case "hasty":
 		return &Scenario{Name: name, Description: "the worst scenario with short client timeouts", Phases: surge,
-			Faults: []Event{slowStart, slowEnd}, AggressiveFraction: 1, TimeoutDivisor: hastyDivisor}
+			Faults: []Event{slowStart, slowEnd}, AggressiveFraction: 1, TimeoutDivisor: shortTimeoutDivisor}
 	case "failfast":
 		return &Scenario{Name: name, Description: "one target of the deep service fails fast and reports no load", Phases: l.phases(Phase{Load: NormalLoad}), AggressiveFraction: 1,
 			Faults: []Event{{Fault: FailFast, Service: d.DownstreamService, Factor: 1}, {Fault: ReportNoLoad, Service: d.DownstreamService, Factor: 1},
@@ -133,9 +133,9 @@
 
 const replacementOverlap = 2 * time.Second
 
-// lossFaults crashes all targets of the DownstreamService but one, and starts new ones at
-// the end of the trigger phase.
-func (d *Deployment) lossFaults(l PhaseDurations) []Event {
+// crashFaults crashes all targets of the DownstreamService but one, and starts new ones
+// at the end of the trigger phase.
+func (d *Deployment) crashFaults(l PhaseDurations) []Event {
 	var out []Event
 	for i := range d.Services {
 		s := &d.Services[i]
--- a/bench/replay/workload/workload_test.go
+++ b/bench/replay/workload/workload_test.go
@@ -12,18 +12,18 @@
 	"peardrift/internal/status"
 )
 
-var shortLengths = PhaseDurations{time.Second, time.Second, time.Second}
+var shortPhaseDurations = PhaseDurations{time.Second, time.Second, time.Second}
 
 func TestTraceRoundTrip(t *testing.T) {
 	is := is.New(t)
 	d := Kalahari().Scaled(10)
-	tr := Generate(d, ScenarioFor("replace", d, shortLengths), 7)
+	tr := Generate(d, ScenarioFor("replace", d, shortPhaseDurations), 7)
 	var b bytes.Buffer
 	is.NoErr(tr.Write(&b))
 	got, err := Read(&b)
 	is.NoErr(err)
 	is.Equal(got, tr)
-	is.Equal(Generate(d, ScenarioFor("replace", d, shortLengths), 7), tr) // deterministic by seed
+	is.Equal(Generate(d, ScenarioFor("replace", d, shortPhaseDurations), 7), tr) // deterministic by seed
 }
 
 func TestReadRejectsInvalidTraces(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestBest(t *testing.T) {
+func TestBestGoodput(t *testing.T) {
 	is := is.New(t)
 	d := &Deployment{Services: []Service{{Name: "s", Targets: 2, Slots: 5}}, Classes: []Class{
 		{Name: "low", Tenant: "a", Importance: 10, Root: call("s", 100*time.Millisecond)},
@@ -74,23 +74,23 @@
 
 	// The timeout equals the mean service time. Without foresight, requests that time out
 	// hold a slot until then.
-	late := Condition{Timeout: 100 * time.Millisecond}
-	best = d.BestGoodput(map[string]float64{"high": 1000}, late)
-	late.CountTimedOut = true
-	blind := d.BestGoodput(map[string]float64{"high": 1000}, late)
-	hold, inTime := d.EstimateSlotTime(&d.Classes[1], late)
-	near(blind["high"], 10/hold["s"])
-	near(hold["s"]*inTime, 0.0805) // the mean of a service time truncated at its own mean
-	is.True(blind["high"] < best["high"])
+	withTimeout := Condition{Timeout: 100 * time.Millisecond}
+	best = d.BestGoodput(map[string]float64{"high": 1000}, withTimeout)
+	withTimeout.CountTimedOut = true
+	blindBest := d.BestGoodput(map[string]float64{"high": 1000}, withTimeout)
+	slotTime, inTime := d.EstimateSlotTime(&d.Classes[1], withTimeout)
+	near(blindBest["high"], 10/slotTime["s"])
+	near(slotTime["s"]*inTime, 0.0805) // the mean of a service time truncated at its own mean
+	is.True(blindBest["high"] < best["high"])
 }
 
 func TestScenarioForCoversAllDeployments(t *testing.T) {
 	is := is.New(t)
 	for _, d := range Deployments() {
 		for _, name := range ScenarioNames {
-			s := ScenarioFor(name, d, shortLengths)
+			s := ScenarioFor(name, d, shortPhaseDurations)
 			is.True(s != nil && s.Description != "")
 		}
-		is.True(ScenarioFor("nothing", d, shortLengths) == nil)
+		is.True(ScenarioFor("nothing", d, shortPhaseDurations) == nil)
 	}
 }
--- a/bench/scale/config.go
+++ b/bench/scale/config.go
@@ -114,12 +114,12 @@
 // Request, Reply and HandleReply piggyback configuration messages on heartbeats.
 func (c *nodeConfig) Request(room int) []byte { return c.state.PiggybackQuery(room) }
 
-func (c *nodeConfig) Reply(question []byte, room int) []byte {
-	return c.state.PiggybackAnswer(question, room)
+func (c *nodeConfig) Reply(query []byte, room int) []byte {
+	return c.state.PiggybackAnswer(query, room)
 }
 
-func (c *nodeConfig) HandleReply(now time.Duration, answer []byte) {
-	c.deferred = append(c.deferred, c.state.HandlePiggyback(now, answer)...)
+func (c *nodeConfig) HandleReply(now time.Duration, reply []byte) {
+	c.deferred = append(c.deferred, c.state.HandlePiggyback(now, reply)...)
 }
 
 // tickConfig does what a node's control goroutine does after a membership tick. All nodes
--- a/bench/scale/fleet_test.go
+++ b/bench/scale/fleet_test.go
@@ -66,11 +66,11 @@
 		f := New(member.DefaultConfig(), 90, 5)
 		is.NoErr(f.Configure(tenants, 10*time.Minute))
 		f.KillZone(lost)
-		b, err := f.MeasureChanges(time.Minute, every, time.Minute)
+		c, err := f.MeasureChanges(time.Minute, every, time.Minute)
 		is.NoErr(err)
-		is.True(b.MaxDelay > 0)
-		is.True(b.MaxDelay <= inForce)
-		is.True(b.Cost.BytesMean <= limit)
+		is.True(c.MaxDelay > 0)
+		is.True(c.MaxDelay <= inForce)
+		is.True(c.Cost.BytesMean <= limit)
 	}
 }
 
--- a/bench/scale/measure.go
+++ b/bench/scale/measure.go
@@ -21,8 +21,8 @@
 func (f *Fleet) Costs(d time.Duration) Cost { return f.measureCosts(d, func() {}) }
 
 // measureCosts runs the fleet for d, calling do every five steps, and returns the cost of
-// its nodes. If worst is given, it is set to the cost of the most expensive ten seconds.
-func (f *Fleet) measureCosts(d time.Duration, do func(), worst ...*Cost) Cost {
+// its nodes. If peak is given, it is set to the cost of the most expensive ten seconds.
+func (f *Fleet) measureCosts(d time.Duration, do func(), peak ...*Cost) Cost {
 	const window = 10 * time.Second
 	total, part := f.currentUsage(), f.currentUsage()
 	for end := f.Now + d; f.Now < end; {
@@ -31,8 +31,8 @@
 		if f.Now-part.start < window {
 			continue
 		}
-		if c := part.cost(f); len(worst) > 0 && c.BytesMean > worst[0].BytesMean {
-			*worst[0] = c
+		if c := part.cost(f); len(peak) > 0 && c.BytesMean > peak[0].BytesMean {
+			*peak[0] = c
 		}
 		part = f.currentUsage()
 	}
--- a/bench/scale/scenario.go
+++ b/bench/scale/scenario.go
@@ -281,14 +281,14 @@
 	all := f.knowsAll(back, member.Alive)
 	first := back[0].index
 	knows := func(n *Node) bool { return n.index >= first || all(n) }
-	in := func(n *Node) bool { return n.State.Joined() }
+	joined := func(n *Node) bool { return n.State.Joined() }
 	ret.Minute = f.measureCosts(time.Minute, func() {
-		f.recordSpread(&ret.Joined, start, in)
+		f.recordSpread(&ret.Joined, start, joined)
 		f.recordSpread(&ret.Known, start, knows)
 	}, &ret.Peak)
 	for f.Now-start < limit && ret.Known.All < 0 {
 		f.Run(10 * Step)
-		f.recordSpread(&ret.Joined, start, in)
+		f.recordSpread(&ret.Joined, start, joined)
 		f.recordSpread(&ret.Known, start, knows)
 	}
 	return ret
--- a/bench/standin/client/client.go
+++ b/bench/standin/client/client.go
@@ -93,7 +93,7 @@
 	for k := 1; ; k++ {
 		a := r.attempt(ctx, c, mark, key, k)
 		pause := c.retryDelay(k, a.retryAfter, rng)
-		a.Final = a.Result == Completed || k >= c.Attempts || ctx.Err() != nil || c.pastPatience(time.Since(due)+pause)
+		a.Final = a.Result == Completed || k >= c.Attempts || ctx.Err() != nil || c.pastRetryWindow(time.Since(due)+pause)
 		r.rec.updateClass(c.Name, func(s *Stats) { s.Attempts++ })
 		if r.cfg.Observe != nil {
 			r.cfg.Observe(a)
@@ -105,8 +105,8 @@
 	}
 }
 
-// pastPatience reports whether no attempt may start this long after the arrival.
-func (c Class) pastPatience(elapsed time.Duration) bool {
+// pastRetryWindow reports whether no attempt may start this long after the arrival.
+func (c Class) pastRetryWindow(elapsed time.Duration) bool {
 	return c.RetryWindow > 0 && elapsed >= c.RetryWindow
 }
 
--- a/bench/standin/client/client_test.go
+++ b/bench/standin/client/client_test.go
@@ -141,7 +141,7 @@
 	is.True(most > 2*time.Second && most < 3*time.Second)
 }
 
-func TestNoAttemptAfterPatience(t *testing.T) {
+func TestNoAttemptAfterRetryWindow(t *testing.T) {
 	is := is.New(t)
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	got, stats := runOneRequest(t, Class{Attempts: 1000, Backoff: time.Hour, RetryWindow: time.Minute}, refuse)
@@ -163,7 +163,7 @@
 	is.Equal(got.Result, Unknown)
 }
 
-func TestTimesReplacePhases(t *testing.T) {
+func TestArrivalTimesReplacePhases(t *testing.T) {
 	is := is.New(t)
 	times := []time.Duration{time.Second, 3 * time.Second}
 	c := Class{ArrivalTimes: times, Phases: []Phase{{Duration: time.Second, Rate: 1000}}}
--- a/bench/standin/client/config.go
+++ b/bench/standin/client/config.go
@@ -71,14 +71,14 @@
 }
 
 const (
-	defaultDuration = time.Second
-	defaultMaxOpen  = 10_000
-	defaultTimeout  = 10 * time.Second
+	defaultDuration    = time.Second
+	defaultMaxInFlight = 10_000
+	defaultTimeout     = 10 * time.Second
 )
 
 func (c Config) withDefaults() Config {
 	c.Duration = positiveOr(c.Duration, defaultDuration)
-	c.MaxInFlight = positiveOr(c.MaxInFlight, defaultMaxOpen)
+	c.MaxInFlight = positiveOr(c.MaxInFlight, defaultMaxInFlight)
 	classes := make([]Class, 0, len(c.Classes))
 	for _, cl := range c.Classes {
 		cl.Timeout = positiveOr(cl.Timeout, defaultTimeout)
--- a/bench/standin/httpd/httpd.go
+++ b/bench/standin/httpd/httpd.go
@@ -53,9 +53,9 @@
 	if err != nil {
 		return nil, status.Wrap(status.CodeListen, err, "listen on %s", cfg.Listen)
 	}
-	conns := newConns(ln, cfg.MaxConns, cfg.ConnectDelay)
+	listener := newTrackedListener(ln, cfg.MaxConns, cfg.ConnectDelay)
 	h := server.New(
-		server.WithListener(conns),
+		server.WithListener(listener),
 		server.WithTransport(standard.NewTransporter),
 		server.WithSenseClientDisconnection(true),
 		server.WithStreamBody(true),
@@ -63,7 +63,7 @@
 		server.WithExitWaitTime(closeTimeout),
 	)
 	h.NoRoute(handler)
-	s := &Server{Conns: conns, h: h, done: make(chan error, 1)}
+	s := &Server{Conns: listener, h: h, done: make(chan error, 1)}
 	go func() { s.done <- h.Run() }()
 	for !h.IsRunning() {
 		select {
--- a/bench/standin/httpd/conns.go
+++ b/bench/standin/httpd/listener.go
@@ -13,8 +13,8 @@
 // reset them or make them drop all traffic.
 type TrackedListener struct {
 	net.Listener
-	maxOpen     int
-	connectCost time.Duration
+	maxOpen      int
+	connectDelay time.Duration
 
 	mu       sync.Mutex
 	open     map[*conn]struct{}
@@ -22,8 +22,8 @@
 	resetNew atomic.Bool // reset every new connection
 }
 
-func newConns(ln net.Listener, limit int, cost time.Duration) *TrackedListener {
-	return &TrackedListener{Listener: ln, maxOpen: limit, connectCost: cost, open: make(map[*conn]struct{})}
+func newTrackedListener(ln net.Listener, limit int, delay time.Duration) *TrackedListener {
+	return &TrackedListener{Listener: ln, maxOpen: limit, connectDelay: delay, open: make(map[*conn]struct{})}
 }
 
 // Accept implements net.Listener; connections above the limit are reset.
@@ -87,7 +87,7 @@
 // neither answers nor FINs are sent. Later connections work.
 func (l *TrackedListener) Blackhole(except string) {
 	for _, c := range l.openConns() {
-		c.silent.Store(c.RemoteAddr().String() != except)
+		c.blackholed.Store(c.RemoteAddr().String() != except)
 	}
 }
 
@@ -106,19 +106,19 @@
 type conn struct {
 	net.Conn
 	listener    *TrackedListener
-	silent      atomic.Bool
+	blackholed  atomic.Bool
 	readStarted atomic.Bool
 	once        sync.Once
 	closed      chan struct{}
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	if c.listener.connectCost > 0 && c.readStarted.CompareAndSwap(false, true) {
-		time.Sleep(c.listener.connectCost)
+	if c.listener.connectDelay > 0 && c.readStarted.CompareAndSwap(false, true) {
+		time.Sleep(c.listener.connectDelay)
 	}
 	for {
 		n, err := c.Conn.Read(b)
-		if !c.silent.Load() {
+		if !c.blackholed.Load() {
 			return n, err
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -134,16 +134,16 @@
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection unless it is silent, as the peer would see the FIN.
-// Only reset closes a silent connection.
+// Close closes the connection unless it is blackholed, as the peer would see the FIN.
+// Only reset closes a blackholed connection.
 func (c *conn) Close() error {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return nil
 	}
 	return c.closeOnce()
--- a/bench/standin/target/target_test.go
+++ b/bench/standin/target/target_test.go
@@ -240,14 +240,14 @@
 }
 
 func TestReportedLoad(t *testing.T) {
-	lie := 0.25
+	fixed := 0.25
 	for _, tc := range []struct {
 		name string
 		set  func(*target.Config)
 		want float64
 	}{
 		{"true", func(*target.Config) {}, 0.5},
-		{"lying", func(c *target.Config) { c.FixedUtilization = &lie }, 0.25},
+		{"lying", func(c *target.Config) { c.FixedUtilization = &fixed }, 0.25},
 		{"lagging", func(c *target.Config) { c.LoadLag = hugeServiceTime }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -295,9 +295,9 @@
 	is.Equal(s.Counters().Crashes, int64(1))
 }
 
-// A silenced connection drops bytes in both directions without a FIN, as when a
+// A blackholed connection drops bytes in both directions without a FIN, as when a
 // middlebox loses its state: calls on it never end, calls on new connections do.
-func TestSilencedConnectionsCarryNothing(t *testing.T) {
+func TestBlackholedConnectionsCarryNothing(t *testing.T) {
 	is := is.New(t)
 	s := start(t, target.DefaultConfig("archive.khaosan"))
 	code, _, err := do(t.Context(), "GET", s.URL()+"/", nil, "")
--- a/internal/adapter/hertzhttp/response_match_test.go
+++ b/internal/adapter/hertzhttp/response_match_test.go
@@ -50,7 +50,7 @@
 }
 
 // A response that doesn't come from the target must not be reported as a success.
-func TestForeignResponsesAreErrors(t *testing.T) {
+func TestUnmatchedResponsesAreErrors(t *testing.T) {
 	is := is.New(t)
 	addr := startPeer(t, func(_ int, c net.Conn, _ *http.Request) {
 		writeString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
--- a/internal/adapter/rpc/gossip.go
+++ b/internal/adapter/rpc/gossip.go
@@ -54,42 +54,42 @@
 }
 
 // Execute executes actions. It doesn't block; outcomes are posted later.
-func (c *ActionExecutor) Execute(actions []member.Action) {
+func (e *ActionExecutor) Execute(actions []member.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case member.Exchange:
-			c.exchange(a)
+			e.exchange(a)
 		case member.Disconnect:
-			c.disconnect(a)
+			e.disconnect(a)
 		}
 	}
 }
 
-func (c *ActionExecutor) exchange(x member.Exchange) {
+func (e *ActionExecutor) exchange(x member.Exchange) {
 	// If no goroutine is available, the exchange is dropped; State counts an
 	// exchange without an outcome as failed after a timeout.
-	_ = c.submit(func() {
+	_ = e.submit(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), x.Timeout)
 		defer cancel()
-		call := c.pool.Call
+		call := e.pool.Call
 		if x.Once {
-			call = c.pool.CallOnce
+			call = e.pool.CallOnce
 		}
 		reply := &member.Message{}
 		if err := call(ctx, x.To.ControlAddr, exchangeMethod, x.Msg, reply); err != nil {
-			c.fail(x.To)
+			e.fail(x.To)
 			return
 		}
-		c.post(func(s *member.State, now time.Duration) { s.HandleReply(now, x.To, reply) })
+		e.post(func(s *member.State, now time.Duration) { s.HandleReply(now, x.To, reply) })
 	})
 }
 
-func (c *ActionExecutor) fail(to member.Peer) {
-	c.post(func(s *member.State, now time.Duration) { s.HandleFailure(now, to) })
+func (e *ActionExecutor) fail(to member.Peer) {
+	e.post(func(s *member.State, now time.Duration) { s.HandleFailure(now, to) })
 }
 
-func (c *ActionExecutor) disconnect(d member.Disconnect) {
-	if err := c.submit(func() { c.pool.Drop(d.Peer.ControlAddr) }); err != nil {
-		c.pool.Drop(d.Peer.ControlAddr) // otherwise the unused connection would stay open
+func (e *ActionExecutor) disconnect(d member.Disconnect) {
+	if err := e.submit(func() { e.pool.Drop(d.Peer.ControlAddr) }); err != nil {
+		e.pool.Drop(d.Peer.ControlAddr) // otherwise the unused connection would stay open
 	}
 }
--- a/internal/adapter/rpc/meter.go
+++ b/internal/adapter/rpc/meter.go
@@ -19,14 +19,14 @@
 // Meter counts the bytes of control traffic sent and received, including TCP
 // and IP headers. The zero value is ready to use.
 type Meter struct {
-	total     atomic.Int64
-	sinceTake atomic.Int64
-	calls     atomic.Int64
+	total          atomic.Int64
+	sinceTakeBytes atomic.Int64
+	calls          atomic.Int64
 }
 
 func (m *Meter) add(n int) {
 	m.total.Add(int64(n))
-	m.sinceTake.Add(int64(n))
+	m.sinceTakeBytes.Add(int64(n))
 }
 
 // Total returns the bytes counted since the start.
@@ -37,13 +37,13 @@
 
 // TakeBytes returns the bytes counted since its last call; pass them to
 // member.State.Spend.
-func (m *Meter) TakeBytes() int { return max(0, int(m.sinceTake.Swap(0))) }
+func (m *Meter) TakeBytes() int { return max(0, int(m.sinceTakeBytes.Swap(0))) }
 
 // Exclude excludes an answered call, given the bytes of its request and reply,
 // from what TakeBytes returns. Calls on behalf of tenants' traffic must not use up
 // the bandwidth budget of membership gossip.
 func (m *Meter) Exclude(bytes int) {
-	m.sinceTake.Add(-int64(bytes + (2*packets(bytes)+1)*packetHeaderBytes))
+	m.sinceTakeBytes.Add(-int64(bytes + (2*packets(bytes)+1)*packetHeaderBytes))
 }
 
 func packets(n int) int { return (n + maxSegmentBytes - 1) / maxSegmentBytes }
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -175,7 +175,7 @@
 	is.NoErr(p.Call(timeout(t, 10*time.Second), addr, "Echo.Say", ptr("hello"), ptr("")))
 }
 
-func TestCarrierReportsOutcomes(t *testing.T) {
+func TestActionExecutorReportsOutcomes(t *testing.T) {
 	is := is.New(t)
 	peer := member.New(member.DefaultConfig(), *sampleMessage(1).Records[0], nil)
 	addr, _ := startServer(t, DefaultConfig(), func(m *member.Message) *member.Message {
--- a/internal/adapter/yamlset/set.go
+++ b/internal/adapter/yamlset/set.go
@@ -96,7 +96,7 @@
 		MaxBody:  configset.DefaultMaxBody,
 	}
 	var importance int
-	hasRemember := false
+	hasKeyRetention := false
 	d.mapping(n, field, map[string]binding{
 		"name":       {required: true, decode: d.str((*string)(&c.Name))},
 		"method":     {decode: d.str(&c.Method)},
@@ -106,14 +106,14 @@
 		"attempts":   {decode: d.integer(&c.Attempts)},
 		"atMostOnce": {decode: d.boolean(&c.AtMostOnce)},
 		"remember": {decode: func(n ast.Node, field string) {
-			hasRemember = true
+			hasKeyRetention = true
 			d.duration(&c.KeyRetention)(n, field)
 		}},
 		"maxBody":   {decode: d.size(&c.MaxBody)},
 		"anonymous": {decode: d.boolean(&c.Anonymous)},
 	})
 	c.Importance = d.importance(n, field, importance)
-	if c.AtMostOnce && !hasRemember {
+	if c.AtMostOnce && !hasKeyRetention {
 		c.KeyRetention = configset.DefaultRemember
 	}
 	return c
--- a/internal/claims/runner_test.go
+++ b/internal/claims/runner_test.go
@@ -241,7 +241,7 @@
 
 // Guards against losing outcomes in a planned stop: the platform fails as a run
 // ends, and the node stops before its follow-ups are finished.
-func TestCloseWaitsForDuties(t *testing.T) {
+func TestCloseWaitsForFollowUps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tab := newTable()
--- a/internal/core/configsync/platformset_test.go
+++ b/internal/core/configsync/platformset_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a downgrade: the watch of the store gets a stale read, and the
 // last set read is taken for the newest.
-func TestOfferNeverLowersVersion(t *testing.T) {
+func TestPlatformSetNeverLowersVersion(t *testing.T) {
 	is := is.New(t)
 	s := New(DefaultConfig(), Peer{ID: 1}, rand.New(rand.NewPCG(1, 2)), 0)
 	is.True(!s.Ready())
@@ -45,7 +45,7 @@
 
 // Guards against a node that has read the platform itself and still asks as a
 // starting node.
-func TestOfferNoneMarksNodeInformed(t *testing.T) {
+func TestEmptyPlatformMarksNodeInformed(t *testing.T) {
 	is := is.New(t)
 	s := New(DefaultConfig(), Peer{ID: 1}, rand.New(rand.NewPCG(1, 1)), 0)
 	s.SetPeers([]Peer{{ID: 1}}, []Peer{{ID: 1}}, true)
--- a/internal/core/lifetime/tracker_test.go
+++ b/internal/core/lifetime/tracker_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against a last report that isn't handled as a leave.
-func TestLastReportIsLeave(t *testing.T) {
+func TestFinalReportIsLeave(t *testing.T) {
 	is := is.New(t)
 	tr := New()
 	tr.Report(report("a", 1))
--- a/internal/core/limit/queuedetector_test.go
+++ b/internal/core/limit/queuedetector_test.go
@@ -29,7 +29,7 @@
 
 func noWait(int) time.Duration { return 0 }
 
-func TestDelay(t *testing.T) {
+func TestQueueDetector(t *testing.T) {
 	const n = 2000
 	queue := func(i int) time.Duration { return min(time.Second, time.Duration(i)*time.Millisecond) }
 	tests := []struct {
@@ -65,7 +65,7 @@
 // request takes half a second more, independent of concurrency. The equal wait looks
 // like queueing, and the limit must be restored once the cut does not shorten the
 // time in the target.
-func TestWrongDelaySignalIsReverted(t *testing.T) {
+func TestWrongQueueingSignalIsReverted(t *testing.T) {
 	is := is.New(t)
 	p := NewProbe(DefaultConfig(), 130)
 	const took = 520 * time.Millisecond
--- a/internal/core/retry/resubmission_test.go
+++ b/internal/core/retry/resubmission_test.go
@@ -20,7 +20,7 @@
 // Guards against callers that resend a failing request through many entry nodes: each
 // one gives it a new allowance, so each submission would run the whole chain again.
 // Other requests complete meanwhile, and each submission is tried at several targets.
-func TestRepeatsBoundedOverAllEntryNodes(t *testing.T) {
+func TestResubmissionsBoundedOverAllEntryNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestRepeats(t *testing.T) {
+func TestResubmissionLimiter(t *testing.T) {
 	cfg := DefaultConfig()
 	fill := func(r *ResubmissionLimiter) {
 		for range 100 {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestRepeatsMemoryIsBounded(t *testing.T) {
+func TestResubmissionLimiterMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	r := NewResubmissionLimiter(&cfg, 0)
--- a/internal/core/route/table_test.go
+++ b/internal/core/route/table_test.go
@@ -110,7 +110,7 @@
 
 // Guards against losing further calls on a target that crashes with calls in flight and
 // returns after 2 s. Membership takes seconds to notice; connections fail immediately.
-func TestBrokenTargetIsAvoided(t *testing.T) {
+func TestTargetWithFailedConnectionIsAvoided(t *testing.T) {
 	is := is.New(t)
 	ts := targets(4)
 	down := ts[0].ID
--- a/internal/core/suspect/tracker_test.go
+++ b/internal/core/suspect/tracker_test.go
@@ -89,7 +89,7 @@
 	is.True(ok)
 }
 
-func TestForgetExpires(t *testing.T) {
+func TestSuspectExpires(t *testing.T) {
 	is := is.New(t)
 	cfg := DefaultConfig()
 	tr := New(&cfg)
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestSilenceKeepsNewConnections(t *testing.T) {
+func TestBlackholeKeepsNewConnections(t *testing.T) {
 	is := is.New(t)
 	l := newEchoLink(t)
 	old := dial(t, l)
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -21,7 +21,7 @@
 
 // Guards against charging a node's membership budget for its children's requests, or
 // crediting it for them.
-func TestWaivedBytesMatchTheCostOfAnAsk(t *testing.T) {
+func TestExcludedBytesMatchTheCostOfARequest(t *testing.T) {
 	is := is.New(t)
 	served, called := &rpc.Meter{}, &rpc.Meter{}
 	s := rpc.NewServer(rpc.DefaultConfig(), served)
