--- a/bench/faults/combined.go
+++ b/bench/faults/combined.go
@@ -40,11 +40,11 @@
 func silentAndKilled(ctx context.Context, l *Lab) (Row, error) {
 	silent, dead := l.host("archive", 1), l.host("archive", 2)
 	return l.play(ctx, l.callerURLs("feed"), func() error {
-		l.Links[silent.Name].Break(faultproxy.Blackhole)
+		l.Proxies[silent.Name].Break(faultproxy.Blackhole)
 		l.killNode(dead)
 		return nil
 	}, pause(ctx, 2*time.Second), func() error {
-		l.Links[silent.Name].CloseSilenced()
+		l.Proxies[silent.Name].CloseSilenced()
 		return firstError(l.startNode(ctx, dead), l.awaitAllReady(ctx))
 	})
 }
--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -17,8 +17,8 @@
 // Lab is a running fleet. Use it from one goroutine; call Close at the end.
 type Lab struct {
 	Fleet *harness.Fleet
-	// Links holds, by host name, the proxy through which other nodes reach its node.
-	Links map[string]*faultproxy.Proxy
+	// Proxies holds, by host name, the proxy through which other nodes reach its node.
+	Proxies map[string]*faultproxy.Proxy
 
 	set     string // directory of the configuration set
 	version int64  // version of the last accepted set
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{Fleet: f, Links: make(map[string]*faultproxy.Proxy), set: filepath.Join(f.Dir, "set"), shared: shared}
+	l := &Lab{Fleet: f, Proxies: make(map[string]*faultproxy.Proxy), set: filepath.Join(f.Dir, "set"), shared: shared}
 	if err := l.start(ctx); err != nil {
 		l.Close()
 		return nil, err
@@ -116,7 +116,7 @@
 			proxyErr = err
 			return
 		}
-		l.Links[h.Name] = ln
+		l.Proxies[h.Name] = ln
 		s.Advertise.Data = ln.Addr()
 		for _, other := range l.Fleet.Hosts { // those added before h
 			s.Peers = append(s.Peers, other.Addr.Control)
@@ -168,7 +168,7 @@
 // Close ends all processes and proxies.
 func (l *Lab) Close() {
 	l.Fleet.Close()
-	for _, ln := range l.Links {
+	for _, ln := range l.Proxies {
 		ln.Close()
 	}
 }
--- a/bench/faults/process.go
+++ b/bench/faults/process.go
@@ -67,12 +67,12 @@
 // nodesSilent guards against the same failure on the open connections to two nodes.
 func nodesSilent(ctx context.Context, l *Lab) (Row, error) {
 	return l.play(ctx, l.callerURLs("feed"), func() error {
-		l.Links[l.host("archive", 1).Name].Break(faultproxy.Blackhole)
-		l.Links[l.host("notices", 1).Name].Break(faultproxy.Blackhole)
+		l.Proxies[l.host("archive", 1).Name].Break(faultproxy.Blackhole)
+		l.Proxies[l.host("notices", 1).Name].Break(faultproxy.Blackhole)
 		return nil
 	}, pause(ctx, 2*time.Second), func() error {
-		l.Links[l.host("archive", 1).Name].CloseSilenced()
-		l.Links[l.host("notices", 1).Name].CloseSilenced()
+		l.Proxies[l.host("archive", 1).Name].CloseSilenced()
+		l.Proxies[l.host("notices", 1).Name].CloseSilenced()
 		return nil
 	})
 }
@@ -80,12 +80,12 @@
 // killNode kills a host's node and makes its address refuse connections.
 func (l *Lab) killNode(h *harness.Host) {
 	h.Node.Kill()
-	l.Links[h.Name].Break(faultproxy.Kill)
+	l.Proxies[h.Name].Break(faultproxy.Kill)
 }
 
 // startNode restarts a host's node and lets connections through its proxy again.
 func (l *Lab) startNode(ctx context.Context, h *harness.Host) error {
-	l.Links[h.Name].Break(faultproxy.Kill) // in case the node exited by itself
+	l.Proxies[h.Name].Break(faultproxy.Kill) // in case the node exited by itself
 	if err := l.Fleet.StartNode(h); err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 		}
 		return err == nil
 	})
-	return firstError(err, l.Links[h.Name].Resume())
+	return firstError(err, l.Proxies[h.Name].Resume())
 }
 
 // awaitAllReady waits until all nodes are ready and know each other.
--- a/bench/latency/load.go
+++ b/bench/latency/load.go
@@ -24,7 +24,7 @@
 	// at high rates because a sleep overruns by tens of µs.
 	pacerCount = 16
 	// maxInFlight is the maximum number of requests in flight; arrivals beyond it are not
-	// sent and count as overrun.
+	// sent and count as unsent.
 	maxInFlight    = 8192
 	requestTimeout = 10 * time.Second
 	// idleCheckAfter is long enough that clients don't check idle connections between two
@@ -47,7 +47,7 @@
 	CallerCPU   time.Duration
 	Sent        int
 	Completed   int
-	Overrun     int
+	Unsent      int
 	// Failed counts the requests that did not complete, by code.
 	Failed map[status.Code]int
 }
@@ -109,7 +109,7 @@
 	if g.inFlight.Add(1) > maxInFlight {
 		g.inFlight.Add(-1)
 		mu.Lock()
-		s.Overrun++
+		s.Unsent++
 		mu.Unlock()
 		return
 	}
--- a/bench/latency/table.go
+++ b/bench/latency/table.go
@@ -54,8 +54,8 @@
 	for code, n := range s.Failed {
 		into[code] += n
 	}
-	if s.Overrun > 0 {
-		into[notSent] += s.Overrun
+	if s.Unsent > 0 {
+		into[notSent] += s.Unsent
 	}
 }
 
@@ -94,12 +94,12 @@
 	return direct, nodes, added
 }
 
-// counts returns the total numbers of requests, including overruns, and of completed
+// counts returns the total numbers of requests, including unsent ones, and of completed
 // requests, direct and through nodes.
 func (c *Cell) counts() (sent, completed int) {
 	for _, r := range c.Rounds {
 		for _, s := range []*Sample{r.Direct, r.Nodes} {
-			sent += s.Sent + s.Overrun
+			sent += s.Sent + s.Unsent
 			completed += s.Completed
 		}
 	}
--- a/bench/overload/measure.go
+++ b/bench/overload/measure.go
@@ -75,7 +75,7 @@
 	t := &tally{l: l, header: h, classes: make(map[string]*series),
 		refused: make(map[int]map[string]int), completed: make(map[int]map[string]bool),
 		out: &Measured{Violations: violations, Results: make(map[client.Result]int), Codes: make(map[string]int)}}
-	n := binOf(h.Duration+l.Case.Deployment.Patience+l.Case.Deployment.Timeout) + 1
+	n := binOf(h.Duration+l.Case.Deployment.RetryWindow+l.Case.Deployment.Timeout) + 1
 	for _, c := range l.Case.Deployment.Classes {
 		t.classes[c.Name] = &series{make([]int, n), make([]int, n), make([]int, n), make([]int, n)}
 	}
@@ -131,7 +131,7 @@
 	}
 	for _, step := range c.Steps {
 		for i := range step {
-			n += float64(step[i].Count) * step[i].Chance * meanCalls(&step[i].Call, service)
+			n += float64(step[i].Count) * step[i].Probability * meanCalls(&step[i].Call, service)
 		}
 	}
 	return n
--- a/bench/overload/plan.go
+++ b/bench/overload/plan.go
@@ -89,8 +89,8 @@
 		for _, step := range call.Steps {
 			for _, sub := range step {
 				one := target.Call{Service: c.fullName(sub.Service), Method: methodOf(class, false), Path: pathOf(class), Required: true}
-				if sub.Chance < 1 {
-					one.Probability = sub.Chance
+				if sub.Probability < 1 {
+					one.Probability = sub.Probability
 				}
 				r.Calls = append(r.Calls, slices.Repeat([]target.Call{one}, sub.Count)...)
 			}
--- a/bench/overload/play.go
+++ b/bench/overload/play.go
@@ -108,7 +108,7 @@
 		}
 		cl := client.Class{
 			Name: class.Name, Method: methodOf(class, true), Host: c.fullName(service), Path: pathOf(class), Key: class.AtMostOnce,
-			Timeout: c.Deployment.Timeout + answerSlack, Attempts: maxAttempts, Backoff: retryBackoff, MaxBackoff: 2 * retryBackoff, RetryWindow: c.Deployment.Patience,
+			Timeout: c.Deployment.Timeout + answerSlack, Attempts: maxAttempts, Backoff: retryBackoff, MaxBackoff: 2 * retryBackoff, RetryWindow: c.Deployment.RetryWindow,
 		}
 		for _, e := range c.Trace.Events {
 			if e.Class == class.Name {
--- a/bench/overload/size.go
+++ b/bench/overload/size.go
@@ -16,7 +16,7 @@
 type Size struct {
 	Targets int // divisor of a service's number of targets; rounded up, at least two
 	Slots   int // divisor of a target's slots and connections
-	Stretch int // factor of service times, timeouts and client patience
+	Stretch int // factor of service times, timeouts and client retry windows
 }
 
 // minTargets leaves a retry another target.
@@ -26,7 +26,7 @@
 func (z Size) Scale(d *workload.Deployment) *workload.Deployment {
 	out := d.Scaled(max(1, z.Slots))
 	stretch := time.Duration(max(1, z.Stretch))
-	out.Timeout, out.Patience = d.Timeout*stretch, d.Patience*stretch
+	out.Timeout, out.RetryWindow = d.Timeout*stretch, d.RetryWindow*stretch
 	for i, s := range out.Services {
 		out.Services[i].Targets = max(minTargets, (s.Targets+z.Targets-1)/max(1, z.Targets))
 	}
--- a/bench/replay/client.go
+++ b/bench/replay/client.go
@@ -11,7 +11,7 @@
 
 // Aggressive clients retry within aggressiveBackoffMax after a refusal or failure, with
 // at most aggressiveAttempts attempts in all. Compliant clients wait for Retry-After, or
-// about compliantBackoff without it. Both stop when the deployment's Patience is over.
+// about compliantBackoff without it. Both stop when the deployment's RetryWindow is over.
 const (
 	aggressiveAttempts   = 10
 	aggressiveBackoffMin = 20 * time.Millisecond
@@ -119,7 +119,7 @@
 			wait = retryAfter
 		}
 	}
-	if u.attempts >= maxAttempts || u.sim.now+wait-u.arrivedAt >= u.sim.deployment.Patience {
+	if u.attempts >= maxAttempts || u.sim.now+wait-u.arrivedAt >= u.sim.deployment.RetryWindow {
 		return
 	}
 	u.sim.after(wait, u.sendRequest)
--- a/bench/replay/recorder.go
+++ b/bench/replay/recorder.go
@@ -66,7 +66,7 @@
 	rec := &recorder{sim: sim, header: h, classes: map[string]*classSeries{},
 		refusedCalls: map[serviceWindow]map[uint8]int{}, minCompleted: map[serviceWindow]uint8{},
 		condition: workload.Condition{Slowdown: map[string]float64{}, WorkingFraction: map[string]float64{}, Timeout: sim.clientTimeout - 2*sim.deployment.ClientDelay}}
-	n := int((h.Duration+sim.deployment.Patience)/bin) + 1
+	n := int((h.Duration+sim.deployment.RetryWindow)/bin) + 1
 	for i := range sim.deployment.Classes {
 		rec.classes[sim.deployment.Classes[i].Name] = &classSeries{arrived: make([]int, n), served: make([]int, n),
 			completed: make([]int, n), failed: make([]int, n), firstAttempt: make([]int, n)}
--- a/bench/replay/simulation.go
+++ b/bench/replay/simulation.go
@@ -234,6 +234,6 @@
 	if len(tr.Events) > 0 {
 		sim.at(tr.Events[0].T, feed)
 	}
-	sim.run(tr.Header.Duration + d.Patience)
+	sim.run(tr.Header.Duration + d.RetryWindow)
 	return sim.recorder.result()
 }
--- a/bench/replay/target.go
+++ b/bench/replay/target.go
@@ -127,7 +127,7 @@
 	for i := range step {
 		for range step[i].Count {
 			path++
-			if step[i].Chance < 1 && n.sim.rng.Float64() >= step[i].Chance {
+			if step[i].Probability < 1 && n.sim.rng.Float64() >= step[i].Probability {
 				continue
 			}
 			out = append(out, &call{caller: n, spec: &step[i].Call, root: a.call.root, parent: a, allowance: &a.allowance,
--- a/bench/replay/workload/capacity.go
+++ b/bench/replay/workload/capacity.go
@@ -79,7 +79,7 @@
 		longest := time.Duration(0)
 		for i := range step {
 			for range step[i].Count {
-				if step[i].Chance < 1 && rng.Float64() >= step[i].Chance {
+				if step[i].Probability < 1 && rng.Float64() >= step[i].Probability {
 					continue
 				}
 				sub := d.sampleCall(rng, &step[i].Call, cond, slotTime) + 2*d.LocalDelay
--- a/bench/replay/workload/deployment.go
+++ b/bench/replay/workload/deployment.go
@@ -15,7 +15,7 @@
 	Services          []Service
 	Classes           []Class
 	DownstreamService string        // the downstream service that slows down or fails in the scenarios
-	Patience          time.Duration // a client does not retry later than this after its first attempt
+	RetryWindow       time.Duration // a client does not retry later than this after its first attempt
 	Timeout           time.Duration // of a client, per attempt
 }
 
@@ -56,11 +56,11 @@
 	Steps   [][]Sub       // steps run in sequence, the calls of one step in parallel
 }
 
-// Sub is a child call that is made Count times, each with probability Chance.
+// Sub is a child call that is made Count times, each with the given Probability.
 type Sub struct {
 	Call
-	Count  int
-	Chance float64
+	Count       int
+	Probability float64
 }
 
 // Callers adds to out the services that call the named service in this call tree.
@@ -83,9 +83,9 @@
 
 func parallel(subs ...Sub) []Sub { return subs }
 
-func repeated(n int, c Call) Sub { return Sub{Call: c, Count: n, Chance: 1} }
+func repeated(n int, c Call) Sub { return Sub{Call: c, Count: n, Probability: 1} }
 
-func withProbability(p float64, c Call) Sub { return Sub{Call: c, Count: 1, Chance: p} }
+func withProbability(p float64, c Call) Sub { return Sub{Call: c, Count: 1, Probability: p} }
 
 // Khaosan is the news deployment: a feed that fans out to notices and archive. Sizes and
 // zones are those of the users' deployment. Service times are chosen so that both feed
@@ -95,7 +95,7 @@
 	lookup := call("archive", ms(35), parallel(withProbability(0.25, call("media", ms(15)))))
 	return &Deployment{
 		Name: tenant, Zones: 4, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(1),
-		DownstreamService: "archive", Patience: 4 * time.Second, Timeout: 2 * time.Second,
+		DownstreamService: "archive", RetryWindow: 4 * time.Second, Timeout: 2 * time.Second,
 		Services: []Service{
 			{Name: "archive", Targets: 6, Slots: 130, Connections: 850},
 			{Name: "notices", Targets: 4, Slots: 190, Connections: 1250},
@@ -122,7 +122,7 @@
 	evidence := call("evidencebox", ms(40))
 	return &Deployment{
 		Name: tenant, Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(8),
-		DownstreamService: "policydesk", Patience: 8 * time.Second, Timeout: 4 * time.Second,
+		DownstreamService: "policydesk", RetryWindow: 8 * time.Second, Timeout: 4 * time.Second,
 		Services: []Service{
 			{Name: "policydesk", Targets: 5, Slots: 170, Connections: 1150},
 			{Name: "settleworks", Targets: 4, Slots: 200, Connections: 1400},
@@ -147,7 +147,7 @@
 	desk := func(c Call) Call { return call("desk", ms(10), parallel(repeated(1, c))) }
 	return &Deployment{
 		Name: "shared", Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(4),
-		DownstreamService: "store", Patience: 3 * time.Second, Timeout: time.Second,
+		DownstreamService: "store", RetryWindow: 3 * time.Second, Timeout: time.Second,
 		Services: []Service{{Name: "store", Targets: 3, Slots: 120, Connections: 800}, {Name: "desk", Targets: 3, Slots: 100, Connections: 700}},
 		Classes: []Class{
 			{"khaosan-read", "khaosan", 40, 0.5, false, desk(call("store", ms(40)))},
@@ -166,7 +166,7 @@
 	const tenant, slotsPerHop = "ladder", 20
 	d := &Deployment{
 		Name: tenant, Zones: 3, ZoneDelay: ms(1.5), LocalDelay: ms(0.1), ClientDelay: ms(4),
-		DownstreamService: "s8", Patience: 4 * time.Second, Timeout: 2 * time.Second,
+		DownstreamService: "s8", RetryWindow: 4 * time.Second, Timeout: 2 * time.Second,
 	}
 	chain := Call{}
 	for hop := ladderDepth; hop >= 1; hop-- {
@@ -205,7 +205,7 @@
 	uneven := []float64{0.5, 1, 1, 1.5}
 	return &Deployment{
 		Name: tenant, Zones: 4, ZoneDelay: ms(0.9), LocalDelay: ms(0.2), ClientDelay: ms(3),
-		DownstreamService: "track", Patience: 6 * time.Second, Timeout: 1500 * time.Millisecond,
+		DownstreamService: "track", RetryWindow: 6 * time.Second, Timeout: 1500 * time.Millisecond,
 		Services: []Service{
 			{Name: "desk", Targets: 32, Slots: 96, Connections: 676, Speeds: []float64{0.6, 1, 1.4}},
 			{Name: "settle", Targets: 23, Slots: 109, Connections: 754, Speeds: uneven},
--- a/bench/standin/target/config.go
+++ b/bench/standin/target/config.go
@@ -37,8 +37,8 @@
 	Shed bool `yaml:"shed"`
 	// MaxConns bounds open connections; those above it are reset. 0: no bound.
 	MaxConns int `yaml:"max_conns"`
-	// ConnectCost delays the first read on each connection.
-	ConnectCost time.Duration `yaml:"connect_cost"`
+	// ConnectDelay delays the first read on each connection.
+	ConnectDelay time.Duration `yaml:"connect_cost"`
 	// ServiceTime is the mean time that a run holds its slot, not counting its
 	// calls; a route may override it. Default 2ms.
 	ServiceTime time.Duration `yaml:"service_time"`
--- a/bench/standin/target/server.go
+++ b/bench/standin/target/server.go
@@ -71,7 +71,7 @@
 	h, err := httpd.Start(httpd.Config{
 		Listen:       s.cfg.Listen,
 		MaxConns:     s.cfg.MaxConns,
-		ConnectDelay: s.cfg.ConnectCost,
+		ConnectDelay: s.cfg.ConnectDelay,
 	}, s.serve)
 	if err != nil {
 		return err
--- a/internal/adapter/yamlset/parse_test.go
+++ b/internal/adapter/yamlset/parse_test.go
@@ -47,7 +47,7 @@
 	})
 	is.Equal(set.Services[1].Classes[0], configset.Class{
 		Name: "publish", Method: "POST", Path: "/notices", Importance: 90, Deadline: configset.DefaultDeadline,
-		AtMostOnce: true, KeyRetention: configset.DefaultRemember, MaxBody: configset.DefaultMaxBody,
+		AtMostOnce: true, KeyRetention: configset.DefaultKeyRetention, MaxBody: configset.DefaultMaxBody,
 	})
 }
 
--- a/internal/adapter/yamlset/set.go
+++ b/internal/adapter/yamlset/set.go
@@ -114,7 +114,7 @@
 	})
 	c.Importance = d.importance(n, field, importance)
 	if c.AtMostOnce && !hasKeyRetention {
-		c.KeyRetention = configset.DefaultRemember
+		c.KeyRetention = configset.DefaultKeyRetention
 	}
 	return c
 }
--- a/internal/core/configset/encodedset_test.go
+++ b/internal/core/configset/encodedset_test.go
@@ -26,7 +26,7 @@
 			svc.Classes = append(svc.Classes, Class{
 				Name: request.Class(fmt.Sprintf("class-%d", j)), Method: "POST", Path: fmt.Sprintf("/resource-%d", j),
 				Importance: request.Importance(20 * j), Deadline: time.Second, Attempts: 1,
-				AtMostOnce: j == 3, KeyRetention: map[bool]time.Duration{true: DefaultRemember}[j == 3], MaxBody: DefaultMaxBody,
+				AtMostOnce: j == 3, KeyRetention: map[bool]time.Duration{true: DefaultKeyRetention}[j == 3], MaxBody: DefaultMaxBody,
 			})
 		}
 		s.Services = append(s.Services, svc)
--- a/internal/core/configset/set.go
+++ b/internal/core/configset/set.go
@@ -87,7 +87,7 @@
 	AtMostOnce bool `msgpack:"o,omitempty"`
 
 	// KeyRetention is the retention time of an at-most-once request's key.
-	// DefaultRemember if not declared; 0 for other classes.
+	// DefaultKeyRetention if not declared; 0 for other classes.
 	KeyRetention time.Duration `msgpack:"r,omitempty"`
 
 	// MaxBody is the maximum size of a request's body in bytes. DefaultMaxBody
@@ -125,10 +125,10 @@
 
 // Defaults of classes.
 const (
-	DefaultDeadline       = 2 * time.Second
-	DefaultAttempts       = 6
-	DefaultRemember       = 24 * time.Hour
-	DefaultMaxBody  int64 = 1 << 20
+	DefaultDeadline           = 2 * time.Second
+	DefaultAttempts           = 6
+	DefaultKeyRetention       = 24 * time.Hour
+	DefaultMaxBody      int64 = 1 << 20
 )
 
 // FullName returns the name that callers use for a service.
