--- a/bench/faults/lab.go
+++ b/bench/faults/lab.go
@@ -111,13 +111,13 @@
 	}
 	var proxyErr error
 	l.Fleet.TuneNode = func(h *harness.Host, s *settings.Settings) {
-		ln, err := faultproxy.Listen(h.Addr.Nodes)
+		proxy, err := faultproxy.Listen(h.Addr.Nodes)
 		if err != nil {
 			proxyErr = err
 			return
 		}
-		l.Proxies[h.Name] = ln
-		s.Advertise.Data = ln.Addr()
+		l.Proxies[h.Name] = proxy
+		s.Advertise.Data = proxy.Addr()
 		for _, other := range l.Fleet.Hosts { // those added before h
 			s.Peers = append(s.Peers, other.Addr.Control)
 		}
@@ -168,8 +168,8 @@
 // Close ends all processes and proxies.
 func (l *Lab) Close() {
 	l.Fleet.Close()
-	for _, ln := range l.Proxies {
-		ln.Close()
+	for _, proxy := range l.Proxies {
+		proxy.Close()
 	}
 }
 
--- a/bench/latency/load.go
+++ b/bench/latency/load.go
@@ -24,7 +24,7 @@
 	// at high rates because a sleep overruns by tens of µs.
 	pacerCount = 16
 	// maxInFlight is the maximum number of requests in flight; arrivals beyond it are not
-	// sent and count as unsent.
+	// sent and are counted in Sample.Unsent.
 	maxInFlight    = 8192
 	requestTimeout = 10 * time.Second
 	// idleCheckAfter is long enough that clients don't check idle connections between two
--- a/internal/core/admission/config.go
+++ b/internal/core/admission/config.go
@@ -20,7 +20,7 @@
 	// QueuePerSlot applies when QueueLimit is 0. Default 4.
 	QueuePerSlot int
 	// MaxWait is the maximum time a request may stay queued. Default 1 s. Higher
-	// values ride out longer pauses of the target, but serve older requests
+	// values bridge longer pauses of the target, but serve older requests
 	// afterwards.
 	MaxWait time.Duration
 	// TargetDelay is the acceptable queue delay. Default 5 ms. Higher values react
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -141,7 +141,7 @@
 	g := newGate(20)
 	now := trainGate(g, 100*ms)
 	rng := rand.New(rand.NewPCG(3, 4))
-	const n, patience = 2000, 90 * ms
+	const n, timeout = 2000, 90 * ms
 	ends := map[Ticket]time.Duration{}
 	served := 0
 	for i := range n {
@@ -153,13 +153,13 @@
 			}
 		}
 		id := Ticket(i + 1)
-		d, _ := g.Arrive(now, Arrival{Ticket: id, Priority: prio(50, uint16(i*7919)), Deadline: now + patience}, nil)
+		d, _ := g.Arrive(now, Arrival{Ticket: id, Priority: prio(50, uint16(i*7919)), Deadline: now + timeout}, nil)
 		if d.Verdict != Admit {
 			continue
 		}
 		took := 50*ms + time.Duration(rng.Int64N(int64(100*ms)))
 		ends[id] = now + took
-		if took <= patience {
+		if took <= timeout {
 			served++
 		}
 	}
--- a/internal/core/configsync/piggyback_test.go
+++ b/internal/core/configsync/piggyback_test.go
@@ -127,10 +127,10 @@
 // other than the announced one.
 func FuzzPiggyback(f *testing.F) {
 	a, b, versions := nodesOverBudget(f)
-	question := a.PiggybackQuery(200)
+	query := a.PiggybackQuery(200)
 	b.install(1, b.tenants["khaosan"], versions[1], ByWatch)
-	f.Add(question)
-	f.Add(b.PiggybackAnswer(question, 700))
+	f.Add(query)
+	f.Add(b.PiggybackAnswer(query, 700))
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}) // array header announcing 2^32-1 elements
 	f.Fuzz(func(t *testing.T, body []byte) {
 		a, b, versions := nodesOverBudget(t)
--- a/internal/core/conn/peer_test.go
+++ b/internal/core/conn/peer_test.go
@@ -28,17 +28,17 @@
 			now += time.Duration(rapid.Int64Range(0, int64(100*ms)).Draw(t, "pause"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
-				id, offer := p.Take(now)
-				if offer == Dial {
+				id, result := p.Take(now)
+				if result == Dial {
 					if rapid.Bool().Draw(t, "dial fails") {
 						p.DialFailed()
 						break
 					}
 					id = p.Opened(now)
-				} else if offer == Reuse && (inUse[id] || !clean[id]) {
+				} else if result == Reuse && (inUse[id] || !clean[id]) {
 					t.Fatalf("connection %d reused: in use %v, clean %v", id, inUse[id], clean[id])
 				}
-				if offer != Full {
+				if result != Full {
 					inUse[id], clean[id] = true, false
 					order = append(order, id)
 				}
@@ -105,8 +105,8 @@
 }
 
 func (n *network) start(now time.Duration) {
-	id, offer := n.p.Take(now)
-	switch offer {
+	id, result := n.p.Take(now)
+	switch result {
 	case Full:
 		return
 	case Dial:
@@ -288,8 +288,8 @@
 
 func completeCall(p *Peer, now time.Duration) time.Duration {
 	now += ms
-	id, offer := p.Take(now)
-	if offer == Dial {
+	id, result := p.Take(now)
+	if result == Dial {
 		id = p.Opened(now)
 	}
 	p.RecordActivity(now, id, true)
@@ -330,13 +330,13 @@
 	} {
 		for _, wait := range []time.Duration{tc.kept, tc.gone} {
 			p := NewPeer(&cfg)
-			_, offer := p.Take(0)
-			is.Equal(offer, Dial)
+			_, result := p.Take(0)
+			is.Equal(result, Dial)
 			id := p.Opened(0)
 			p.SetPeerIdleTimeout(tc.stated)
 			is.True(p.End(0, id, Complete))
-			_, offer = p.Take(wait)
-			is.Equal(offer == Reuse, wait == tc.kept)
+			_, result = p.Take(wait)
+			is.Equal(result == Reuse, wait == tc.kept)
 		}
 	}
 }
--- a/internal/core/member/piggyback.go
+++ b/internal/core/member/piggyback.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// PiggybackHandler is another component whose questions and answers are piggybacked on
+// PiggybackHandler is another component whose requests and replies are piggybacked on
 // heartbeats: while the budget is short, a separate connection and message
 // would cost more than the payload. State calls its methods; they must not call
 // State.
 type PiggybackHandler interface {
-	// Request returns a question of at most room bytes for the peer of the next
+	// Request returns a request of at most room bytes for the peer of the next
 	// heartbeat, nil for none.
 	Request(room int) []byte
-	// Reply returns the answer to a peer's question, of at most room bytes.
-	Reply(question []byte, room int) []byte
-	// HandleReply processes a peer's answer. Questions and answers are untrusted
+	// Reply returns the reply to a peer's request, of at most room bytes.
+	Reply(request []byte, room int) []byte
+	// HandleReply processes a peer's reply. Requests and replies are untrusted
 	// input.
 	HandleReply(now time.Duration, answer []byte)
 }
@@ -22,7 +22,7 @@
 // several times as much.
 const minPiggyback = 1100
 
-// SetPiggybackHandler sets the handler whose questions and answers are piggybacked.
+// SetPiggybackHandler sets the handler whose requests and replies are piggybacked.
 func (s *State) SetPiggybackHandler(r PiggybackHandler) { s.piggybackHandler = r }
 
 func (s *State) piggybackRequest() func(room int) []byte {
@@ -34,12 +34,12 @@
 	}
 }
 
-func (s *State) piggybackReply(question []byte) func(room int) []byte {
+func (s *State) piggybackReply(request []byte) func(room int) []byte {
 	return func(room int) []byte {
-		if s.piggybackHandler == nil || room <= 0 || len(question) == 0 {
+		if s.piggybackHandler == nil || room <= 0 || len(request) == 0 {
 			return nil
 		}
-		return s.piggybackHandler.Reply(question, room)
+		return s.piggybackHandler.Reply(request, room)
 	}
 }
 
--- a/internal/core/ratelimit/doc.go
+++ b/internal/core/ratelimit/doc.go
@@ -21,7 +21,7 @@
 // # Why the limit holds
 //
 // A grant ends at the node a fixed time after the node asked for it, and at the ledger
-// no earlier than that time after the question arrived. The ledger therefore never
+// no earlier than that time after the request arrived. The ledger therefore never
 // underestimates what is granted, even if answers are late or lost. A new ledger, on
 // another node or after a restart, doesn't know what was granted before. Until all such
 // grants have ended, or every node that the row names as a holder has reported what it
--- a/internal/core/ratelimit/lease.go
+++ b/internal/core/ratelimit/lease.go
@@ -93,7 +93,7 @@
 }
 
 const (
-	// competeTime is how long after a question a node tries to acquire the lease.
+	// competeTime is how long after a request a node tries to acquire the lease.
 	competeTime = 4 * time.Second
 	// failureDelay is the delay before the next call after a failed one.
 	failureDelay = 500 * time.Millisecond
@@ -212,7 +212,7 @@
 	l.ledger.RowWritten(&l.writtenRow)
 }
 
-// Ask answers a node's question if this node holds the lease.
+// Ask answers a node's request if this node holds the lease.
 func (l *Lease) Ask(now time.Duration, req *GrantRequest, limits func(request.Organisation) (Limit, bool)) GrantReply {
 	l.RecordRequest(now)
 	if !l.Held(now) {
--- a/internal/core/ratelimit/ledger.go
+++ b/internal/core/ratelimit/ledger.go
@@ -24,7 +24,7 @@
 	rowPartial bool
 }
 
-// asker identifies the last question of a node.
+// asker identifies the last request of a node.
 type asker struct {
 	incarnation uint64
 	seq         uint64
@@ -114,8 +114,8 @@
 	}
 }
 
-// Ask answers a node's question. limits returns the limit of an organisation, false if
-// it has none. The answer is nil for a question that arrives out of order.
+// Ask answers a node's request. limits returns the limit of an organisation, false if
+// it has none. The result is nil for a request that arrives out of order.
 func (l *Ledger) Ask(now time.Duration, req *GrantRequest, limits func(request.Organisation) (Limit, bool)) []Grant {
 	h := l.nodes[req.Node]
 	switch {
--- a/internal/core/ratelimit/local.go
+++ b/internal/core/ratelimit/local.go
@@ -21,7 +21,7 @@
 	limitRate  float64
 	expiresAt  time.Duration // when the grant ends
 	tokensOnly bool          // the grant has tokens but no rate; the node asks for more as it uses them
-	used       bool          // a token was taken since the last question
+	used       bool          // a token was taken since the last grant request
 	askedAt    time.Duration // when the grant was asked for
 	retryAt    time.Duration // no more tokens are available before
 
@@ -32,7 +32,7 @@
 	arrivals   float64       // requests since the demand was last measured
 	measuredAt time.Duration // when the demand was last measured
 	demand     float64       // requests per second
-	short      bool          // a request found no token since the last question
+	short      bool          // a request found no token since the last grant request
 }
 
 // NewLocal returns an empty set of buckets.
@@ -279,7 +279,7 @@
 const minDemandSpan = 10 * time.Second
 
 // Apply applies grants that were asked for at the given time. They must answer the last
-// question sent for their organisation.
+// request sent for their organisation.
 func (l *Local) Apply(now, asked time.Duration, grants []Grant, limits func(request.Organisation) (Limit, bool)) {
 	for _, g := range grants {
 		limit, ok := limits(g.Organisation)
--- a/internal/core/ratelimit/messages.go
+++ b/internal/core/ratelimit/messages.go
@@ -14,7 +14,7 @@
 	Shards      int // number of shards in the asking node's configuration
 	Node        request.TargetID
 	Incarnation uint64 // changes with each start of the node
-	Seq         uint64 // increases with each question of one Incarnation
+	Seq         uint64 // increases with each request of one Incarnation
 	// Starting: the node has just started, so an earlier process of it has ended.
 	Starting bool
 	// Leaving: the node returns everything it holds.
@@ -56,7 +56,7 @@
 }
 
 // Grant is a part that the asking node may use instead of what it held, valid for a
-// time that starts with its question.
+// time that starts with its request.
 type Grant struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 read by the codec
 
--- a/internal/core/ratelimit/simulation_test.go
+++ b/internal/core/ratelimit/simulation_test.go
@@ -45,7 +45,7 @@
 	local       *Local
 
 	seq       uint64
-	busy      bool // a question is in flight
+	busy      bool // a request to the lease holder is in flight
 	reportAll bool
 	target    request.TargetID // the lease holder if known; 0: choose by Order
 	avoid     map[request.TargetID]time.Duration
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -68,7 +68,7 @@
 	closed      bool
 }
 
-// Listen starts a link to an address, on a free port of the loopback interface.
+// Listen starts a proxy for an address, on a free port of the loopback interface.
 func Listen(upstreamAddr string) (*Proxy, error) {
 	l := &Proxy{upstreamAddr: upstreamAddr, addr: "127.0.0.1:0", conns: make(map[*proxiedConn]struct{})}
 	if err := l.Resume(); err != nil {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Close closes the link and all its connections.
+// Close closes the proxy and all its connections.
 func (l *Proxy) Close() {
 	l.Break(Kill)
 	l.CloseSilenced()
@@ -277,7 +277,7 @@
 	p.shutDown(CloseGracefully)
 }
 
-// proxiedConn is one connection through a link. Its fields are guarded by
+// proxiedConn is one connection through a proxy. Its fields are guarded by
 // Proxy.mu.
 type proxiedConn struct {
 	client, upstream net.Conn
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// newEchoLink returns a link to an echo server.
-func newEchoLink(t *testing.T) *Proxy {
+// newEchoProxy returns a proxy for an echo server.
+func newEchoProxy(t *testing.T) *Proxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 		for _, h := range []Fault{Reset, CloseGracefully, Kill} {
 			t.Run(w.String()+" "+h.String(), func(t *testing.T) {
 				is := is.New(t)
-				l := newEchoLink(t)
+				l := newEchoProxy(t)
 				c := dial(t, l)
 				s, err := roundTrip(c, "first")
 				is.NoErr(err)
@@ -86,7 +86,7 @@
 
 func TestBlackholeKeepsNewConnections(t *testing.T) {
 	is := is.New(t)
-	l := newEchoLink(t)
+	l := newEchoProxy(t)
 	old := dial(t, l)
 	_, err := roundTrip(old, "x")
 	is.NoErr(err)
@@ -104,7 +104,7 @@
 
 func TestStallBlocksWriters(t *testing.T) {
 	is := is.New(t)
-	l := newEchoLink(t)
+	l := newEchoProxy(t)
 	old := dial(t, l)
 	_, err := roundTrip(old, "x")
 	is.NoErr(err)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -43,9 +43,9 @@
 func (c *configManager) index() *configset.Index { return c.state.Index() }
 
 func (c *configManager) tick() {
-	ridden := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
-	c.execute(ridden)
+	c.execute(deferred)
 	c.execute(c.state.Tick(c.now()))
 	c.watch.tick()
 }
@@ -56,8 +56,8 @@
 
 func (r heartbeatPiggyback) Request(room int) []byte { return r.config.state.PiggybackQuery(room) }
 
-func (r heartbeatPiggyback) Reply(question []byte, room int) []byte {
-	return r.config.state.PiggybackAnswer(question, room)
+func (r heartbeatPiggyback) Reply(request []byte, room int) []byte {
+	return r.config.state.PiggybackAnswer(request, room)
 }
 
 func (r heartbeatPiggyback) HandleReply(now time.Duration, answer []byte) {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -21,18 +21,18 @@
 // control owns the node's control state. All its fields belong to the goroutine
 // that runs loop, except events.
 type control struct {
-	log     *zap.Logger
-	self    dataplane.Self
-	node    *Node // used for its gauges
-	engine  *dataplane.Engine
-	epoch   time.Time
-	events  chan func()
-	done    chan struct{}
-	state   *member.State
-	carrier *rpc.ActionExecutor
-	meter   *rpc.Meter
-	config  *configManager
-	limiter *limiter
+	log      *zap.Logger
+	self     dataplane.Self
+	node     *Node // used for its gauges
+	engine   *dataplane.Engine
+	epoch    time.Time
+	events   chan func()
+	done     chan struct{}
+	state    *member.State
+	executor *rpc.ActionExecutor
+	meter    *rpc.Meter
+	config   *configManager
+	limiter  *limiter
 
 	viewGen         uint64
 	lastTick        time.Duration // time of the last tick
@@ -131,7 +131,7 @@
 	spent := c.meter.TakeBytes()
 	c.node.metrics.Counters.ControlBytes.Inc(int64(spent))
 	c.state.Spend(spent)
-	c.carrier.Execute(c.state.Tick(c.now()))
+	c.executor.Execute(c.state.Tick(c.now()))
 	c.config.learnGossiped(c.state)
 	c.config.tick()
 	c.engine.SetConfigStale(c.config.watch.isStale())
@@ -291,7 +291,7 @@
 // announceDeparture tells peers that the node is gone.
 func (c *control) announceDeparture() {
 	c.state.Depart(c.now())
-	c.carrier.Execute(c.state.Tick(c.now()))
+	c.executor.Execute(c.state.Tick(c.now()))
 }
 
 // retire reports the node as not ready, so that load balancers stop sending callers.
@@ -308,6 +308,6 @@
 	}
 	c.leaving = true
 	c.state.Leave(c.now())
-	c.carrier.Execute(c.state.Tick(c.now()))
+	c.executor.Execute(c.state.Tick(c.now()))
 	c.publish()
 }
--- a/internal/node/limitgrants.go
+++ b/internal/node/limitgrants.go
@@ -64,7 +64,7 @@
 		defer cancel()
 		var r ratelimit.GrantReply
 		err := l.calls.Call(ctx, m.ControlAddr, methodAskLimits, a, &r)
-		l.waive(a, &r)
+		l.excludeFromBudget(a, &r)
 		l.post(func() { l.handleReply(s, m, now, r, err) })
 	})
 	if submitErr != nil {
@@ -156,7 +156,7 @@
 		}
 	}
 	if req.Node != l.self {
-		l.waive(req, &r)
+		l.excludeFromBudget(req, &r)
 	}
 	return r
 }
@@ -167,9 +167,9 @@
 	needBytes = 60
 )
 
-// waive excludes a request and its reply from the control budget, because callers'
-// requests wait for them.
-func (l *limiter) waive(req *ratelimit.GrantRequest, r *ratelimit.GrantReply) {
+// excludeFromBudget excludes a request and its reply from the control budget, because
+// callers' requests wait for them.
+func (l *limiter) excludeFromBudget(req *ratelimit.GrantRequest, r *ratelimit.GrantReply) {
 	l.meter.Exclude(askBytes + needBytes/2*(len(req.Needs)+len(r.Grants)))
 }
 
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -122,9 +122,9 @@
 // listener.
 func (c *rejectedConnections) sinceLast() map[string]int64 {
 	var counts map[string]int64
-	for face, l := range c.limits {
+	for listener, l := range c.limits {
 		n := l.Rejected.Load()
-		if n == c.reported[face] {
+		if n == c.reported[listener] {
 			continue
 		}
 		if counts == nil {
@@ -133,8 +133,8 @@
 		if c.reported == nil {
 			c.reported = make(map[string]int64)
 		}
-		counts[face] = n - c.reported[face]
-		c.reported[face] = n
+		counts[listener] = n - c.reported[listener]
+		c.reported[listener] = n
 	}
 	return counts
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -244,7 +244,7 @@
 		targetLifetime: lifetime.New(), targetUp: n.integration != nil,
 	}
 	c.state = member.New(n.memberConfig(), n.record(), rand.New(rand.NewPCG(rand.Uint64(), uint64(n.self.ID))))
-	c.carrier = rpc.NewActionExecutor(n.calls, n.pool.Submit, func(f func(*member.State, time.Duration)) {
+	c.executor = rpc.NewActionExecutor(n.calls, n.pool.Submit, func(f func(*member.State, time.Duration)) {
 		c.post(func() { f(c.state, c.now()) })
 	})
 	rec := n.record()
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -107,8 +107,8 @@
 // logRejectedConnections logs connections rejected since the last tick. It runs on the
 // control goroutine.
 func (n *Node) logRejectedConnections() {
-	for face, count := range n.rejected.sinceLast() {
-		n.log.Warn("connections turned away", zap.String("face", face), zap.Int64("count", count))
+	for listener, count := range n.rejected.sinceLast() {
+		n.log.Warn("connections turned away", zap.String("face", listener), zap.Int64("count", count))
 	}
 }
 
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -58,10 +58,11 @@
 
 var errStopping = status.New(status.CodeDraining, "the node is stopping")
 
-// await runs question on the control goroutine and waits for its answer.
-func await[T any](c *control, out *T, question func() <-chan T) error {
+// await runs start on the control goroutine and waits for the result of the channel that it
+// returns.
+func await[T any](c *control, out *T, start func() <-chan T) error {
 	var answer <-chan T
-	if !c.ask(func() { answer = question() }) {
+	if !c.ask(func() { answer = start() }) {
 		return errStopping
 	}
 	select {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -173,7 +173,7 @@
 			w.execute(w.core.HandleFailure(w.now(), a.ID))
 			return
 		}
-		w.waive(reply.Set)
+		w.excludeFromBudget(reply.Set)
 		if reply.Set != nil {
 			w.conf.execute(w.conf.state.HandlePush(w.conf.now(), w.tenant, *reply.Set))
 		}
@@ -204,16 +204,17 @@
 	if a.Reply.Version > a.Have {
 		r.Set = w.conf.state.ReplySince(w.conf.now(), w.tenant, p.args.Base)
 	}
-	w.waive(r.Set)
+	w.excludeFromBudget(r.Set)
 	p.ch <- r
 }
 
 // nextBytes is the size of a request and its reply without a set.
 const nextBytes = 36
 
-// waive excludes a request and its reply from the control budget. They deliver the
-// configuration, which has priority over everything else that the budget pays for.
-func (w *watcher) waive(set *configsync.Reply) {
+// excludeFromBudget excludes a request and its reply from the control budget. They
+// deliver the configuration, which has priority over everything else that the budget
+// pays for.
+func (w *watcher) excludeFromBudget(set *configsync.Reply) {
 	size := nextBytes
 	if set != nil {
 		size += len(set.Delta) + len(set.Whole)
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -47,7 +47,7 @@
 			ask()
 			m.Exclude(nextBytes)
 		}
-		left := m.TakeBytes() // the cost of the one request that was not waived
+		left := m.TakeBytes() // the cost of the one request that was not excluded
 		is.True(left > cost/2 && left < cost*3/2)
 	}
 }
