--- a/internal/adapter/hertzhttp/client_test.go
+++ b/internal/adapter/hertzhttp/client_test.go
@@ -306,8 +306,8 @@
 // an unknown outcome.
 func TestIdleConnectionWithInputIsNotReused(t *testing.T) {
 	for name, stray := range map[string]string{
-		"another answer": "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
-		"its end":        "",
+		"unsolicited response": "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+		"end of stream":        "",
 	} {
 		for which, after := range map[string]time.Duration{"before it is watched": time.Hour, "while it is watched": 0} {
 			t.Run(name+" "+which, func(t *testing.T) {
--- a/internal/adapter/hertzhttp/request_context_test.go
+++ b/internal/adapter/hertzhttp/request_context_test.go
@@ -14,13 +14,13 @@
 // watcher or a timer always covers it.
 func TestRequestEndsExactlyAtItsDeadline(t *testing.T) {
 	for name, tt := range map[string]struct{ after, left time.Duration }{
-		"short":                  {0, 3 * time.Millisecond},
-		"past":                   {0, -time.Second},
-		"as long as the watcher": {0, watchDelay},
-		"just beyond a look":     {0, watchDelay + minWatchInterval},
-		"long":                   {0, 5 * time.Second},
-		"set late":               {time.Second, 300 * time.Millisecond},
-		"set late and past":      {time.Second, -time.Millisecond},
+		"short":                    {0, 3 * time.Millisecond},
+		"past":                     {0, -time.Second},
+		"equal to the watch delay": {0, watchDelay},
+		"just after a scan":        {0, watchDelay + minWatchInterval},
+		"long":                     {0, 5 * time.Second},
+		"set after the scan":       {time.Second, 300 * time.Millisecond},
+		"set after the scan, past": {time.Second, -time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -97,13 +97,13 @@
 		faults []porttest.Fault // of the deciding writes, in order
 		want   status.Code      // "" for accepted
 	}{
-		{"answer lost", []porttest.Fault{porttest.LostResponse}, ""},
+		{"response lost", []porttest.Fault{porttest.LostResponse}, ""},
 		{"request lost", []porttest.Fault{porttest.LostRequest}, ""},
-		{"late", []porttest.Fault{porttest.Delayed}, ""},
-		{"late twice", []porttest.Fault{porttest.Delayed, porttest.Delayed}, ""},
-		{"down once", []porttest.Fault{porttest.Unavailable}, ""},
-		{"down", []porttest.Fault{porttest.Unavailable, porttest.Unavailable, porttest.Unavailable}, status.CodePlatformDown},
-		{"all lost", []porttest.Fault{porttest.LostRequest, porttest.LostRequest, porttest.LostRequest}, status.CodeOutcomeUnknown},
+		{"delayed", []porttest.Fault{porttest.Delayed}, ""},
+		{"delayed twice", []porttest.Fault{porttest.Delayed, porttest.Delayed}, ""},
+		{"unavailable once", []porttest.Fault{porttest.Unavailable}, ""},
+		{"unavailable", []porttest.Fault{porttest.Unavailable, porttest.Unavailable, porttest.Unavailable}, status.CodePlatformDown},
+		{"all requests lost", []porttest.Fault{porttest.LostRequest, porttest.LostRequest, porttest.LostRequest}, status.CodeOutcomeUnknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/core/configset/route_test.go
+++ b/internal/core/configset/route_test.go
@@ -72,15 +72,15 @@
 func TestValidateRoutes(t *testing.T) {
 	is := is.New(t)
 	for name, mutate := range map[string]func(*Set){
-		"no slash":       func(s *Set) { s.Services[0].Routes[0].Prefix = "/a" },
-		"bare":           func(s *Set) { s.Services[0].Routes[0].Prefix = "a/" },
-		"no host":        func(s *Set) { s.Services[0].Routes[0].Host = "" },
-		"upper case":     func(s *Set) { s.Services[0].Routes[0].Host = "X.example" },
-		"no runs":        func(s *Set) { s.Services[0].Routes[0].Runs = 0 },
-		"no deadline":    func(s *Set) { s.Services[0].Routes[0].Deadline = 0 },
-		"weight":         func(s *Set) { s.Services[0].Routes[0].Weight = -1 },
-		"twice":          func(s *Set) { s.Services[0].Routes[1].Name = s.Services[0].Routes[0].Name },
-		"told otherwise": func(s *Set) { s.Services[1].Routes[0].NeverRepeat = true },
+		"prefix without trailing slash": func(s *Set) { s.Services[0].Routes[0].Prefix = "/a" },
+		"prefix without leading slash":  func(s *Set) { s.Services[0].Routes[0].Prefix = "a/" },
+		"no host":                       func(s *Set) { s.Services[0].Routes[0].Host = "" },
+		"upper case":                    func(s *Set) { s.Services[0].Routes[0].Host = "X.example" },
+		"no runs":                       func(s *Set) { s.Services[0].Routes[0].Runs = 0 },
+		"no deadline":                   func(s *Set) { s.Services[0].Routes[0].Deadline = 0 },
+		"negative weight":               func(s *Set) { s.Services[0].Routes[0].Weight = -1 },
+		"duplicate name":                func(s *Set) { s.Services[0].Routes[1].Name = s.Services[0].Routes[0].Name },
+		"different repeat rules in a split route": func(s *Set) { s.Services[1].Routes[0].NeverRepeat = true },
 	} {
 		set := routedSet()
 		mutate(&set)
--- a/internal/core/retry/resubmission_test.go
+++ b/internal/core/retry/resubmission_test.go
@@ -75,18 +75,18 @@
 		want bool
 	}{
 		{"another request", drain, 0, 2, idOf(2), true},
-		{"another attempt of the same sending", drain, 0, 1, idOf(1), true},
-		{"another sending while the first runs", drain, 0, 1, idOf(2), false},
-		{"another sending, with a budget", fill, 0, 1, idOf(2), true},
-		{"another sending after a refusal", func(r *ResubmissionLimiter) {
+		{"another attempt of the same submission", drain, 0, 1, idOf(1), true},
+		{"resubmission while the first runs", drain, 0, 1, idOf(2), false},
+		{"resubmission within the budget", fill, 0, 1, idOf(2), true},
+		{"resubmission after a refusal", func(r *ResubmissionLimiter) {
 			drain(r)
 			r.End(0, 1, request.Refused)
 		}, 0, 1, idOf(2), true},
-		{"another sending after an answer that was lost", func(r *ResubmissionLimiter) {
+		{"resubmission after a lost response", func(r *ResubmissionLimiter) {
 			drain(r)
 			r.End(0, 1, request.Completed)
 		}, 0, 1, idOf(2), false},
-		{"long after", func(r *ResubmissionLimiter) {
+		{"resubmission after the repeat window", func(r *ResubmissionLimiter) {
 			r.End(0, 1, request.Failed)
 			for at := time.Duration(0); at < 3*cfg.RepeatWindow; at += cfg.RepeatWindow {
 				r.rotate(at)
--- a/internal/core/route/eject_test.go
+++ b/internal/core/route/eject_test.go
@@ -18,12 +18,12 @@
 		name string
 		lose func(tab *Table, ts []Target, now time.Duration)
 	}{
-		{"the other left", func(tab *Table, ts []Target, now time.Duration) {
+		{"other target leaving", func(tab *Table, ts []Target, now time.Duration) {
 			ts[1].Leaving = true
 			tab.Update(now, ts, 0)
 		}},
-		{"the other is gone", func(tab *Table, ts []Target, now time.Duration) { tab.Update(now, ts[:1], 0) }},
-		{"the other broke", func(tab *Table, ts []Target, now time.Duration) {
+		{"other target removed", func(tab *Table, ts []Target, now time.Duration) { tab.Update(now, ts[:1], 0) }},
+		{"other target's connection failed", func(tab *Table, ts []Target, now time.Duration) {
 			idx := int(tab.index[ts[1].ID])
 			tab.Started(now, idx)
 			tab.Done(now, idx, &Result{Kind: ConnectionFailed})
--- a/internal/daemon/procs_test.go
+++ b/internal/daemon/procs_test.go
@@ -16,9 +16,9 @@
 		env       string
 		has, want int
 	}{
-		"large":                {"", 12, maxProcs},
-		"small":                {"", 1, 1},
-		"as the operators say": {"6", 6, 6},
+		"large":             {"", 12, maxProcs},
+		"small":             {"", 1, 1},
+		"set by GOMAXPROCS": {"6", 6, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Setenv(envProcs, tt.env)
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -47,10 +47,10 @@
 		sheds            bool
 		earliest, latest time.Duration // bounds of the time at which the target counts as down
 	}{
-		{"drains", 503, true, 0, minHintInterval},
-		{"is overloaded", 200, true, never, never},
-		{"is overloaded and its endpoint silent", 0, true, 2 * period, 3*period + minHintInterval},
-		{"says so and takes calls", 503, false, 2 * period, 3 * period},
+		{"draining", 503, true, 0, minHintInterval},
+		{"overloaded", 200, true, never, never},
+		{"overloaded, health endpoint unresponsive", 0, true, 2 * period, 3*period + minHintInterval},
+		{"reports unavailable but accepts calls", 503, false, 2 * period, 3 * period},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
