--- a/internal/adapter/rpc/fuzz_test.go
+++ b/internal/adapter/rpc/fuzz_test.go
@@ -101,7 +101,7 @@
 	return []*member.Message{
 		sampleMessage(2),
 		{Kind: member.Join, From: rec.ID, Incarnation: 100, Records: []*member.Record{&rec}, Services: []request.Service{"s.t"}},
-		{Kind: member.Pull, From: 7, After: 9, MaxItemBytes: 1 << 30},
+		{Kind: member.Pull, From: 7, After: 9, ReplyItemBytes: 1 << 30},
 		{Kind: member.QueryObserver, From: 7, SilenceReports: []member.SilenceReport{{Subject: rec.ID, Incarnation: 100, Silence: 1 << 31}}},
 		{Kind: member.Probe, From: rec.ID, Changes: []member.Change{{ID: fuzzRecord(0).ID, Incarnation: 1<<32 - 1, Status: member.Dead}}},
 		{From: 7, WantedRecords: []request.TargetID{rec.ID}, Deaths: []member.Death{{ID: uint32(rec.ID >> 32), Incarnation: 100}}, AckedSeq: 1},
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -105,7 +105,7 @@
 func sampleMessage(n int) *member.Message {
 	m := &member.Message{
 		Kind: member.Heartbeat, From: 1 << 63, Incarnation: 200_000_000, Seq: 70000, AckedSeq: 69999,
-		StateDigest: 1 << 62, MaxItemBytes: 800,
+		StateDigest: 1 << 62, ReplyItemBytes: 800,
 	}
 	for i := range n {
 		id := request.TargetID(uint64(i+1) * 0x9e3779b97f4a7c15)
--- a/internal/core/member/exchange.go
+++ b/internal/core/member/exchange.go
@@ -86,7 +86,7 @@
 		half = minItemBudget
 	}
 	l.sent = s.fillMessage(now, m, l, half, s.piggybackRequest())
-	m.MaxItemBytes = uint32(min(room-(m.Size()-headerSize), s.cfg.MaxItemBytes))
+	m.ReplyItemBytes = uint32(min(room-(m.Size()-headerSize), s.cfg.MaxItemBytes))
 	s.queueExchange(s.peer(l.peer), m, false)
 }
 
@@ -155,8 +155,8 @@
 	if s.budget.Tokens() >= s.cfg.ExchangeCost {
 		room = s.cfg.MaxItemBytes
 	}
-	r.MaxItemBytes = uint32(room)
-	l.sentInReply = s.fillMessage(now, r, l, min(room, int(min(m.MaxItemBytes, uint32(s.cfg.MaxItemBytes)))), s.piggybackReply(m.Piggyback))
+	r.ReplyItemBytes = uint32(room)
+	l.sentInReply = s.fillMessage(now, r, l, min(room, int(min(m.ReplyItemBytes, uint32(s.cfg.MaxItemBytes)))), s.piggybackReply(m.Piggyback))
 }
 
 // inboundLink returns the link to a peer that sends heartbeats. It opens one
@@ -215,7 +215,7 @@
 		s.queue.ack(l.bit(), l.sent)
 		l.sent = nil
 		l.markHeard(now)
-		l.lowBudget = m.MaxItemBytes <= minItemBudget
+		l.lowBudget = m.ReplyItemBytes <= minItemBudget
 		if m.Rejected {
 			s.handleLinkRejected(now, l)
 		}
--- a/internal/core/member/fault_test.go
+++ b/internal/core/member/fault_test.go
@@ -121,7 +121,7 @@
 	is := is.New(t)
 	net := convergedNet(10, oneRegion)
 	n, peer := net.nodes[0], net.nodes[1]
-	heartbeat := &Message{Kind: Heartbeat, From: peer.rec.ID, Incarnation: peer.s.Incarnation(), BodyDigest: peer.s.body, Seq: 1000, MaxItemBytes: 500}
+	heartbeat := &Message{Kind: Heartbeat, From: peer.rec.ID, Incarnation: peer.s.Incarnation(), BodyDigest: peer.s.body, Seq: 1000, ReplyItemBytes: 500}
 	is.True(n.s.HandleRequest(net.Now, heartbeat) != nil)
 	n.s.PutFact(net.Now, Fact{Kind: ConfigHead, Key: 5, Version: 1})
 	for _, tt := range []struct {
--- a/internal/core/member/join.go
+++ b/internal/core/member/join.go
@@ -179,7 +179,7 @@
 	j.source = s.randomPeer()
 	m := s.newMessage(Pull)
 	m.After, m.Services = j.after, j.services
-	m.MaxItemBytes = uint32(maxJoinFactor * s.cfg.MaxItemBytes)
+	m.ReplyItemBytes = uint32(maxJoinFactor * s.cfg.MaxItemBytes)
 	s.queueExchange(j.source, m, true)
 }
 
@@ -383,7 +383,7 @@
 		r.Rejected = true
 		return
 	}
-	room := int(min(m.MaxItemBytes, maxJoinFactor*uint32(s.cfg.MaxItemBytes)))
+	room := int(min(m.ReplyItemBytes, maxJoinFactor*uint32(s.cfg.MaxItemBytes)))
 	if !s.recentlyStarted(s.lastTick) {
 		room = min(room, s.budget.Tokens()-s.budget.Limit()/4)
 	}
--- a/internal/core/member/message.go
+++ b/internal/core/member/message.go
@@ -33,7 +33,7 @@
 	Seq            uint32 // numbers the requests on a link
 	AckedSeq       uint32 // the last Seq whose reply was received; acknowledges its items
 	StateDigest    uint64 // digest of the sender's whole state
-	MaxItemBytes   uint32 // maximum bytes of items in the reply
+	ReplyItemBytes uint32 // maximum bytes of items in the reply
 	Partial        bool   // the sender is still receiving the whole state
 	Rejected       bool   // the sender accepts no link or has no capacity; try another member
 	Changes        []Change
--- a/internal/core/member/shortform_test.go
+++ b/internal/core/member/shortform_test.go
@@ -89,7 +89,7 @@
 	for parts := 0; ; parts++ {
 		is.True(parts < 100)
 		a.budget.Refill(time.Duration(parts) * 10 * time.Second)
-		m.MaxItemBytes = room
+		m.ReplyItemBytes = room
 		r := &Message{From: a.self.ID}
 		a.answerPull(m, r)
 		is.True(r.Size()-headerSize <= room)
--- a/internal/core/member/start_test.go
+++ b/internal/core/member/start_test.go
@@ -58,7 +58,7 @@
 	pull := func() *Message {
 		n.Spend(1 << 20)
 		return n.HandleRequest(net.Now, &Message{
-			Kind: Pull, From: net.nodes[4].rec.ID, Status: Alive, Incarnation: 100, MaxItemBytes: maxJoinFactor * uint32(net.cfg.MaxItemBytes),
+			Kind: Pull, From: net.nodes[4].rec.ID, Status: Alive, Incarnation: 100, ReplyItemBytes: maxJoinFactor * uint32(net.cfg.MaxItemBytes),
 		})
 	}
 	is.True(len(pull().Packed) > 0)
