--- a/bench/cmd/demo/main.go
+++ b/bench/cmd/demo/main.go
@@ -1,9 +1,8 @@
-// Command demo runs the main job on real processes: both deployments of the
-// brief on stand-ins, a morning feed and a payout approval shown in full, and a
-// short mixed load. It prints what happened and stops by itself.
+// Command demo runs the main job on real processes: both example deployments on stand-in
+// targets, a morning feed and a payout approval shown in full, and a short mixed load. It
+// prints the results and exits.
 //
-// Exit codes: 0 all is well, 1 something is wrong (the reason is typed), 2 the
-// command line can't be used.
+// Exit codes: 0 success, 1 failure (with a typed error), 2 invalid command line.
 package main
 
 import (
@@ -18,9 +17,9 @@
 )
 
 type options struct {
-	Seconds float64 `long:"seconds" default:"5" description:"length of the mixed load"`
-	Small   bool    `long:"small" description:"two targets of each service, at half the load"`
-	Keep    bool    `long:"keep" description:"keep the fleet's folder (settings, logs, traces) and print its name"`
+	Seconds float64 `long:"seconds" default:"5" description:"duration of the mixed load"`
+	Small   bool    `long:"small" description:"run two targets per service, at half the load"`
+	Keep    bool    `long:"keep" description:"keep the fleet's directory (settings, logs, traces) and print its name"`
 }
 
 func main() { command.Main(run) }
--- a/bench/cmd/faults/main.go
+++ b/bench/cmd/faults/main.go
@@ -1,6 +1,6 @@
-// Command faults plays the failures of bench/faults on a small fleet of real
-// processes, and prints what each cost. It ends with code 1 if something did
-// not hold that must.
+// Command faults runs the fault scenarios of bench/faults on a small fleet of real
+// processes and prints the effects of each. It exits with code 1 if a required outcome
+// is not met.
 package main
 
 import (
@@ -15,17 +15,17 @@
 )
 
 type options struct {
-	Only pattern `long:"only" default:".*" value-name:"REGEXP" description:"play the scenarios whose names match"`
-	Keep bool    `long:"keep" description:"keep the fleet's files (settings, logs)"`
+	Only regexpFlag `long:"only" default:".*" value-name:"REGEXP" description:"run the scenarios whose names match"`
+	Keep bool       `long:"keep" description:"keep the fleet's files (settings, logs)"`
 }
 
 func main() { command.Main(run) }
 
-// pattern is a regular expression on the command line.
-type pattern struct{ *regexp.Regexp }
+// regexpFlag is a regular expression given on the command line.
+type regexpFlag struct{ *regexp.Regexp }
 
 // UnmarshalFlag implements flags.Unmarshaler.
-func (p *pattern) UnmarshalFlag(text string) (err error) {
+func (p *regexpFlag) UnmarshalFlag(text string) (err error) {
 	p.Regexp, err = regexp.Compile(text)
 	return err
 }
@@ -42,12 +42,12 @@
 	}
 	defer l.Close()
 	l.Fleet.Keep = o.Keep
-	return play(ctx, l, o.Only)
+	return runScenarios(ctx, l, o.Only)
 }
 
-// play plays the scenarios up to the first whose promise is broken, and prints
-// the rows of those before.
-func play(ctx context.Context, l *faults.Lab, only pattern) error {
+// runScenarios runs the scenarios up to the first one that fails, and prints the rows of
+// the completed ones.
+func runScenarios(ctx context.Context, l *faults.Lab, only regexpFlag) error {
 	var rows []faults.Row
 	for _, s := range faults.All() {
 		if !only.MatchString(s.Name) {
--- a/bench/cmd/rollout/idle.go
+++ b/bench/cmd/rollout/idle.go
@@ -9,30 +9,29 @@
 	"peardrift/bench/harness"
 )
 
-// cost is what a node has used so far, and its memory now.
-type cost struct {
-	bytes    int64 // of control, sent and received
+// usage is a node's total usage so far, and its current memory.
+type usage struct {
+	bytes    int64 // control traffic, sent and received
 	cpu      time.Duration
 	resident int64
 }
 
-func spent(f *harness.Fleet) ([]cost, error) {
-	out := make([]cost, len(f.Hosts))
+func nodeUsage(f *harness.Fleet) ([]usage, error) {
+	out := make([]usage, len(f.Hosts))
 	for i, h := range f.Hosts {
 		s, err := h.Status()
 		if err != nil {
 			return nil, err
 		}
-		out[i] = cost{s.Control.Bytes, h.Node.CPU(), h.Node.Resident()}
+		out[i] = usage{s.Control.Bytes, h.Node.CPU(), h.Node.Resident()}
 	}
 	return out, nil
 }
 
-// rest prints what a node costs while nothing changes and no call comes. The
-// processor time is that of the whole process, with its questions to the
-// target's health.
-func rest(ctx context.Context, f *harness.Fleet, d time.Duration) error {
-	before, err := spent(f)
+// measureIdle prints the cost of a node without changes and calls. The CPU time is that of
+// the whole process, including health checks of the target.
+func measureIdle(ctx context.Context, f *harness.Fleet, d time.Duration) error {
+	before, err := nodeUsage(f)
 	if err != nil {
 		return err
 	}
@@ -42,7 +41,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	after, err := spent(f)
+	after, err := nodeUsage(f)
 	if err != nil {
 		return err
 	}
@@ -53,15 +52,15 @@
 		cpu[i] = float64((after[i].cpu - before[i].cpu).Microseconds()) / 1000 / took
 		memory[i] = float64(after[i].resident) / (1 << 20)
 	}
-	fmt.Printf("A node at rest over %v, least, median, most:\n", d)
-	fmt.Printf("  control, sent and received: %s bytes/s\n", spread(rates, 0))
-	fmt.Printf("  processor time of the process: %s ms/s\n", spread(cpu, 1))
-	fmt.Printf("  resident memory: %s MiB\n", spread(memory, 1))
+	fmt.Printf("Idle node over %v, minimum, median, maximum:\n", d)
+	fmt.Printf("  control traffic, sent and received: %s bytes/s\n", formatRange(rates, 0))
+	fmt.Printf("  CPU time of the process: %s ms/s\n", formatRange(cpu, 1))
+	fmt.Printf("  resident memory: %s MiB\n", formatRange(memory, 1))
 	return nil
 }
 
-// spread formats the least, the median and the most of some values.
-func spread(x []float64, digits int) string {
+// formatRange formats the minimum, median and maximum of values, which it sorts.
+func formatRange(x []float64, digits int) string {
 	slices.Sort(x)
 	return fmt.Sprintf("%.*f, %.*f, %.*f", digits, x[0], digits, x[len(x)/2], digits, x[len(x)-1])
 }
--- a/bench/cmd/standin-lean/main.go
+++ b/bench/cmd/standin-lean/main.go
@@ -1,5 +1,5 @@
-// Command standin-lean runs one lean stand-in target until SIGTERM, for
-// measurements of latency. It reads the settings of a stand-in target.
+// Command standin-lean runs one minimal stand-in target until SIGTERM, for latency
+// measurements. It reads the same settings file as standin-target.
 package main
 
 import (
--- a/bench/cmd/standin-platform/main.go
+++ b/bench/cmd/standin-platform/main.go
@@ -11,7 +11,7 @@
 )
 
 type options struct {
-	Listen string `long:"listen" default:"127.0.0.1:0" description:"address; port 0 picks a free one"`
+	Listen string `long:"listen" default:"127.0.0.1:0" description:"listen address; port 0 selects a free port"`
 }
 
 func main() { command.Main(run) }
